--- a/internal/process/sitecontrol/announcements.go
+++ b/internal/process/sitecontrol/announcements.go
@@ -11,8 +11,8 @@
 	"hornbeamwood/internal/base/codec"
 	"hornbeamwood/internal/base/event"
 	"hornbeamwood/internal/base/verdict"
-	"hornbeamwood/internal/site/board"
 	"hornbeamwood/internal/site/directory"
+	"hornbeamwood/internal/site/rowtable"
 	"hornbeamwood/internal/site/topic"
 	"hornbeamwood/internal/site/watch"
 )
@@ -39,7 +39,7 @@
 	home      string
 	heartbeat time.Duration
 	directory directory.Directory
-	board     board.Board
+	board     rowtable.Table
 	watchers  watch.Server
 	replicas  func() int
 	heard     func(address string) (time.Duration, bool)
@@ -67,7 +67,7 @@
 	a.changed[s.ID] = time.Now()
 	a.mu.Unlock()
 	event.ServerAnnounced.Write(a.logger, log.Fields{
-		"server": s.ID, "service": s.Service, "address": s.Address, "zone": s.Zone, "born": s.Born,
+		"server": s.ID, "service": s.Service, "address": s.Address, "zone": s.Zone, "born": s.StartedAt,
 		"sequence": s.Sequence, "state": s.State.String(), "silent": s.Silent, "home": s.Home,
 	})
 	return a.show(s)
@@ -101,7 +101,7 @@
 	if s.State != directory.Ready {
 		return a.leave(ctx, s)
 	}
-	if known, ok := a.directory.Get(s.ID); ok && known.Born > s.Born {
+	if known, ok := a.directory.Get(s.ID); ok && known.StartedAt > s.StartedAt {
 		return nil
 	}
 	a.mu.Lock()
@@ -144,11 +144,11 @@
 // depart takes a server's word that it ends.
 func (a *announcements) depart(ctx context.Context, id string, born int64) error {
 	s, ok := a.directory.Get(id)
-	if !ok || born > s.Born {
+	if !ok || born > s.StartedAt {
 		// Nobody sends requests to a start that was never announced.
-		s = directory.Server{ID: id, Born: born}
+		s = directory.Server{ID: id, StartedAt: born}
 	}
-	if born != 0 && born < s.Born {
+	if born != 0 && born < s.StartedAt {
 		return nil
 	}
 	s.State = directory.Gone
--- a/internal/process/sitecontrol/announcements_test.go
+++ b/internal/process/sitecontrol/announcements_test.go
@@ -5,15 +5,15 @@
 	"time"
 
 	"hornbeamwood/internal/base/codec"
-	"hornbeamwood/internal/site/board"
 	"hornbeamwood/internal/site/directory"
+	"hornbeamwood/internal/site/rowtable"
 	"hornbeamwood/internal/site/topic"
 )
 
 // testReplica keeps announcements without any network; exchange plays the polls.
 func testReplica(home string) *announcements {
 	return &announcements{
-		home: home, heartbeat: time.Second, directory: directory.New(), board: board.New(1),
+		home: home, heartbeat: time.Second, directory: directory.New(), board: rowtable.New(1),
 		heard:  func(string) (time.Duration, bool) { return 0, true },
 		direct: map[string]time.Time{}, changed: map[string]time.Time{}, swept: time.Now(),
 	}
@@ -37,7 +37,7 @@
 
 func heartbeat(t *testing.T, a *announcements, sequence int64) {
 	t.Helper()
-	if err := a.announce(t.Context(), directory.Server{ID: "s", Born: 1, Sequence: sequence, Service: "x", Address: "1:1"}); err != nil {
+	if err := a.announce(t.Context(), directory.Server{ID: "s", StartedAt: 1, Sequence: sequence, Service: "x", Address: "1:1"}); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/process/sitecontrol/caches.go
+++ b/internal/process/sitecontrol/caches.go
@@ -76,47 +76,47 @@
 
 // cacheKey names one start of an engine.
 func cacheKey(s directory.Server) string {
-	return stores.Part{Salt: s.ID, ID: time.UnixMilli(s.Born).String()}.Key(s.Address)
+	return stores.Part{Salt: s.ID, ID: time.UnixMilli(s.StartedAt).String()}.Key(s.Address)
 }
 
 // watch shows what one engine keeps until ctx ends; nothing is shown while the engine doesn't answer.
 func (c *caches) watch(ctx context.Context, s directory.Server) {
 	defer c.relay.dropCache(s.ID)
-	k := stores.NewCache(longPart)
+	k := stores.NewEngineInventory(longPart)
 	for ctx.Err() == nil {
 		if err := c.poll(ctx, s, k); err != nil {
 			c.relay.dropCache(s.ID)
-			k = stores.NewCache(longPart)
+			k = stores.NewEngineInventory(longPart)
 			wait.For(ctx, storePause)
 			continue
 		}
-		c.relay.putCache(s.ID, topic.Cache{Born: s.Born, Least: longPart, Parts: maps.Clone(k.Parts())})
+		c.relay.putCache(s.ID, topic.EngineCache{StartedAt: s.StartedAt, MinPartTokens: longPart, Parts: maps.Clone(k.Parts())})
 		wait.For(ctx, c.pause())
 	}
 }
 
 // pause returns the time between two polls of an engine.
 func (c *caches) pause() time.Duration {
-	if c.watched.Entries() > watch.FewEntries {
+	if c.watched.Entries() > watch.MaxSingleRelayEntries {
 		return manyCachePause
 	}
 	return time.Duration(1+c.relay.entries.Entries()/entriesPerInterval) * cachePause
 }
 
 // poll takes one answer of the engine, and the whole list when events were lost.
-func (c *caches) poll(ctx context.Context, s directory.Server, k *stores.Cache) error {
+func (c *caches) poll(ctx context.Context, s directory.Server, k *stores.EngineInventory) error {
 	ctx, cancel := context.WithTimeout(ctx, eventsTimeout)
 	defer cancel()
 	f, err := c.client.Events(ctx, s.Address, k.Next(), eventsWait)
 	if err != nil {
 		return err
 	}
-	if k.Take(f) {
+	if k.ApplyFeed(f) {
 		return nil
 	}
 	l, err := c.client.List(ctx, s.Address)
 	if err == nil {
-		k.TakeList(l)
+		k.ApplyListing(l)
 	}
 	return err
 }
--- a/internal/process/sitecontrol/control.go
+++ b/internal/process/sitecontrol/control.go
@@ -23,10 +23,10 @@
 	"hornbeamwood/internal/node/keys"
 	"hornbeamwood/internal/node/rpc"
 	"hornbeamwood/internal/settings/lease"
-	"hornbeamwood/internal/site/board"
 	"hornbeamwood/internal/site/chunk"
 	"hornbeamwood/internal/site/directory"
 	"hornbeamwood/internal/site/host"
+	"hornbeamwood/internal/site/rowtable"
 	"hornbeamwood/internal/site/section"
 	"hornbeamwood/internal/site/stores"
 	"hornbeamwood/internal/site/topic"
@@ -68,7 +68,7 @@
 	replica   replica.Replica
 	leader    quic.Leader
 	section   section.Section
-	board     board.Board
+	board     rowtable.Table
 	follower  watch.Follower
 	servers   *announcements
 	admission admission.Keeper
@@ -83,12 +83,12 @@
 	shown atomic.Int64
 	mu    sync.Mutex
 	// loaded is what engines were brought to, by their ID.
-	loaded map[string]topic.Loading
+	loaded map[string]topic.LoadedWeights
 }
 
 // New opens the data folder and the sockets of a control process.
 func New(c Config) (Process, error) {
-	p := &process{config: c, metrics: metrics.NewSet(), board: board.New(uint64(time.Now().UnixNano())), loaded: map[string]topic.Loading{}}
+	p := &process{config: c, metrics: metrics.NewSet(), board: rowtable.New(uint64(time.Now().UnixNano())), loaded: map[string]topic.LoadedWeights{}}
 	p.host.Store(&c.Host)
 	p.shown.Store(noDocument)
 	p.peers.Store(&c.Host.Seeds)
@@ -156,24 +156,24 @@
 		caughtUp: func() bool { return p.replica.Status().CaughtUp }, siteEntries: func() int { return p.watched.Entries() }, logger: p.config.Logger,
 	})
 	server := watch.NewServer(watch.Config{
-		Method: watch.Watch, Zone: p.config.Host.Zone, LeftOut: topic.LeftOut, Node: p.node, Board: p.board,
+		Method: watch.Watch, Zone: p.config.Host.Zone, Excluded: topic.NotRelayed, Node: p.node, Table: p.board,
 		CaughtUp: func() bool { return p.replica.Status().CaughtUp },
 		Holder:   func() (uint64, int64) { return p.holder.number(), p.librarian.clock.Now() },
 	})
 	p.watched = server
 	rpc.Handle(p.node, watch.Chunks, func(_ context.Context, _ rpc.Peer, wanted []chunk.Digest) ([]chunk.Chunk, error) {
-		h, _ := p.section.Held()
+		h, _ := p.section.Active()
 		return chunksOf(h, wanted), nil
 	})
-	rpc.Receive(p.node, watch.Uses, func(_ rpc.Peer, hashes []uint64) { p.librarian.use(hashes) })
+	rpc.Receive(p.node, watch.PartUses, func(_ rpc.Peer, hashes []uint64) { p.librarian.use(hashes) })
 	p.follower = watch.NewFollower(watch.FollowerConfig{
-		Method: watch.Watch, Node: p.node, Watcher: fmt.Sprintf("%s/%d", p.config.Host.Internal, p.board.Epoch()), Take: p.take, Prepare: p.relay.prepare, Logger: p.config.Logger,
+		Method: watch.Watch, Node: p.node, Watcher: fmt.Sprintf("%s/%d", p.config.Host.Internal, p.board.Epoch()), Apply: p.take, Prepare: p.relay.prepare, Logger: p.config.Logger,
 	})
 	p.servers = &announcements{
 		home: p.config.Host.Internal, heartbeat: p.config.Host.Bounds.Heartbeat,
 		directory: directory.New(), board: p.board, watchers: server,
 		replicas:  func() int { return len(p.replica.Status().Members) },
-		heard:     p.follower.Heard,
+		heard:     p.follower.SinceAnswer,
 		reachable: func() bool { return p.replica.Status().CaughtUp },
 		logger:    p.config.Logger,
 		direct:    map[string]time.Time{}, changed: map[string]time.Time{}, swept: time.Now(),
@@ -190,41 +190,41 @@
 	gauge("applied_index", func(s replica.Status) uint64 { return s.Applied })
 	gauge("voters", func(s replica.Status) uint64 { return uint64(raft.NewConfiguration(s.Members...).Voters()) })
 	p.metrics.NewGauge("hornbeamwood_site_document", func() float64 {
-		h, _ := p.section.Held()
-		return float64(h.Document.Number)
+		h, _ := p.section.Active()
+		return float64(h.Document.Revision)
 	})
 	p.metrics.NewGauge("hornbeamwood_quic_sent_bytes", func() float64 { return float64(p.node.BytesSent()) })
 }
 
 // show puts what the log holds on the board.
 func (p *process) show() {
-	if h, ok := p.section.Held(); ok {
+	if h, ok := p.section.Active(); ok {
 		p.showDocument(h)
 	}
-	for model, version := range p.section.Versions() {
+	for model, version := range p.section.TargetVersions() {
 		p.put(topic.Versions, model, version)
 	}
-	for model, at := range p.section.NamedAt() {
+	for model, at := range p.section.TargetVersionTimes() {
 		p.put(topic.NamedAt, model, at)
 	}
 }
 
 // put shows a value and returns the board's number of its last change, zero when it can't be encoded.
-func (p *process) put(t board.Topic, key string, value any) uint64 {
+func (p *process) put(t rowtable.Topic, key string, value any) uint64 {
 	b, err := codec.Marshal(value)
 	if err != nil {
 		event.AnnouncementNotAcknowledged.Write(p.config.Logger, log.Fields{"topic": t, "key": key, "error": err.Error()})
 		return 0
 	}
-	if len(b) > board.MaxAnswerBytes {
-		event.RowTooLarge.Write(p.config.Logger, log.Fields{"topic": t, "key": key, "bytes": len(b), "most": board.MaxAnswerBytes})
+	if len(b) > rowtable.MaxAnswerBytes {
+		event.RowTooLarge.Write(p.config.Logger, log.Fields{"topic": t, "key": key, "bytes": len(b), "most": rowtable.MaxAnswerBytes})
 	}
 	return p.board.Put(t, key, b)
 }
 
 // take takes what another replica shows: servers, and what is passed on to entries; the log is this replica's own.
 func (p *process) take(address string, a watch.Answer, _ time.Time) {
-	p.relay.leads.Take(address, a)
+	p.relay.leads.Apply(address, a)
 	for _, r := range a.Rows {
 		if r.Topic != topic.Servers || len(r.Value) == 0 {
 			continue
@@ -258,7 +258,7 @@
 	p.loops.Go(func() { p.relay.run(serving, p.addresses) })
 	p.loops.Go(func() { p.relay.copySelf(serving, p.board, p.holder.number) })
 	p.loops.Go(func() {
-		weights.New(weights.Config{Client: p.config.Engines, Site: engines{p}, Within: p.config.Host.Bounds.Weights, Logger: p.config.Logger}).Run(serving)
+		weights.New(weights.Config{Client: p.config.Engines, Site: engines{p}, Deadline: p.config.Host.Bounds.WeightsDeadline, Logger: p.config.Logger}).Run(serving)
 	})
 	p.loops.Go(func() {
 		host.Watch(serving, p.config.Host, p.config.Load, func(h host.Host) { p.host.Store(&h) }, p.config.Logger)
--- a/internal/process/sitecontrol/document.go
+++ b/internal/process/sitecontrol/document.go
@@ -22,12 +22,12 @@
 // Entries get the chunks that they lack from one replica. If each replica sent
 // each entry all of a large document after each change, it would take the entries'
 // links for longer than a change may take to be in force.
-func (p *process) showDocument(h section.Held) {
-	number := h.Document.Number
+func (p *process) showDocument(h section.ActiveDocument) {
+	number := h.Document.Revision
 	if p.shown.Load() == number {
 		return
 	}
-	p.put(topic.DocumentChunks, "", topic.Document{Number: number, Chunks: chunk.Digests(h.Chunks)})
+	p.put(topic.DocumentChunks, "", topic.Document{Revision: number, Chunks: chunk.Digests(h.Chunks)})
 	p.shown.Store(number)
 	bytes := 0
 	for _, c := range h.Chunks {
@@ -37,7 +37,7 @@
 }
 
 // chunksOf returns the first of the wanted chunks that h has, as many as fit into one answer.
-func chunksOf(h section.Held, wanted []chunk.Digest) []chunk.Chunk {
+func chunksOf(h section.ActiveDocument, wanted []chunk.Digest) []chunk.Chunk {
 	var found []chunk.Chunk
 	bytes := 0
 	for _, d := range wanted {
--- a/internal/process/sitecontrol/epochs.go
+++ b/internal/process/sitecontrol/epochs.go
@@ -48,7 +48,7 @@
 		} else {
 			l.starts.note(address, f.Epoch, time.Now())
 		}
-		l.clock.Heard(f.Clock)
+		l.clock.Observe(f.Clock)
 		next = f.Next
 		l.put(topic.Epochs, address, f.Epoch)
 		wait.For(ctx, epochPause)
--- a/internal/process/sitecontrol/librarian.go
+++ b/internal/process/sitecontrol/librarian.go
@@ -81,7 +81,7 @@
 // the lease it only looks whether they have restarted.
 func (l *librarian) follow(ctx context.Context, all *sync.WaitGroup) {
 	wanted := map[string]document.Store{}
-	if h, ok := l.section.Held(); ok {
+	if h, ok := l.section.Active(); ok {
 		for _, s := range h.Document.Stores {
 			wanted[s.Address] = s
 		}
@@ -97,7 +97,7 @@
 			continue
 		}
 		following, cancel := context.WithCancel(ctx)
-		x := &shelf{stock: stores.NewShelf(a, s.Tokens), cancel: cancel}
+		x := &shelf{stock: stores.NewStoreInventory(a, s.CapacityTokens), cancel: cancel}
 		l.shelves[a] = x
 		all.Go(func() { l.watch(following, x) })
 	}
@@ -160,14 +160,14 @@
 	if err != nil {
 		return err
 	}
-	l.clock.Heard(f.Clock)
+	l.clock.Observe(f.Clock)
 	l.starts.note(x.stock.Address, f.Epoch, time.Now())
 	if err := l.usable(x, nil); err != nil {
 		// Entries must hear that it isn't used before they hear that it is empty.
 		l.showUp(x, err)
 	}
 	x.mu.Lock()
-	changed, list := x.stock.Take(f, time.Now())
+	changed, list := x.stock.ApplyFeed(f, time.Now())
 	x.mu.Unlock()
 	if list || time.Since(x.listed) > listInterval {
 		return l.list(ctx, x)
@@ -181,11 +181,11 @@
 	if err != nil {
 		return err
 	}
-	l.clock.Heard(c.Clock)
+	l.clock.Observe(c.Clock)
 	first := x.listed.IsZero()
 	x.listed = time.Now()
 	x.mu.Lock()
-	changed := x.stock.TakeList(c, time.Now())
+	changed := x.stock.ApplyListing(c, time.Now())
 	x.mu.Unlock()
 	event.StoreListed.Write(l.config.Logger, log.Fields{"store": x.stock.Address, "epoch": c.Epoch, "parts": len(c.Held), "partial": len(c.Partial)})
 	if !first {
@@ -206,7 +206,7 @@
 	for _, x := range l.shelves {
 		x.mu.Lock()
 		for _, h := range hashes {
-			x.stock.Use(h, now)
+			x.stock.Touch(h, now)
 		}
 		x.mu.Unlock()
 	}
@@ -231,8 +231,8 @@
 		x.mu.Unlock()
 		number := l.show(x, marked)
 		x.mu.Lock()
-		x.stock.Told(marked, number)
-		due, epoch := x.stock.Due(l.known(), now), x.stock.Epoch()
+		x.stock.MarkAnnounced(marked, number)
+		due, epoch := x.stock.Freeable(l.known(), now), x.stock.Epoch()
 		x.mu.Unlock()
 		l.drop(ctx, x, due, epoch)
 	}
@@ -241,7 +241,7 @@
 // known returns the board's number up to which all entries have the rows that were
 // heard within StaleAfter, by this replica, as a relay or by others.
 func (l *librarian) known() uint64 {
-	return min(l.watched.Known(stores.StaleAfter), l.relay.leads.Known(l.relay.self, stores.StaleAfter))
+	return min(l.watched.AcknowledgedRevision(stores.StaleAfter), l.relay.leads.AcknowledgedRevision(l.relay.self, stores.StaleAfter))
 }
 
 func (l *librarian) drop(ctx context.Context, x *shelf, due []stores.Part, epoch int64) {
@@ -258,7 +258,7 @@
 		f["error"] = err.Error()
 	} else {
 		x.mu.Lock()
-		x.stock.Freed(due)
+		x.stock.Remove(due)
 		x.mu.Unlock()
 	}
 	event.PartsFreed.Write(l.config.Logger, f)
--- a/internal/process/sitecontrol/librarian_test.go
+++ b/internal/process/sitecontrol/librarian_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"hornbeamwood/internal/base/codec"
-	"hornbeamwood/internal/site/board"
+	"hornbeamwood/internal/site/rowtable"
 	"hornbeamwood/internal/site/stores"
 	"hornbeamwood/internal/site/topic"
 )
@@ -59,9 +59,9 @@
 
 // Guards against stores of a lease that was lost holding up the short parts of those that are followed now.
 func TestShortPartsOfALeftStoreHoldNobodyUp(t *testing.T) {
-	l := &librarian{process: &process{board: board.New(1)}}
+	l := &librarian{process: &process{board: rowtable.New(1)}}
 	shelfAt := func(address string) *shelf {
-		return &shelf{stock: stores.NewShelf(address, 1000), cancel: func() {}}
+		return &shelf{stock: stores.NewStoreInventory(address, 1000), cancel: func() {}}
 	}
 	left, first, second := shelfAt("1:1"), shelfAt("2:2"), shelfAt("3:3")
 	for _, x := range []*shelf{left, first, left, second} {
@@ -83,9 +83,9 @@
 
 // Guards against a new holder of the lease never counting as complete because a store is down.
 func TestStoreThatIsDownAtFirstIsToldOf(t *testing.T) {
-	b := board.New(1)
+	b := rowtable.New(1)
 	l := &librarian{process: &process{board: b}}
-	x := &shelf{stock: stores.NewShelf("1:1", 1000)}
+	x := &shelf{stock: stores.NewStoreInventory("1:1", 1000)}
 	for _, step := range []struct {
 		err  error
 		rows int
@@ -117,11 +117,11 @@
 
 // Guards against a part being fetched by entries that haven't heard of a store's restart while others write it there anew.
 func TestRestartedStoreRests(t *testing.T) {
-	b := board.New(1)
+	b := rowtable.New(1)
 	f := &fakeStore{epoch: 1, held: map[stores.Part]int{{Salt: "m/1", ID: "p"}: 2000}}
 	l := &librarian{process: &process{board: b}, client: f, clock: stores.NewClock(), starts: newStarts()}
-	x := &shelf{stock: stores.NewShelf("1:1", 5000)}
-	poll := func() []board.Row {
+	x := &shelf{stock: stores.NewStoreInventory("1:1", 5000)}
+	poll := func() []rowtable.Row {
 		_, before := b.Since(0)
 		err := l.poll(t.Context(), x)
 		l.showUp(x, l.usable(x, err))
@@ -167,9 +167,9 @@
 // A store is listed, and the lease is lost before its short parts are shown. Shown
 // all the same they would stand beside what the next list says.
 func TestNothingIsShownOfAStoreThatIsLeft(t *testing.T) {
-	b := board.New(1)
+	b := rowtable.New(1)
 	l := &librarian{process: &process{board: b}}
-	x := &shelf{stock: stores.NewShelf("1:1", 1000), cancel: func() {}}
+	x := &shelf{stock: stores.NewStoreInventory("1:1", 1000), cancel: func() {}}
 	x.leave()
 	l.showShelf(x, "short", false, nil)
 	if rows, _ := b.Since(0); len(rows) > 0 {
@@ -182,9 +182,9 @@
 // entry hears of nothing else either.
 func TestListOfALargeStoreComesInShortRows(t *testing.T) {
 	const parts, mostBytes = 30_000, 64 << 10
-	b := board.New(1)
+	b := rowtable.New(1)
 	l := &librarian{process: &process{board: b}}
-	x := &shelf{stock: stores.NewShelf("1:1", 300*parts)}
+	x := &shelf{stock: stores.NewStoreInventory("1:1", 300*parts)}
 	held := map[stores.Part]int{}
 	var all []stores.Part
 	for i := range parts {
@@ -192,14 +192,14 @@
 		held[p] = 300
 		all = append(all, p)
 	}
-	x.stock.TakeList(stores.Listing{Epoch: 1, Held: held}, time.Now())
+	x.stock.ApplyListing(stores.Listing{Epoch: 1, Held: held}, time.Now())
 	l.showShelf(x, "short", true, all)
 	told := 0
-	for at, i := uint64(0), 0; b.Behind(at); i++ {
+	for at, i := uint64(0), 0; b.ChangedAfter(at); i++ {
 		rows, next := b.Since(at)
 		at = next
 		for _, r := range rows {
-			s, err := codec.Unmarshal[topic.Shelf](r.Value)
+			s, err := codec.Unmarshal[topic.StoreSummary](r.Value)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/process/sitecontrol/operator.go
+++ b/internal/process/sitecontrol/operator.go
@@ -43,7 +43,7 @@
 func (p *process) PutDocument(ctx context.Context, d document.Document, source []byte) error {
 	began := time.Now()
 	r, err := p.putDocument(ctx, d, source)
-	f := log.Fields{"number": d.Number, "changed": r.Changed, "in-force": r.Number, "ms": time.Since(began).Milliseconds()}
+	f := log.Fields{"number": d.Revision, "changed": r.Changed, "in-force": r.Revision, "ms": time.Since(began).Milliseconds()}
 	if err != nil {
 		f["error"] = err.Error()
 	}
@@ -57,18 +57,18 @@
 // entry in the log. Operators send again what wasn't acknowledged in time, which would
 // make a slow log slower.
 func (p *process) putDocument(ctx context.Context, d document.Document, source []byte) (section.Result, error) {
-	h, ok := p.section.Held()
-	if ok && d.Number <= h.Document.Number {
-		return section.Result{Taken: true, Number: h.Document.Number}, nil
+	h, ok := p.section.Active()
+	if ok && d.Revision <= h.Document.Revision {
+		return section.Result{Taken: true, Revision: h.Document.Revision}, nil
 	}
 	r, err := p.putOver(ctx, h, d, source)
-	if err == nil && r.Lacking {
-		return p.putOver(ctx, section.Held{}, d, source)
+	if err == nil && r.MissingChunks {
+		return p.putOver(ctx, section.ActiveDocument{}, d, source)
 	}
 	return r, err
 }
 
-func (p *process) putOver(ctx context.Context, h section.Held, d document.Document, source []byte) (section.Result, error) {
+func (p *process) putOver(ctx context.Context, h section.ActiveDocument, d document.Document, source []byte) (section.Result, error) {
 	put, err := section.NewPutChunks(d, source, h)
 	if err != nil {
 		return section.Result{}, verdict.New(verdict.NotRun, http.StatusBadRequest, "malformed-document", "the document could not be encoded").WithCause(err)
@@ -76,9 +76,9 @@
 	return p.change(ctx, section.Command{PutChunks: &put})
 }
 
-// NameVersion implements Service.
-func (p *process) NameVersion(ctx context.Context, model string, version int64) error {
-	r, err := p.change(ctx, section.Command{NameVersion: &section.NameVersion{Model: model, Version: version, At: p.librarian.clock.Now()}})
+// SetTargetVersion implements Service.
+func (p *process) SetTargetVersion(ctx context.Context, model string, version int64) error {
+	r, err := p.change(ctx, section.Command{SetTargetVersion: &section.SetTargetVersion{Model: model, Version: version, At: p.librarian.clock.Now()}})
 	f := log.Fields{"model": model, "version": version, "changed": r.Changed}
 	if err != nil {
 		f["error"] = err.Error()
@@ -110,15 +110,15 @@
 //
 // A replica that is cut off would answer with a document that a newer one has
 // overtaken; the round among the replicas shows that it isn't.
-func (p *process) Document(ctx context.Context) (section.Held, error) {
+func (p *process) Document(ctx context.Context) (section.ActiveDocument, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	err := p.leader.CatchUp(ctx)
-	h, ok := p.section.Held()
+	h, ok := p.section.Active()
 	if err == nil && !ok {
 		err = verdict.New(verdict.NotRun, http.StatusServiceUnavailable, "no-document", "no document is in force yet")
 	}
-	f := log.Fields{"number": h.Document.Number}
+	f := log.Fields{"number": h.Document.Revision}
 	if err != nil {
 		f["error"] = err.Error()
 	}
--- a/internal/process/sitecontrol/outdated.go
+++ b/internal/process/sitecontrol/outdated.go
@@ -23,7 +23,7 @@
 func (l *librarian) outdated() func(stores.Part) bool {
 	current, share := map[string]int64{}, map[string]float64{}
 	e := engines{l.process}
-	for model, named := range l.section.Versions() {
+	for model, named := range l.section.TargetVersions() {
 		older, all := 0, 0
 		for _, s := range e.Engines() {
 			if _, ok := s.Version(model); !ok {
--- a/internal/process/sitecontrol/relay.go
+++ b/internal/process/sitecontrol/relay.go
@@ -14,7 +14,7 @@
 	"hornbeamwood/internal/base/wait"
 	"hornbeamwood/internal/node/rpc"
 	"hornbeamwood/internal/serve/share"
-	"hornbeamwood/internal/site/board"
+	"hornbeamwood/internal/site/rowtable"
 	"hornbeamwood/internal/site/stores"
 	"hornbeamwood/internal/site/topic"
 	"hornbeamwood/internal/site/watch"
@@ -50,12 +50,12 @@
 	siteEntries func() int
 	// told holds the hints that came from entries and engines of this replica, shown
 	// those of all relays.
-	told, shown board.Board
+	told, shown rowtable.Table
 	entries     watch.Server
 	follower    watch.Follower
-	loads       share.Adder
+	loads       share.Aggregator
 	// leads are copies of what holders of the lease show.
-	leads watch.Copies
+	leads watch.Mirrors
 
 	mu sync.Mutex
 	// sums are the other relays' loads, caches the engines that each relay follows, this one's under self.
@@ -77,39 +77,39 @@
 
 func newRelay(c relayConfig) *relay {
 	r := &relay{
-		node: c.node, self: c.self, logger: c.logger, siteEntries: c.siteEntries, told: board.New(c.epoch), shown: board.New(c.epoch), loads: share.NewAdder(),
+		node: c.node, self: c.self, logger: c.logger, siteEntries: c.siteEntries, told: rowtable.New(c.epoch), shown: rowtable.New(c.epoch), loads: share.NewAggregator(),
 		sums: map[string]share.Sum{}, caches: map[string]map[string]bool{},
 	}
 	noLease := func() (uint64, int64) { return 0, 0 }
-	r.entries = watch.NewServer(watch.Config{Method: watch.Hints, Zone: c.zone, Node: c.node, Board: r.shown, CaughtUp: c.caughtUp, Holder: noLease, Pause: r.pauseOfHints})
+	r.entries = watch.NewServer(watch.Config{Method: watch.Hints, Zone: c.zone, Node: c.node, Table: r.shown, CaughtUp: c.caughtUp, Holder: noLease, Pause: r.pauseOfHints})
 	watch.NewServer(watch.Config{
-		Method: watch.Exchange, Zone: c.zone, Node: c.node, Board: r.told, CaughtUp: c.caughtUp, Holder: noLease,
-		Pause: func(int) time.Duration { return watch.ManyPause }, AllInRounds: true,
+		Method: watch.Exchange, Zone: c.zone, Node: c.node, Table: r.told, CaughtUp: c.caughtUp, Holder: noLease,
+		Pause: func(int) time.Duration { return watch.LargeSitePause }, BatchReplicas: true,
 	})
-	r.leads = watch.NewCopies(watch.CopiesConfig{Node: c.node, Relayed: topic.Relayed, Pause: func(int) time.Duration { return leadsPause }})
-	rpc.Receive(c.node, watch.Loads, func(_ rpc.Peer, l share.Post) { r.loads.Take(l, time.Now()) })
-	rpc.Receive(c.node, watch.Readings, func(_ rpc.Peer, all []watch.Reading) { r.takeReadings(all) })
+	r.leads = watch.NewMirrors(watch.MirrorsConfig{Node: c.node, Relayed: topic.Relayed, Pause: func(int) time.Duration { return leadsPause }})
+	rpc.Receive(c.node, watch.Loads, func(_ rpc.Peer, l share.Report) { r.loads.Add(l, time.Now()) })
+	rpc.Receive(c.node, watch.Prefills, func(_ rpc.Peer, all []watch.Prefill) { r.takeReadings(all) })
 	r.follower = watch.NewFollower(watch.FollowerConfig{
-		Method: watch.Exchange, Node: c.node, Watcher: fmt.Sprintf("%s/%d", c.self, c.epoch), Take: r.take, Logger: c.logger,
+		Method: watch.Exchange, Node: c.node, Watcher: fmt.Sprintf("%s/%d", c.self, c.epoch), Apply: r.take, Logger: c.logger,
 	})
 	return r
 }
 
 // prepare completes a poll of the replica at address.
 func (r *relay) prepare(address string, p *watch.Poll) {
-	r.leads.Asking(address)
-	p.Relay, p.Known = true, r.leads.Known(address, stores.StaleAfter)
+	r.leads.BeginPoll(address)
+	p.Relay, p.Acknowledged = true, r.leads.AcknowledgedRevision(address, stores.StaleAfter)
 }
 
 // copySelf copies what this replica shows, for the entries that it serves, until ctx ends.
-func (r *relay) copySelf(ctx context.Context, b board.Board, fencing func() uint64) {
+func (r *relay) copySelf(ctx context.Context, b rowtable.Table, fencing func() uint64) {
 	for number := uint64(0); ctx.Err() == nil; {
-		r.leads.Asking(r.self)
+		r.leads.BeginPoll(r.self)
 		a := watch.Answer{Epoch: b.Epoch(), Fencing: fencing()}
-		a.Rows, a.Number = b.Since(number)
-		number = a.Number
-		r.leads.Take(r.self, a)
-		if b.Behind(number) {
+		a.Rows, a.Revision = b.Since(number)
+		number = a.Revision
+		r.leads.Apply(r.self, a)
+		if b.ChangedAfter(number) {
 			continue
 		}
 		waiting, cancel := context.WithTimeout(ctx, relayInterval)
@@ -126,14 +126,14 @@
 
 // paced returns the pause, on a site of many entries ManyPause at least.
 func (r *relay) paced(pause time.Duration) time.Duration {
-	if r.siteEntries() > watch.FewEntries {
-		return max(pause, watch.ManyPause)
+	if r.siteEntries() > watch.MaxSingleRelayEntries {
+		return max(pause, watch.LargeSitePause)
 	}
 	return pause
 }
 
 // put shows a hint that this replica was told.
-func (r *relay) put(t board.Topic, key string, value any) {
+func (r *relay) put(t rowtable.Topic, key string, value any) {
 	b, err := codec.Marshal(value)
 	if err != nil {
 		event.NoticeRefused.Write(r.logger, log.Fields{"notice": "hint", "topic": t, "key": key, "error": err.Error()})
@@ -143,9 +143,9 @@
 	r.shown.Put(t, key, b)
 }
 
-func (r *relay) takeReadings(all []watch.Reading) {
+func (r *relay) takeReadings(all []watch.Prefill) {
 	for _, x := range all {
-		r.put(topic.Reads, stores.Part{Salt: x.Salt, ID: x.Part}.Key(""), x)
+		r.put(topic.Prefills, stores.Part{Salt: x.Salt, ID: x.Part}.Key(""), x)
 	}
 }
 
@@ -155,9 +155,9 @@
 		switch row.Topic {
 		case topic.Loads:
 			r.takeSum(address, row)
-		case topic.Caches:
+		case topic.EngineCaches:
 			r.takeCache(address, row)
-		case topic.Reads:
+		case topic.Prefills:
 			r.shown.Put(row.Topic, row.Key, row.Value)
 		}
 	}
@@ -181,7 +181,7 @@
 		delete(r.caches, address)
 		expired = append(expired, address)
 		for key := range followed {
-			r.shown.Put(topic.Caches, key, nil)
+			r.shown.Put(topic.EngineCaches, key, nil)
 		}
 	}
 	return expired
@@ -199,7 +199,7 @@
 }
 
 func (r *relay) silent(address string) bool {
-	ago, ok := r.follower.Heard(address)
+	ago, ok := r.follower.SinceAnswer(address)
 	return !ok || ago > peerTimeout
 }
 
--- a/internal/process/sitecontrol/relay_loads.go
+++ b/internal/process/sitecontrol/relay_loads.go
@@ -10,11 +10,11 @@
 	"hornbeamwood/internal/base/event"
 	"hornbeamwood/internal/base/wait"
 	"hornbeamwood/internal/serve/share"
-	"hornbeamwood/internal/site/board"
+	"hornbeamwood/internal/site/rowtable"
 	"hornbeamwood/internal/site/topic"
 )
 
-func (r *relay) takeSum(address string, row board.Row) {
+func (r *relay) takeSum(address string, row rowtable.Row) {
 	s, err := codec.Unmarshal[share.Sum](row.Value)
 	if err != nil {
 		event.NoticeRefused.Write(r.logger, log.Fields{"notice": "sum of loads", "peer": address, "error": err.Error()})
@@ -51,7 +51,7 @@
 }
 
 // putSum shows a sum on a board and returns its bytes.
-func (r *relay) putSum(b board.Board, s share.Sum) int {
+func (r *relay) putSum(b rowtable.Table, s share.Sum) int {
 	encoded, err := codec.Marshal(s)
 	if err != nil {
 		event.NoticeRefused.Write(r.logger, log.Fields{"notice": "loads", "error": err.Error()})
--- a/internal/process/sitecontrol/relay_test.go
+++ b/internal/process/sitecontrol/relay_test.go
@@ -11,7 +11,7 @@
 	"hornbeamwood/internal/node/keys"
 	"hornbeamwood/internal/node/rpc"
 	"hornbeamwood/internal/serve/share"
-	"hornbeamwood/internal/site/board"
+	"hornbeamwood/internal/site/rowtable"
 	"hornbeamwood/internal/site/topic"
 	"hornbeamwood/internal/site/watch"
 )
@@ -43,19 +43,19 @@
 	return newRelay(relayConfig{node: n, self: address, epoch: 1, caughtUp: func() bool { return true }, siteEntries: func() int { return 1 }})
 }
 
-func cacheRow(t *testing.T, born int64) board.Row {
+func cacheRow(t *testing.T, born int64) rowtable.Row {
 	t.Helper()
-	b, err := codec.Marshal(topic.Cache{Born: born, Least: 1024})
+	b, err := codec.Marshal(topic.EngineCache{StartedAt: born, MinPartTokens: 1024})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return board.Row{Topic: topic.Caches, Key: "engine", Value: b}
+	return rowtable.Row{Topic: topic.EngineCaches, Key: "engine", Value: b}
 }
 
 // shownCache returns what the relay shows entries of the engine's memory.
 func (r *relay) shownCache() []byte {
 	rows, _ := r.shown.Since(0)
-	at := slices.IndexFunc(rows, func(x board.Row) bool { return x.Topic == topic.Caches })
+	at := slices.IndexFunc(rows, func(x rowtable.Row) bool { return x.Topic == topic.EngineCaches })
 	if at < 0 {
 		return nil
 	}
@@ -65,14 +65,14 @@
 // Guards against the replica that an engine has left undoing what the next one tells of it.
 func TestEngineMovesToAnotherReplica(t *testing.T) {
 	r := quietRelay(t)
-	r.take("old", watch.Answer{Rows: []board.Row{cacheRow(t, 1)}}, time.Now())
-	r.take("new", watch.Answer{Rows: []board.Row{cacheRow(t, 2)}}, time.Now())
-	r.take("old", watch.Answer{Rows: []board.Row{{Topic: topic.Caches, Key: "engine"}}}, time.Now())
+	r.take("old", watch.Answer{Rows: []rowtable.Row{cacheRow(t, 1)}}, time.Now())
+	r.take("new", watch.Answer{Rows: []rowtable.Row{cacheRow(t, 2)}}, time.Now())
+	r.take("old", watch.Answer{Rows: []rowtable.Row{{Topic: topic.EngineCaches, Key: "engine"}}}, time.Now())
 	if len(r.shownCache()) == 0 {
 		t.Error("the replica that the engine has left undid what the new one told")
 	}
-	r.putCache("engine", topic.Cache{Born: 3})
-	r.take("new", watch.Answer{Rows: []board.Row{{Topic: topic.Caches, Key: "engine"}}}, time.Now())
+	r.putCache("engine", topic.EngineCache{StartedAt: 3})
+	r.take("new", watch.Answer{Rows: []rowtable.Row{{Topic: topic.EngineCaches, Key: "engine"}}}, time.Now())
 	if len(r.shownCache()) == 0 {
 		t.Error("the replica that the engine has left undid what this one knows")
 	}
@@ -89,7 +89,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.take("lost", watch.Answer{Rows: []board.Row{cacheRow(t, 1), {Topic: topic.Loads, Value: b}}}, time.Now())
+	r.take("lost", watch.Answer{Rows: []rowtable.Row{cacheRow(t, 1), {Topic: topic.Loads, Value: b}}}, time.Now())
 	if r.total(share.Sum{}).Loads[7].InFlight != 9 || len(r.shownCache()) == 0 {
 		t.Fatal("what another relay tells doesn't count")
 	}
@@ -106,7 +106,7 @@
 func TestRelayThatWasSilentIsAskedForAllItsHints(t *testing.T) {
 	r := quietRelay(t)
 	r.entries = busyServer{}
-	r.take("silent", watch.Answer{Rows: []board.Row{cacheRow(t, 1)}}, time.Now())
+	r.take("silent", watch.Answer{Rows: []rowtable.Row{cacheRow(t, 1)}}, time.Now())
 	all := []string{"other", "silent"}
 	if p := r.peers(all); !slices.Equal(p, []string{"other"}) {
 		t.Errorf("polled %v while the poll of the silent relay has to begin anew", p)
@@ -141,22 +141,22 @@
 	heard := make(chan struct{})
 	follower := func(i int, take func(a watch.Answer)) {
 		n, _ := testNode(t, keys.Entry)
-		f := watch.NewFollower(watch.FollowerConfig{Method: watch.Hints, Node: n, Watcher: addresses[i], Entry: true, Take: func(_ string, a watch.Answer, _ time.Time) { take(a) }})
+		f := watch.NewFollower(watch.FollowerConfig{Method: watch.Hints, Node: n, Watcher: addresses[i], Entry: true, Apply: func(_ string, a watch.Answer, _ time.Time) { take(a) }})
 		f.Follow(ctx, []string{addresses[i]})
 		if i == 0 {
-			post := share.Post{Entry: "e", Number: 1, Loads: share.Loads{"engine": {InFlight: 3}}}
+			post := share.Report{Entry: "e", Sequence: 1, Loads: share.Loads{"engine": {InFlight: 3}}}
 			if err := rpc.Notify(ctx, n, addresses[0], watch.Loads, post); err != nil {
 				t.Error(err)
 			}
 		}
 	}
-	others := share.NewOthers("another")
+	others := share.NewPeerLoads("another")
 	follower(0, func(watch.Answer) {})
 	follower(1, func(a watch.Answer) {
 		for _, row := range a.Rows {
 			s, err := codec.Unmarshal[share.Sum](row.Value)
 			if err == nil && row.Topic == topic.Loads && others.Load("engine", time.Now()).InFlight == 0 {
-				others.Take(s, time.Now())
+				others.Apply(s, time.Now())
 				if others.Load("engine", time.Now()).InFlight == 3 {
 					close(heard)
 				}
--- a/internal/process/sitecontrol/rollout.go
+++ b/internal/process/sitecontrol/rollout.go
@@ -10,14 +10,14 @@
 	*process
 }
 
-// Named implements weights.Site.
-func (e engines) Named() map[string]int64 {
-	return e.section.Versions()
+// TargetVersions implements weights.Site.
+func (e engines) TargetVersions() map[string]int64 {
+	return e.section.TargetVersions()
 }
 
 // Engines implements weights.Site.
 func (e engines) Engines() []directory.Server {
-	h, ok := e.section.Held()
+	h, ok := e.section.Active()
 	if !ok {
 		return nil
 	}
@@ -42,8 +42,8 @@
 	return e.config.Host.Internal, fencing, ok
 }
 
-// Lost implements weights.Site.
-func (e engines) Lost(fencing uint64) {
+// ObserveFencing implements weights.Site.
+func (e engines) ObserveFencing(fencing uint64) {
 	e.holder.lost(fencing)
 }
 
@@ -56,12 +56,12 @@
 	e.put(topic.Busy, server, true)
 }
 
-// Loaded implements weights.Site.
-func (e engines) Loaded(s directory.Server, model string, version int64) {
+// ReportLoaded implements weights.Site.
+func (e engines) ReportLoaded(s directory.Server, model string, version int64) {
 	e.mu.Lock()
-	e.loaded[s.ID] = topic.Loading{Born: s.Born, Model: model, Version: version}
+	e.loaded[s.ID] = topic.LoadedWeights{StartedAt: s.StartedAt, Model: model, Version: version}
 	e.mu.Unlock()
-	e.put(topic.Loaded, s.ID, topic.Loading{Born: s.Born, Model: model, Version: version})
+	e.put(topic.Weights, s.ID, topic.LoadedWeights{StartedAt: s.StartedAt, Model: model, Version: version})
 }
 
 // Version implements weights.Site.
@@ -71,7 +71,7 @@
 	told, _ := s.Version(model)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if l, ok := e.loaded[s.ID]; ok && l.Born == s.Born && l.Model == model {
+	if l, ok := e.loaded[s.ID]; ok && l.StartedAt == s.StartedAt && l.Model == model {
 		return max(told, l.Version)
 	}
 	return told
--- a/internal/process/sitecontrol/service.go
+++ b/internal/process/sitecontrol/service.go
@@ -17,9 +17,9 @@
 	// PutDocument brings a document into force; nil acknowledges it, also when a higher number is in force.
 	PutDocument(ctx context.Context, d document.Document, source []byte) error
 	// Document returns the document in force, confirmed by a quorum after the call began.
-	Document(ctx context.Context) (section.Held, error)
-	// NameVersion names the weights that the engines shall have.
-	NameVersion(ctx context.Context, model string, version int64) error
+	Document(ctx context.Context) (section.ActiveDocument, error)
+	// SetTargetVersion names the weights that the engines shall have.
+	SetTargetVersion(ctx context.Context, model string, version int64) error
 	// Address is the replica's address for operators and servers.
 	Address() string
 }
--- a/internal/process/sitecontrol/shelf.go
+++ b/internal/process/sitecontrol/shelf.go
@@ -13,7 +13,7 @@
 // shelf is a store that is followed.
 type shelf struct {
 	mu     sync.Mutex
-	stock  *stores.Shelf
+	stock  *stores.StoreInventory
 	cancel context.CancelFunc
 	// listed is when the whole was last read, asked says that the store was asked at all,
 	// up that it answered last; only watch uses them.
@@ -44,14 +44,14 @@
 
 // showParts puts the present state of parts into one row; the caller holds the shelf's lock.
 func (l *librarian) showParts(x *shelf, key string, whole bool, parts []stores.Part) {
-	s := topic.Shelf{Address: x.stock.Address, Listed: time.Now().UnixNano(), Whole: whole}
+	s := topic.StoreSummary{Address: x.stock.Address, Listed: time.Now().UnixNano(), Whole: whole}
 	for _, p := range parts {
-		if tokens, ok := x.stock.Whole(p); ok {
+		if tokens, ok := x.stock.Fetchable(p); ok {
 			s.Parts = append(s.Parts, p.Hash())
 			s.Tokens = append(s.Tokens, uint32(tokens))
 		}
 	}
-	x.shown = max(x.shown, l.put(topic.Shelves, s.Address+"/"+key, s))
+	x.shown = max(x.shown, l.put(topic.StoreSummaries, s.Address+"/"+key, s))
 }
 
 // bySize divides the parts into those that are worth a row at once and the others.
@@ -72,8 +72,8 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, p := range parts {
-		tokens, ok := x.stock.Whole(p)
-		if n := l.showPart(x, p.In(x.stock.Address).Key(), tokens, ok); !ok {
+		tokens, ok := x.stock.Fetchable(p)
+		if n := l.showPart(x, p.AtStore(x.stock.Address).Key(), tokens, ok); !ok {
 			number = max(number, n)
 		}
 	}
--- a/internal/process/sitecontrol/shorts.go
+++ b/internal/process/sitecontrol/shorts.go
@@ -70,7 +70,7 @@
 // servedTogether returns how many of the entries one process tells of parts: the
 // holder all of few, and each relay its share of many.
 func servedTogether(entries, replicas int) int {
-	if entries <= watch.FewEntries {
+	if entries <= watch.MaxSingleRelayEntries {
 		return entries
 	}
 	return (entries + replicas - 1) / max(1, replicas)
--- a/internal/process/siteentry/caches.go
+++ b/internal/process/siteentry/caches.go
@@ -1,8 +1,8 @@
 package siteentry
 
 import (
-	"hornbeamwood/internal/site/board"
 	"hornbeamwood/internal/site/directory"
+	"hornbeamwood/internal/site/rowtable"
 	"hornbeamwood/internal/site/topic"
 )
 
@@ -10,7 +10,7 @@
 //
 // Hints and announcements come by different ways; what is told of a start that hasn't
 // announced itself here is kept until it has, since it is told again only when it changes.
-func (s *site) takeCache(r board.Row) error {
+func (s *site) takeCache(r rowtable.Row) error {
 	if len(r.Value) == 0 {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -18,7 +18,7 @@
 		s.memory.Confirm(r.Key, nil, 0)
 		return nil
 	}
-	return decoded(r, func(c topic.Cache) {
+	return decoded(r, func(c topic.EngineCache) {
 		s.mu.Lock()
 		s.caches[r.Key] = c
 		s.mu.Unlock()
@@ -33,13 +33,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c, ok := s.caches[v.ID]
-	if !ok || c.Born != v.Born {
+	if !ok || c.StartedAt != v.StartedAt {
 		return
 	}
 	if c.Parts == nil {
 		c.Parts = map[uint64]int{}
 	}
-	s.memory.Confirm(v.ID, c.Parts, c.Least)
+	s.memory.Confirm(v.ID, c.Parts, c.MinPartTokens)
 }
 
 // forgetCaches goes back to guessing what lies in engines: no relay tells it any
--- a/internal/process/siteentry/copies.go
+++ b/internal/process/siteentry/copies.go
@@ -42,11 +42,11 @@
 	}
 }
 
-func (h *hints) askLeads(ctx context.Context, relay string, catching bool) ([]watch.Lead, error) {
+func (h *hints) askLeads(ctx context.Context, relay string, catching bool) ([]watch.HolderState, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	return rpc.Call(ctx, h.node, relay, watch.Leads, watch.LeadsPoll{
-		Watcher: h.watcher, Known: h.site.positions(), Catching: catching, Wait: leadsWait,
+	return rpc.Call(ctx, h.node, relay, watch.HolderStates, watch.HolderStatesPoll{
+		Watcher: h.watcher, Positions: h.site.positions(), CatchingUp: catching, Wait: leadsWait,
 	})
 }
 
@@ -88,19 +88,19 @@
 
 // takeLead takes what the relay tells of a holder of the lease, in answer to a poll
 // that was sent at that time.
-func (s *site) takeLead(told watch.Lead, sent time.Time, logger log.Interface) {
+func (s *site) takeLead(told watch.HolderState, sent time.Time, logger log.Interface) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.relayed {
 		return
 	}
 	l, ok := s.copies[told.Address]
-	if !ok || l.copied.Epoch != told.Copy.Epoch {
+	if !ok || l.copied.Epoch != told.Position.Epoch {
 		// All rows of the copy come.
 		l = newLead(told.Epoch)
 		s.copies[told.Address] = l
 	}
-	l.copied = told.Copy
+	l.copied = told.Position
 	// The relay's word is no fresher than its own poll, and its answer may have waited.
 	l.hear(told.Fencing, sent.Add(-told.Age), told.More)
 	for _, r := range told.Rows {
--- a/internal/process/siteentry/copies_test.go
+++ b/internal/process/siteentry/copies_test.go
@@ -4,17 +4,17 @@
 	"testing"
 	"time"
 
-	"hornbeamwood/internal/site/board"
+	"hornbeamwood/internal/site/rowtable"
 	"hornbeamwood/internal/site/stores"
 	"hornbeamwood/internal/site/topic"
 	"hornbeamwood/internal/site/watch"
 )
 
 // relayedLead is a holder of the lease that shows one whole part, as a relay tells of it.
-func relayedLead(t *testing.T, copied watch.Position, age time.Duration) watch.Lead {
-	return watch.Lead{Address: "holder", Epoch: 1, Fencing: 4, Age: age, Copy: copied, Rows: []board.Row{
+func relayedLead(t *testing.T, copied watch.Position, age time.Duration) watch.HolderState {
+	return watch.HolderState{Address: "holder", Epoch: 1, Fencing: 4, Age: age, Position: copied, Rows: []rowtable.Row{
 		row(t, topic.StoresUp, "1:1", true),
-		row(t, topic.Shelves, "1:1/long", shelfOf(true, map[string]int{"q": 400})),
+		row(t, topic.StoreSummaries, "1:1/long", shelfOf(true, map[string]int{"q": 400})),
 		row(t, topic.Busy, "engine", true),
 	}}
 }
@@ -25,7 +25,7 @@
 	s := siteWithStore(t)
 	s.takeDocument(s.Table().Document(), nil)
 	s.setRelayed(true)
-	s.takeLead(relayedLead(t, watch.Position{Epoch: 7, Number: 3}, 0), time.Now(), nil)
+	s.takeLead(relayedLead(t, watch.Position{Epoch: 7, Revision: 3}, 0), time.Now(), nil)
 	return s
 }
 
@@ -40,7 +40,7 @@
 	if s.leader() != "holder" {
 		t.Errorf("uses of parts are told to %q", s.leader())
 	}
-	if p := s.positions()["holder"]; p != (watch.Position{Epoch: 7, Number: 3}) {
+	if p := s.positions()["holder"]; p != (watch.Position{Epoch: 7, Revision: 3}) {
 		t.Errorf("the relay is asked for what comes after %+v", p)
 	}
 }
@@ -48,11 +48,11 @@
 // Guards against fetches of parts that were freed since, by the word of a relay that is cut off from the holder.
 func TestOldRelayedWordIsNotBelieved(t *testing.T) {
 	s := relayedSite(t)
-	s.takeLead(relayedLead(t, watch.Position{Epoch: 7, Number: 3}, stores.StaleAfter), time.Now(), nil)
+	s.takeLead(relayedLead(t, watch.Position{Epoch: 7, Revision: 3}, stores.StaleAfter), time.Now(), nil)
 	if holdsPart(s, "q") {
 		t.Error("a part is fetched by a word that is too old")
 	}
-	s.takeLead(watch.Lead{Address: "holder", Epoch: 1, Fencing: 4, Copy: watch.Position{Epoch: 7, Number: 3}}, time.Now().Add(-stores.StaleAfter), nil)
+	s.takeLead(watch.HolderState{Address: "holder", Epoch: 1, Fencing: 4, Position: watch.Position{Epoch: 7, Revision: 3}}, time.Now().Add(-stores.StaleAfter), nil)
 	if holdsPart(s, "q") {
 		t.Error("the age of a word begins when its answer comes, not when it was asked for")
 	}
@@ -61,7 +61,7 @@
 // Guards against parts of an earlier copy being fetched after another relay has begun a new one.
 func TestNewCopyReplacesTheEarlierOne(t *testing.T) {
 	s := relayedSite(t)
-	l := relayedLead(t, watch.Position{Epoch: 8, Number: 2}, 0)
+	l := relayedLead(t, watch.Position{Epoch: 8, Revision: 2}, 0)
 	l.Rows = l.Rows[:1]
 	s.takeLead(l, time.Now(), nil)
 	if holdsPart(s, "q") || s.Busy("engine") {
@@ -72,9 +72,9 @@
 // Guards against rows that came by one way counting once the other is used, when nobody tells of their changes.
 func TestOneWayCountsAtATime(t *testing.T) {
 	s := relayedSite(t)
-	direct := watch.Answer{Epoch: 1, Fencing: 5, Rows: []board.Row{
+	direct := watch.Answer{Epoch: 1, Fencing: 5, Rows: []rowtable.Row{
 		row(t, topic.StoresUp, "1:1", true),
-		row(t, topic.Shelves, "1:1/long", shelfOf(true, map[string]int{"r": 400})),
+		row(t, topic.StoreSummaries, "1:1/long", shelfOf(true, map[string]int{"r": 400})),
 	}}
 	s.take("holder", direct)
 	if holdsPart(s, "r") || !holdsPart(s, "q") {
@@ -90,7 +90,7 @@
 	if !holdsPart(s, "r") {
 		t.Error("the holder's direct word doesn't count")
 	}
-	s.takeLead(relayedLead(t, watch.Position{Epoch: 7, Number: 9}, 0), time.Now(), nil)
+	s.takeLead(relayedLead(t, watch.Position{Epoch: 7, Revision: 9}, 0), time.Now(), nil)
 	if holdsPart(s, "q") {
 		t.Error("an answer of the relay that came late counts")
 	}
--- a/internal/process/siteentry/documents.go
+++ b/internal/process/siteentry/documents.go
@@ -69,7 +69,7 @@
 	return &documents{
 		documentsConfig: c,
 		shown:           make(chan struct{}, 1),
-		wanted:          topic.Document{Number: none},
+		wanted:          topic.Document{Revision: none},
 		inForce:         none,
 		chunks:          map[chunk.Digest]chunk.Chunk{},
 	}
@@ -79,10 +79,10 @@
 func (d *documents) show(address string, m topic.Document) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if m.Number < d.wanted.Number {
+	if m.Revision < d.wanted.Revision {
 		return
 	}
-	if m.Number > d.wanted.Number {
+	if m.Revision > d.wanted.Revision {
 		d.wanted, d.since, d.sources = m, time.Now(), nil
 	}
 	if !slices.Contains(d.sources, address) {
@@ -100,7 +100,7 @@
 	if asked.After(d.asked) {
 		d.asked = asked
 	}
-	behind := d.wanted.Number > d.inForce
+	behind := d.wanted.Revision > d.inForce
 	d.mu.Unlock()
 	if !behind {
 		d.news(asked)
@@ -143,14 +143,14 @@
 func (d *documents) hasOlder() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.inForce != none && d.inForce < d.wanted.Number
+	return d.inForce != none && d.inForce < d.wanted.Revision
 }
 
 // target returns the newest document that was shown, a replica to ask, and whether it isn't in force yet.
 func (d *documents) target() (m topic.Document, source string, behind bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.wanted.Number <= d.inForce {
+	if d.wanted.Revision <= d.inForce {
 		return d.wanted, "", false
 	}
 	sources := slices.Clone(d.sources)
@@ -172,7 +172,7 @@
 		return true
 	}
 	d.failed = source
-	f := log.Fields{"replica": source, "number": m.Number, "lacking": len(lacking)}
+	f := log.Fields{"replica": source, "number": m.Revision, "lacking": len(lacking)}
 	if err != nil {
 		f["error"] = err.Error()
 	}
@@ -213,7 +213,7 @@
 	if err != nil {
 		// One of them isn't what it should be: all are fetched again.
 		d.chunks = map[chunk.Digest]chunk.Chunk{}
-		event.DocumentNotFetched.Write(d.logger, log.Fields{"replica": d.answered, "number": m.Number, "error": err.Error()})
+		event.DocumentNotFetched.Write(d.logger, log.Fields{"replica": d.answered, "number": m.Revision, "error": err.Error()})
 		return false
 	}
 	d.mu.Lock()
@@ -223,7 +223,7 @@
 		"replica": d.answered, "bytes": d.received, "shown-ms": time.Since(since).Milliseconds(), "reading-ms": time.Since(began).Milliseconds(),
 	})
 	d.chunks, d.received = kept, 0
-	if asked, newest := d.setInForce(m.Number); newest {
+	if asked, newest := d.setInForce(m.Revision); newest {
 		d.news(asked)
 	}
 	return true
@@ -235,7 +235,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.inForce = number
-	return d.asked, d.wanted.Number <= number
+	return d.asked, d.wanted.Revision <= number
 }
 
 // decodeDocument returns the document that the chunks hold.
--- a/internal/process/siteentry/documents_test.go
+++ b/internal/process/siteentry/documents_test.go
@@ -29,7 +29,7 @@
 
 func newTestSource(t *testing.T, number int64, routes int) *testSource {
 	t.Helper()
-	d := document.Document{Number: number}
+	d := document.Document{Revision: number}
 	for i := range routes {
 		d.Routes = append(d.Routes, document.Route{Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d", i*7919), Prefix: fmt.Sprintf("/p%x/", i*104729)})
 	}
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &testSource{names: topic.Document{Number: number, Chunks: chunk.Digests(all)}, held: map[chunk.Digest]chunk.Chunk{}, fails: func() bool { return false }}
+	s := &testSource{names: topic.Document{Revision: number, Chunks: chunk.Digests(all)}, held: map[chunk.Digest]chunk.Chunk{}, fails: func() bool { return false }}
 	for _, c := range all {
 		s.held[c.Digest] = c
 	}
@@ -85,7 +85,7 @@
 		take: func(d document.Document, _ log.Fields) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			e.taken = append(e.taken, d.Number)
+			e.taken = append(e.taken, d.Revision)
 		},
 		news: func(asked time.Time) { e.told <- asked },
 	})
@@ -237,7 +237,7 @@
 				flaky := rand.New(rand.NewPCG(r.Uint64(), 0))
 				s.fails = func() bool { return flaky.IntN(4) == 0 }
 				e.connect(fmt.Sprint("replica-", len(e.sources)), s)
-				last = max(last, s.names.Number)
+				last = max(last, s.names.Revision)
 				time.Sleep(time.Duration(r.IntN(3)) * time.Millisecond)
 			}
 			e.await(t, last)
--- a/internal/process/siteentry/entry.go
+++ b/internal/process/siteentry/entry.go
@@ -22,10 +22,10 @@
 	"hornbeamwood/internal/serve/backend"
 	"hornbeamwood/internal/serve/caller"
 	"hornbeamwood/internal/serve/limit"
-	"hornbeamwood/internal/serve/line"
 	"hornbeamwood/internal/serve/observe"
 	"hornbeamwood/internal/serve/retry"
 	"hornbeamwood/internal/serve/share"
+	"hornbeamwood/internal/serve/waitqueue"
 	"hornbeamwood/internal/site/chunk"
 	"hornbeamwood/internal/site/host"
 	"hornbeamwood/internal/site/parts"
@@ -90,18 +90,18 @@
 	seeds    atomic.Pointer[[]string]
 	running  atomic.Int64
 	conns    *conns
-	line     line.Line
+	line     waitqueue.Queue
 	// stopped is when the process was told to stop, nil before.
 	stopped atomic.Pointer[time.Time]
 }
 
 // New opens the sockets of an entry process.
 func New(c Config) (Process, error) {
-	memory, waiting := parts.NewMemory(), line.New()
+	memory, waiting := parts.NewResidency(), waitqueue.New()
 	watcher := fmt.Sprintf("%s/%d", c.Host.Internal, time.Now().UnixNano())
-	others := share.NewOthers(watcher)
-	p := &process{config: c, site: newSite(c.Logger, memory, others, waiting.ChangedElsewhere), tracker: observe.New(), conns: newConns(), line: waiting, metrics: metrics.NewSet()}
-	p.site.weights = c.Host.Bounds.Weights
+	others := share.NewPeerLoads(watcher)
+	p := &process{config: c, site: newSite(c.Logger, memory, others, waiting.SharedCapacityFreed), tracker: observe.New(), conns: newConns(), line: waiting, metrics: metrics.NewSet()}
+	p.site.weights = c.Host.Bounds.WeightsDeadline
 	p.seeds.Store(&c.Host.Seeds)
 	ring, err := keys.NewOpenRing(c.Host.Internal, keys.Entry)
 	if err != nil {
@@ -113,9 +113,9 @@
 	p.site.documents = newDocuments(documentsConfig{fetch: p.fetch, take: p.site.takeDocument, news: p.site.thaw.heard, logger: c.Logger})
 	p.hints = newHints(p, watcher)
 	p.follower = watch.NewFollower(watch.FollowerConfig{
-		Method: watch.Watch, Node: p.node, Watcher: watcher, Entry: true, Take: p.take, Logger: c.Logger,
-		OneByOne: true,
-		Prepare:  func(_ string, q *watch.Poll) { q.Relayed = p.site.isRelayed() },
+		Method: watch.Watch, Node: p.node, Watcher: watcher, Entry: true, Apply: p.take, Logger: c.Logger,
+		Sequential: true,
+		Prepare:    func(_ string, q *watch.Poll) { q.Relayed = p.site.isRelayed() },
 	})
 	dialled := p.metrics.NewCounter("hornbeamwood_site_dialled_total")
 	p.client = backend.New(backend.Config{
@@ -127,9 +127,9 @@
 	})
 	b := c.Host.Bounds
 	p.budget = retry.NewBudget(retry.Terms{Ratio: b.RetryRatio, Window: b.RetryWindow, Slack: b.RetrySlack})
-	p.limits = limit.New(limit.Config{Random: rand.Float64, Room: waiting.Changed, Logger: c.Logger})
+	p.limits = limit.New(limit.Config{Random: rand.Float64, OnCapacity: waiting.LocalCapacityFreed, Logger: c.Logger})
 	p.handler = caller.New(caller.Config{
-		Zone: c.Host.Zone, Codec: c.Codec, Site: p.site, Client: p.client, Tracker: p.tracker, Memory: memory, Others: others, Line: waiting,
+		Zone: c.Host.Zone, Codec: c.Codec, Site: p.site, Client: p.client, Tracker: p.tracker, Residency: memory, PeerLoads: others, Queue: waiting,
 		Budget: p.budget, Limits: p.limits, Stopping: p.stopping, Refusing: p.refusing, Metrics: p.metrics, Logger: c.Logger,
 	})
 	p.gauges()
@@ -143,7 +143,7 @@
 	p.metrics.NewGauge("hornbeamwood_site_limited_servers", func() float64 { return float64(p.limits.Len()) })
 	p.metrics.NewGauge("hornbeamwood_site_document", func() float64 {
 		if t := p.site.Table(); t != nil {
-			return float64(t.Document().Number)
+			return float64(t.Document().Revision)
 		}
 		return 0
 	})
@@ -223,7 +223,7 @@
 	members := p.site.members.union()
 	p.site.mu.Unlock()
 	for _, m := range members {
-		if ago, ok := p.follower.Heard(m); ok && ago < seedsAfter {
+		if ago, ok := p.follower.SinceAnswer(m); ok && ago < seedsAfter {
 			return members
 		}
 	}
--- a/internal/process/siteentry/entry_count_test.go
+++ b/internal/process/siteentry/entry_count_test.go
@@ -11,7 +11,7 @@
 
 // Guards against entries that each take the whole of what they share right after all replicas were lost.
 func TestReplicasThatJustStartedDontLowerTheCountOfEntries(t *testing.T) {
-	s := newSite(nil, parts.NewMemory(), share.NewOthers("e"), func() {})
+	s := newSite(nil, parts.NewResidency(), share.NewPeerLoads("e"), func() {})
 	s.take("a", watch.Answer{Entries: 6})
 	s.take("b", watch.Answer{Entries: 5})
 	s.take("a", watch.Answer{Entries: 1})
--- a/internal/process/siteentry/hints.go
+++ b/internal/process/siteentry/hints.go
@@ -11,7 +11,7 @@
 	"hornbeamwood/internal/base/wait"
 	"hornbeamwood/internal/node/rpc"
 	"hornbeamwood/internal/serve/share"
-	"hornbeamwood/internal/site/board"
+	"hornbeamwood/internal/site/rowtable"
 	"hornbeamwood/internal/site/topic"
 	"hornbeamwood/internal/site/watch"
 )
@@ -36,7 +36,7 @@
 func newHints(p *process, watcher string) *hints {
 	h := &hints{process: p, watcher: watcher}
 	h.follower = watch.NewFollower(watch.FollowerConfig{
-		Method: watch.Hints, Node: p.node, Watcher: watcher, Entry: true, Take: h.take, Logger: p.config.Logger,
+		Method: watch.Hints, Node: p.node, Watcher: watcher, Entry: true, Apply: h.take, Logger: p.config.Logger,
 	})
 	return h
 }
@@ -77,7 +77,7 @@
 // takeLeave tells the relay of before that this entry has nothing at engines, for it
 // would be counted there and at the next one until the word of before is too old.
 func (h *hints) takeLeave(ctx context.Context, before string) {
-	post, _ := h.site.others.Post(share.Loads{}, true, time.Now())
+	post, _ := h.site.others.NextReport(share.Loads{}, true, time.Now())
 	ctx, cancel := context.WithTimeout(ctx, noticeTimeout)
 	defer cancel()
 	// A relay that is lost counts nothing any more.
@@ -100,7 +100,7 @@
 
 // takeHints takes rows of a relay. What another relay told, or another start of it,
 // counts until the first answer, with which all rows come.
-func (s *site) takeHints(from relayStart, rows []board.Row, logger log.Interface) {
+func (s *site) takeHints(from relayStart, rows []rowtable.Row, logger log.Interface) {
 	if s.changeHinted(from) {
 		s.forgetCaches()
 	}
@@ -121,14 +121,14 @@
 }
 
 // takeHint takes a row of the relay.
-func (s *site) takeHint(r board.Row) error {
+func (s *site) takeHint(r rowtable.Row) error {
 	switch r.Topic {
 	case topic.Loads:
 		defer s.changed()
-		return decoded(r, func(sum share.Sum) { s.others.Take(sum, time.Now()) })
-	case topic.Reads:
+		return decoded(r, func(sum share.Sum) { s.others.Apply(sum, time.Now()) })
+	case topic.Prefills:
 		return decoded(r, s.takeReading)
-	case topic.Caches:
+	case topic.EngineCaches:
 		return s.takeCache(r)
 	}
 	// A topic of a newer replica.
@@ -155,9 +155,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.relayed {
-		return entries > watch.FewEntries/2
+		return entries > watch.MaxSingleRelayEntries/2
 	}
-	return entries > watch.FewEntries
+	return entries > watch.MaxSingleRelayEntries
 }
 
 // chooseRelay returns the address of the replica that this entry exchanges hints
--- a/internal/process/siteentry/lead.go
+++ b/internal/process/siteentry/lead.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"hornbeamwood/internal/serve/choose"
-	"hornbeamwood/internal/site/board"
 	"hornbeamwood/internal/site/document"
+	"hornbeamwood/internal/site/rowtable"
 	"hornbeamwood/internal/site/stores"
 	"hornbeamwood/internal/site/topic"
 	"hornbeamwood/internal/site/watch"
@@ -141,7 +141,7 @@
 	return found
 }
 
-func (s *site) takeLeadRow(address string, r board.Row) error {
+func (s *site) takeLeadRow(address string, r rowtable.Row) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l, ok := s.leads[address]
@@ -152,11 +152,11 @@
 }
 
 // take takes a row on stores and orders.
-func (l *lead) take(r board.Row) error {
+func (l *lead) take(r rowtable.Row) error {
 	switch r.Topic {
 	case topic.Parts:
 		return l.takePart(r)
-	case topic.Shelves:
+	case topic.StoreSummaries:
 		return decoded(r, l.takeShelf)
 	case topic.Epochs:
 		return decoded(r, func(epoch int64) { l.epochs[r.Key] = epoch })
@@ -184,9 +184,9 @@
 	return true
 }
 
-func (s *site) takeLoaded(server string, l topic.Loading) {
-	if known, ok := s.directory.Get(server); ok && known.Born == l.Born {
-		s.Noticed(server, l.Model, l.Version)
+func (s *site) takeLoaded(server string, l topic.LoadedWeights) {
+	if known, ok := s.directory.Get(server); ok && known.StartedAt == l.StartedAt {
+		s.ObserveVersion(server, l.Model, l.Version)
 	}
 }
 
@@ -225,8 +225,8 @@
 	return all
 }
 
-// StoresAge implements caller.Site.
-func (s *site) StoresAge() time.Duration {
+// StoreStateAge implements caller.Site.
+func (s *site) StoreStateAge() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.leading()
@@ -257,7 +257,7 @@
 }
 
 func copyAt(s document.Store, tokenBytes float64) choose.Copy {
-	c := choose.Copy{Address: s.Address, Zone: s.Zone, First: s.First}
+	c := choose.Copy{Address: s.Address, Zone: s.Zone, Latency: s.Latency}
 	if s.LinkRate > 0 {
 		c.PerToken = time.Duration(tokenBytes / s.LinkRate * float64(time.Second))
 	}
@@ -274,11 +274,11 @@
 	return 0
 }
 
-// SaveTo implements caller.Site.
+// SaveTarget implements caller.Site.
 //
 // Each part has an order of stores that all entries work out alike, so that two
 // entries that read a part at the same time save it to one place.
-func (s *site) SaveTo(salt, part string, tokens int) string {
+func (s *site) SaveTarget(salt, part string, tokens int) string {
 	t := s.Table()
 	if t == nil {
 		return ""
@@ -292,10 +292,10 @@
 	}
 	for _, x := range placement(t.Document().Stores, p, tokens) {
 		share := roomShare
-		if tokens >= smallPart && x.First <= fastFirst {
+		if tokens >= smallPart && x.Latency <= fastFirst {
 			share = longShare
 		}
-		if l.up[x.Address] && float64(l.used[stores.ShortAddress(x.Address)]+tokens) <= share*float64(x.Tokens) {
+		if l.up[x.Address] && float64(l.used[stores.ShortAddress(x.Address)]+tokens) <= share*float64(x.CapacityTokens) {
 			s.saving(p, now)
 			return x.Address
 		}
--- a/internal/process/siteentry/lead_parts.go
+++ b/internal/process/siteentry/lead_parts.go
@@ -1,13 +1,13 @@
 package siteentry
 
 import (
-	"hornbeamwood/internal/site/board"
+	"hornbeamwood/internal/site/rowtable"
 	"hornbeamwood/internal/site/stores"
 	"hornbeamwood/internal/site/topic"
 )
 
-func (l *lead) takePart(r board.Row) error {
-	p, err := stores.ParsePlace(r.Key)
+func (l *lead) takePart(r rowtable.Row) error {
+	p, err := stores.ParsePartLocation(r.Key)
 	if err != nil {
 		return err
 	}
@@ -19,21 +19,21 @@
 }
 
 // takeShelf takes what lay in a store when it was listed.
-func (l *lead) takeShelf(s topic.Shelf) {
+func (l *lead) takeShelf(s topic.StoreSummary) {
 	store := stores.ShortAddress(s.Address)
 	if s.Whole && l.used[store] > 0 {
 		for part, held := range l.parts {
 			if _, ok := held[store]; ok {
-				l.remove(stores.Place{Store: store, Part: part})
+				l.remove(stores.PartLocation{Store: store, Part: part})
 			}
 		}
 	}
 	for i := range min(len(s.Parts), len(s.Tokens)) {
-		l.add(stores.Place{Store: store, Part: s.Parts[i]}, int(s.Tokens[i]))
+		l.add(stores.PartLocation{Store: store, Part: s.Parts[i]}, int(s.Tokens[i]))
 	}
 }
 
-func (l *lead) add(p stores.Place, tokens int) {
+func (l *lead) add(p stores.PartLocation, tokens int) {
 	l.remove(p)
 	if l.parts[p.Part] == nil {
 		l.parts[p.Part] = map[uint32]int{}
@@ -42,7 +42,7 @@
 	l.used[p.Store] += tokens
 }
 
-func (l *lead) remove(p stores.Place) {
+func (l *lead) remove(p stores.PartLocation) {
 	l.used[p.Store] -= l.parts[p.Part][p.Store]
 	delete(l.parts[p.Part], p.Store)
 	if len(l.parts[p.Part]) == 0 {
--- a/internal/process/siteentry/lead_test.go
+++ b/internal/process/siteentry/lead_test.go
@@ -9,29 +9,29 @@
 	"hornbeamwood/internal/base/codec"
 	"hornbeamwood/internal/node/boottime"
 	"hornbeamwood/internal/serve/share"
-	"hornbeamwood/internal/site/board"
 	"hornbeamwood/internal/site/document"
 	"hornbeamwood/internal/site/parts"
+	"hornbeamwood/internal/site/rowtable"
 	"hornbeamwood/internal/site/stores"
 	"hornbeamwood/internal/site/topic"
 	"hornbeamwood/internal/site/watch"
 )
 
-func row(t *testing.T, top board.Topic, key string, value any) board.Row {
+func row(t *testing.T, top rowtable.Topic, key string, value any) rowtable.Row {
 	t.Helper()
 	b, err := codec.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return board.Row{Topic: top, Key: key, Value: b}
+	return rowtable.Row{Topic: top, Key: key, Value: b}
 }
 
 func siteWithStore(t *testing.T) *site {
-	s := newSite(nil, parts.NewMemory(), share.NewOthers("e"), func() {})
+	s := newSite(nil, parts.NewResidency(), share.NewPeerLoads("e"), func() {})
 	s.follow = func() {}
-	s.takeDocument(document.Document{Number: 1, Stores: []document.Store{{Address: "1:1", Tokens: 1000}}}, nil)
-	s.take("old", watch.Answer{Epoch: 1, Fencing: 4, CaughtUp: true, Rows: []board.Row{
-		row(t, topic.Parts, stores.Part{Salt: "m/1", ID: "p"}.In("1:1").Key(), 300),
+	s.takeDocument(document.Document{Revision: 1, Stores: []document.Store{{Address: "1:1", CapacityTokens: 1000}}}, nil)
+	s.take("old", watch.Answer{Epoch: 1, Fencing: 4, CaughtUp: true, Rows: []rowtable.Row{
+		row(t, topic.Parts, stores.Part{Salt: "m/1", ID: "p"}.AtStore("1:1").Key(), 300),
 		row(t, topic.StoresUp, "1:1", true),
 		row(t, topic.Epochs, "1:1", int64(7)),
 	}})
@@ -54,11 +54,11 @@
 	if whole() {
 		t.Error("believed without anybody's word that the store still runs")
 	}
-	s.take("other", watch.Answer{Epoch: 1, Rows: []board.Row{row(t, topic.Epochs, "1:1", int64(7))}})
+	s.take("other", watch.Answer{Epoch: 1, Rows: []rowtable.Row{row(t, topic.Epochs, "1:1", int64(7))}})
 	if !whole() {
 		t.Error("not believed though another replica sees the same start")
 	}
-	s.take("other", watch.Answer{Epoch: 1, Rows: []board.Row{row(t, topic.Epochs, "1:1", int64(8))}})
+	s.take("other", watch.Answer{Epoch: 1, Rows: []rowtable.Row{row(t, topic.Epochs, "1:1", int64(8))}})
 	if whole() {
 		t.Error("believed though the store has restarted")
 	}
@@ -67,7 +67,7 @@
 // Two replicas claim the lease, one of them has been superseded and doesn't know.
 func TestHigherFencingNumberCounts(t *testing.T) {
 	s := siteWithStore(t)
-	s.take("new", watch.Answer{Epoch: 1, Fencing: 5, Rows: []board.Row{row(t, topic.StoresUp, "1:1", true), row(t, topic.Epochs, "1:1", int64(7))}})
+	s.take("new", watch.Answer{Epoch: 1, Fencing: 5, Rows: []rowtable.Row{row(t, topic.StoresUp, "1:1", true), row(t, topic.Epochs, "1:1", int64(7))}})
 	s.take("old", watch.Answer{Epoch: 1, Fencing: 4})
 	if len(s.Copies("m/1", "p", 300)) != 0 {
 		t.Error("the superseded holder's word counts")
@@ -78,10 +78,10 @@
 func tieredStores() []document.Store {
 	const fast, slow = 140e9 / 8, 86e9 / 8
 	return []document.Store{
-		{Address: "fast-1", Tokens: 300_000, LinkRate: fast, First: 500 * time.Microsecond},
-		{Address: "fast-2", Tokens: 300_000, LinkRate: fast, First: 500 * time.Microsecond},
-		{Address: "slow-1", Tokens: 900_000, LinkRate: slow, First: 6 * time.Millisecond},
-		{Address: "slow-2", Tokens: 900_000, LinkRate: slow, First: 6 * time.Millisecond},
+		{Address: "fast-1", CapacityTokens: 300_000, LinkRate: fast, Latency: 500 * time.Microsecond},
+		{Address: "fast-2", CapacityTokens: 300_000, LinkRate: fast, Latency: 500 * time.Microsecond},
+		{Address: "slow-1", CapacityTokens: 900_000, LinkRate: slow, Latency: 6 * time.Millisecond},
+		{Address: "slow-2", CapacityTokens: 900_000, LinkRate: slow, Latency: 6 * time.Millisecond},
 	}
 }
 
@@ -95,7 +95,7 @@
 	for i := range parts {
 		p := stores.Part{Salt: "m/1", ID: fmt.Sprint("p", i)}
 		first[placement(tieredStores(), p, 13_000)[0].Address]++
-		if s := placement(tieredStores(), p, 300)[0]; s.First > fastFirst {
+		if s := placement(tieredStores(), p, 300)[0]; s.Latency > fastFirst {
 			t.Fatalf("a short part goes to %s", s.Address)
 		}
 	}
@@ -111,21 +111,21 @@
 // fetched ten times as often and for which a slow store's wait is most of the time.
 func TestLongPartsLeaveRoomForShortOnes(t *testing.T) {
 	s := siteWithStore(t)
-	s.takeDocument(document.Document{Number: 2, Stores: tieredStores()}, nil)
-	var rows []board.Row
+	s.takeDocument(document.Document{Revision: 2, Stores: tieredStores()}, nil)
+	var rows []rowtable.Row
 	for _, x := range tieredStores() {
 		rows = append(rows, row(t, topic.StoresUp, x.Address, true))
-		if x.First <= fastFirst {
-			rows = append(rows, row(t, topic.Parts, stores.Part{Salt: "m/1", ID: "old"}.In(x.Address).Key(), int(longShare*float64(x.Tokens))))
+		if x.Latency <= fastFirst {
+			rows = append(rows, row(t, topic.Parts, stores.Part{Salt: "m/1", ID: "old"}.AtStore(x.Address).Key(), int(longShare*float64(x.CapacityTokens))))
 		}
 	}
 	s.take("old", watch.Answer{Epoch: 1, Fencing: 4, Rows: rows})
 	for i := range 50 {
 		id := fmt.Sprint("p", i)
-		if at := s.SaveTo("m/1", id+"long", 13_000); !strings.HasPrefix(at, "slow") {
+		if at := s.SaveTarget("m/1", id+"long", 13_000); !strings.HasPrefix(at, "slow") {
 			t.Errorf("a long part goes to %q", at)
 		}
-		if at := s.SaveTo("m/1", id, 300); !strings.HasPrefix(at, "fast") {
+		if at := s.SaveTarget("m/1", id, 300); !strings.HasPrefix(at, "fast") {
 			t.Errorf("a short part goes to %q", at)
 		}
 	}
@@ -137,15 +137,15 @@
 // the old word back either.
 func TestNextHolderCountsOnceItHasListedAllStores(t *testing.T) {
 	s := siteWithStore(t)
-	s.takeDocument(document.Document{Number: 2, Stores: []document.Store{{Address: "1:1", Tokens: 1000}, {Address: "2:2", Tokens: 1000}}}, nil)
-	s.take("old", watch.Answer{Epoch: 1, Fencing: 4, Rows: []board.Row{
+	s.takeDocument(document.Document{Revision: 2, Stores: []document.Store{{Address: "1:1", CapacityTokens: 1000}, {Address: "2:2", CapacityTokens: 1000}}}, nil)
+	s.take("old", watch.Answer{Epoch: 1, Fencing: 4, Rows: []rowtable.Row{
 		row(t, topic.StoresUp, "2:2", true),
 	}})
 	whole := func() bool { return len(s.Copies("m/1", "p", 300)) == 1 }
 	if !whole() {
 		t.Fatal("the part isn't known")
 	}
-	s.take("new", watch.Answer{Epoch: 1, Fencing: 5, Rows: []board.Row{row(t, topic.StoresUp, "2:2", true)}})
+	s.take("new", watch.Answer{Epoch: 1, Fencing: 5, Rows: []rowtable.Row{row(t, topic.StoresUp, "2:2", true)}})
 	if !whole() {
 		t.Error("the part is forgotten before the new holder has listed its store")
 	}
@@ -155,7 +155,7 @@
 	if at := s.chooseRelay("z", "e", time.Now()); at != "new" {
 		t.Error("loads and readings still go to the earlier holder")
 	}
-	s.take("new", watch.Answer{Epoch: 1, Fencing: 5, Rows: []board.Row{row(t, topic.StoresUp, "1:1", true)}})
+	s.take("new", watch.Answer{Epoch: 1, Fencing: 5, Rows: []rowtable.Row{row(t, topic.StoresUp, "1:1", true)}})
 	if whole() {
 		t.Error("the new holder has listed the store without the part")
 	}
@@ -183,7 +183,7 @@
 	s := siteWithStore(t)
 	whole := func() bool { return len(s.Copies("m/1", "p", 300)) == 1 }
 	s.thaw.ran.Store(int64(boottime.Now() - stores.StaleAfter))
-	s.Settle(t.Context())
+	s.AwaitFreshState(t.Context())
 	if whole() {
 		t.Error("a word from before the standstill counts as fresh")
 	}
@@ -196,12 +196,12 @@
 // A site has engines and no store. Entries that don't hear of each other there
 // all send to the same engine, and send to engines that load new weights.
 func TestSiteWithoutStores(t *testing.T) {
-	s := newSite(nil, parts.NewMemory(), share.NewOthers("e"), func() {})
+	s := newSite(nil, parts.NewResidency(), share.NewPeerLoads("e"), func() {})
 	s.follow = func() {}
-	adder := share.NewAdder()
-	adder.Take(share.Post{Entry: "o", Number: 1, Loads: share.Loads{"i-1": {InFlight: 3}}}, time.Now())
-	s.takeDocument(document.Document{Number: 1}, nil)
-	s.take("a", watch.Answer{Epoch: 1, Fencing: 4, Rows: []board.Row{
+	adder := share.NewAggregator()
+	adder.Add(share.Report{Entry: "o", Sequence: 1, Loads: share.Loads{"i-1": {InFlight: 3}}}, time.Now())
+	s.takeDocument(document.Document{Revision: 1}, nil)
+	s.take("a", watch.Answer{Epoch: 1, Fencing: 4, Rows: []rowtable.Row{
 		row(t, topic.Busy, "i-2", true),
 	}})
 	if err := s.takeHint(row(t, topic.Loads, "", adder.Sum(time.Now()))); err != nil {
--- a/internal/process/siteentry/members_test.go
+++ b/internal/process/siteentry/members_test.go
@@ -12,7 +12,7 @@
 // late. The entry must go on polling the fourth, or it doesn't hear when that
 // one later leads: prompts are read anew for the rest of the day.
 func TestSlowReplicaDoesNotHideANewOne(t *testing.T) {
-	s := newSite(nil, parts.NewMemory(), share.NewOthers("e"), func() {})
+	s := newSite(nil, parts.NewResidency(), share.NewPeerLoads("e"), func() {})
 	var polled []string
 	s.follow = func() { polled = s.members.union() }
 	s.takeMembers("a", []string{"a", "b", "c", "d"})
--- a/internal/process/siteentry/placement.go
+++ b/internal/process/siteentry/placement.go
@@ -27,9 +27,9 @@
 		small := tokens < smallPart
 		weight := x.LinkRate
 		if small || weight <= 0 {
-			weight = float64(x.Tokens)
+			weight = float64(x.CapacityTokens)
 		}
-		list = append(list, scored{x, !small || x.First <= fastFirst, rendezvous(u, weight)})
+		list = append(list, scored{x, !small || x.Latency <= fastFirst, rendezvous(u, weight)})
 	}
 	slices.SortFunc(list, func(a, b scored) int {
 		switch {
--- a/internal/process/siteentry/readings.go
+++ b/internal/process/siteentry/readings.go
@@ -35,28 +35,28 @@
 	noticeTimeout = 500 * time.Millisecond
 )
 
-// Reads implements caller.Site.
+// ReportPrefill implements caller.Site.
 //
 // Entries don't ask each other before they send a request. Without this notice
 // each of them would have every part read once more, by an engine of its own
 // choice, until the part shows up in a store.
-func (s *site) Reads(salt, part string, tokens int, server string) {
+func (s *site) ReportPrefill(salt, part string, tokens int, server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.readings) < maxReadings {
-		s.readings = append(s.readings, watch.Reading{Salt: salt, Part: part, Tokens: tokens, Server: server})
+		s.readings = append(s.readings, watch.Prefill{Salt: salt, Part: part, Tokens: tokens, Server: server})
 	}
 }
 
 // takeReading remembers what another entry's request has an engine read.
-func (s *site) takeReading(r watch.Reading) {
+func (s *site) takeReading(r watch.Prefill) {
 	t := s.Table()
 	v, ok := s.Server(r.Server)
 	if t == nil || !ok {
 		return
 	}
 	if x, ok := t.Service(v.Service); ok && x.Engine != nil {
-		s.memory.Note(r.Server, r.Salt, r.Part, r.Tokens, x.Engine.Tokens, time.Now())
+		s.memory.Note(r.Server, r.Salt, r.Part, r.Tokens, x.Engine.CapacityTokens, time.Now())
 	}
 }
 
@@ -79,7 +79,7 @@
 }
 
 // pendingReadings returns what is to be told, and the replica to tell it to.
-func (s *site) pendingReadings() ([]watch.Reading, string) {
+func (s *site) pendingReadings() ([]watch.Prefill, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := s.readings
@@ -98,12 +98,12 @@
 
 // tellReadings tells what engines read until ctx ends.
 func (p *process) tellReadings(ctx context.Context) {
-	tell(ctx, p.node, func() time.Duration { return p.scaled(readingsInterval) }, watch.Readings, p.site.pendingReadings)
+	tell(ctx, p.node, func() time.Duration { return p.scaled(readingsInterval) }, watch.Prefills, p.site.pendingReadings)
 }
 
 // tellUses tells which parts were asked for until ctx ends.
 func (p *process) tellUses(ctx context.Context) {
-	tell(ctx, p.node, func() time.Duration { return usesInterval }, watch.Uses, p.site.pendingUses)
+	tell(ctx, p.node, func() time.Duration { return usesInterval }, watch.PartUses, p.site.pendingUses)
 }
 
 // scaled returns an interval for the number of entries that the relay serves, so
@@ -111,7 +111,7 @@
 func (p *process) scaled(d time.Duration) time.Duration {
 	d *= time.Duration(1 + p.hints.served()/entriesPerInterval)
 	if p.site.many() {
-		return max(d, watch.ManyPause)
+		return max(d, watch.LargeSitePause)
 	}
 	return d
 }
@@ -124,7 +124,7 @@
 		wait.For(ctx, interval)
 		quiet++
 		force := time.Duration(quiet)*interval >= loadsRefresh
-		post, changed := p.site.others.Post(p.loads(), force, time.Now())
+		post, changed := p.site.others.NextReport(p.loads(), force, time.Now())
 		address := p.site.hintsFrom()
 		if !changed || address == "" {
 			continue
@@ -140,8 +140,8 @@
 // loads returns what this entry has at each engine, and in its line.
 func (p *process) loads() share.Loads {
 	all := p.tracker.Loads()
-	for urgency, tokens := range p.line.Tokens() {
-		all[share.Line(urgency)] = share.Load{Held: tokens}
+	for urgency, tokens := range p.line.WaitingTokens() {
+		all[share.QueueKey(urgency)] = share.Load{ReservedTokens: tokens}
 	}
 	return all
 }
--- a/internal/process/siteentry/relay_test.go
+++ b/internal/process/siteentry/relay_test.go
@@ -54,9 +54,9 @@
 
 // Guards against an entry keeping to a relay that answers no more.
 func TestLostRelayIsLeft(t *testing.T) {
-	s := newSite(nil, parts.NewMemory(), share.NewOthers("e"), func() {})
+	s := newSite(nil, parts.NewResidency(), share.NewPeerLoads("e"), func() {})
 	s.follow = func() {}
-	s.takeDocument(document.Document{Number: 1}, nil)
+	s.takeDocument(document.Document{Revision: 1}, nil)
 	s.take("a", watch.Answer{Epoch: 1, Fencing: 4})
 	now := time.Now()
 	first := s.chooseRelay("z", "e", now)
--- a/internal/process/siteentry/shelf_test.go
+++ b/internal/process/siteentry/shelf_test.go
@@ -5,15 +5,15 @@
 	"testing"
 
 	"hornbeamwood/internal/base/codec"
-	"hornbeamwood/internal/site/board"
+	"hornbeamwood/internal/site/rowtable"
 	"hornbeamwood/internal/site/stores"
 	"hornbeamwood/internal/site/topic"
 	"hornbeamwood/internal/site/watch"
 )
 
 // shelfOf returns the row of a store that holds so many tokens of each part.
-func shelfOf(whole bool, sizes map[string]int) topic.Shelf {
-	s := topic.Shelf{Address: "1:1", Whole: whole}
+func shelfOf(whole bool, sizes map[string]int) topic.StoreSummary {
+	s := topic.StoreSummary{Address: "1:1", Whole: whole}
 	for id, tokens := range sizes {
 		s.Parts = append(s.Parts, stores.Part{Salt: "m/1", ID: id}.Hash())
 		s.Tokens = append(s.Tokens, uint32(tokens))
@@ -28,19 +28,19 @@
 func TestListOfAStoreReplacesWhatWasToldBefore(t *testing.T) {
 	s := siteWithStore(t)
 	held := func(id string) bool { return len(s.Copies("m/1", id, 300)) == 1 }
-	take := func(rows ...board.Row) {
+	take := func(rows ...rowtable.Row) {
 		s.take("old", watch.Answer{Epoch: 1, Fencing: 4, CaughtUp: true, Rows: rows})
 	}
-	take(row(t, topic.Shelves, "1:1/long", shelfOf(true, map[string]int{"q": 400, "r": 300})))
+	take(row(t, topic.StoreSummaries, "1:1/long", shelfOf(true, map[string]int{"q": 400, "r": 300})))
 	if held("p") || !held("q") || !held("r") {
 		t.Errorf("p %v, q %v, r %v", held("p"), held("q"), held("r"))
 	}
-	take(row(t, topic.Shelves, "1:1/short", shelfOf(false, map[string]int{"s": 300})))
+	take(row(t, topic.StoreSummaries, "1:1/short", shelfOf(false, map[string]int{"s": 300})))
 	if !held("q") || !held("s") {
 		t.Error("the short parts have replaced the long ones")
 	}
-	take(row(t, topic.Parts, stores.Part{Salt: "m/1", ID: "p"}.In("1:1").Key(), 300),
-		board.Row{Topic: topic.Parts, Key: stores.Part{Salt: "m/1", ID: "q"}.In("1:1").Key()})
+	take(row(t, topic.Parts, stores.Part{Salt: "m/1", ID: "p"}.AtStore("1:1").Key(), 300),
+		rowtable.Row{Topic: topic.Parts, Key: stores.Part{Salt: "m/1", ID: "q"}.AtStore("1:1").Key()})
 	if !held("p") || held("q") {
 		t.Error("what came after the list doesn't count")
 	}
--- a/internal/process/siteentry/site.go
+++ b/internal/process/siteentry/site.go
@@ -15,10 +15,10 @@
 	"hornbeamwood/internal/base/event"
 	"hornbeamwood/internal/base/wait"
 	"hornbeamwood/internal/serve/share"
-	"hornbeamwood/internal/site/board"
 	"hornbeamwood/internal/site/directory"
 	"hornbeamwood/internal/site/document"
 	"hornbeamwood/internal/site/parts"
+	"hornbeamwood/internal/site/rowtable"
 	"hornbeamwood/internal/site/stores"
 	"hornbeamwood/internal/site/topic"
 	"hornbeamwood/internal/site/watch"
@@ -57,8 +57,8 @@
 	clock *stores.Clock
 	saves map[stores.Part]time.Time
 	// memory guesses what engines hold; readings waits to be told to the others.
-	memory   parts.Memory
-	readings []watch.Reading
+	memory   parts.Residency
+	readings []watch.Prefill
 	// copies is what the relay tells of holders of the lease; it counts in place of leads while relayed.
 	copies  map[string]*lead
 	relayed bool
@@ -67,15 +67,15 @@
 	// hinted is the start of the relay whose hints were taken last.
 	hinted relayStart
 	// caches is what the relay tells of the memory of engines that haven't announced themselves here yet.
-	caches map[string]topic.Cache
+	caches map[string]topic.EngineCache
 	// others is what the other entries have at each engine; changed is called when it does.
-	others  share.Others
+	others  share.PeerLoads
 	changed func()
 	// uses are the hashes of the parts that were asked for.
 	uses map[uint64]struct{}
 }
 
-func newSite(logger log.Interface, memory parts.Memory, others share.Others, changed func()) *site {
+func newSite(logger log.Interface, memory parts.Residency, others share.PeerLoads, changed func()) *site {
 	s := &site{
 		logger:    logger,
 		memory:    memory,
@@ -95,7 +95,7 @@
 		clock:     stores.NewClock(),
 		saves:     map[stores.Part]time.Time{},
 
-		caches: map[string]topic.Cache{},
+		caches: map[string]topic.EngineCache{},
 		copies: map[string]*lead{},
 		uses:   map[uint64]struct{}{},
 	}
@@ -117,7 +117,7 @@
 	s.entries[address] = a.Entries
 	s.count.saw(slices.Max(slices.Collect(maps.Values(s.entries))), time.Now())
 	s.noteInformed()
-	s.clock.Heard(a.Clock)
+	s.clock.Observe(a.Clock)
 	if a.CaughtUp {
 		s.caughtUp[address] = time.Now()
 	}
@@ -130,7 +130,7 @@
 	}
 }
 
-func (s *site) takeRow(address string, r board.Row) error {
+func (s *site) takeRow(address string, r rowtable.Row) error {
 	switch r.Topic {
 	case topic.DocumentChunks:
 		return decoded(r, func(m topic.Document) { s.documents.show(address, m) })
@@ -142,9 +142,9 @@
 		return decoded(r, s.takeServer)
 	case topic.Members:
 		return decoded(r, func(m []string) { s.takeMembers(address, m) })
-	case topic.Loaded:
-		return decoded(r, func(l topic.Loading) { s.takeLoaded(r.Key, l) })
-	case topic.Parts, topic.Shelves, topic.StoresUp, topic.Busy, topic.Epochs:
+	case topic.Weights:
+		return decoded(r, func(l topic.LoadedWeights) { s.takeLoaded(r.Key, l) })
+	case topic.Parts, topic.StoreSummaries, topic.StoresUp, topic.Busy, topic.Epochs:
 		return s.takeLeadRow(address, r)
 	case topic.Versions:
 		return decoded(r, func(v int64) { s.takeVersion(r.Key, v) })
@@ -164,7 +164,7 @@
 	delete(s.caches, id)
 }
 
-func decoded[T any](r board.Row, take func(T)) error {
+func decoded[T any](r rowtable.Row, take func(T)) error {
 	v, err := codec.Unmarshal[T](r.Value)
 	if err != nil {
 		return err
@@ -182,9 +182,9 @@
 	defer s.changing.Unlock()
 	before := none
 	if t := s.table.Load(); t != nil {
-		before = (*t).Document().Number
+		before = (*t).Document().Revision
 	}
-	if d.Number <= before {
+	if d.Revision <= before {
 		return
 	}
 	t := document.NewTable(d)
@@ -192,7 +192,7 @@
 	if before == none {
 		close(s.first)
 	}
-	f := log.Fields{"number": d.Number, "before": before, "routes": len(d.Routes), "workspaces": len(d.Workspaces)}
+	f := log.Fields{"number": d.Revision, "before": before, "routes": len(d.Routes), "workspaces": len(d.Workspaces)}
 	maps.Copy(f, origin)
 	event.DocumentInForce.Write(s.logger, f)
 	s.mu.Lock()
@@ -204,7 +204,7 @@
 	if _, matters := s.directory.Merge(v); matters {
 		s.confirmCache(v)
 		event.ServerAnnounced.Write(s.logger, log.Fields{
-			"server": v.ID, "service": v.Service, "address": v.Address, "zone": v.Zone, "born": v.Born,
+			"server": v.ID, "service": v.Service, "address": v.Address, "zone": v.Zone, "born": v.StartedAt,
 			"sequence": v.Sequence, "state": v.State.String(), "silent": v.Silent, "home": v.Home,
 		})
 	}
@@ -244,8 +244,8 @@
 // weights for the last time: they begin after those that wait at the engine.
 const beginSlack = 1200 * time.Millisecond
 
-// Outdated implements caller.Site.
-func (s *site) Outdated(model string) bool {
+// VersionExpired implements caller.Site.
+func (s *site) VersionExpired(model string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.weights > 0 && time.Since(s.named[model]) >= s.weights-beginSlack
@@ -267,16 +267,16 @@
 	return document.Limits{}
 }
 
-// Await implements caller.Site.
-func (s *site) Await(ctx context.Context) {
+// AwaitDocument implements caller.Site.
+func (s *site) AwaitDocument(ctx context.Context) {
 	select {
 	case <-s.first:
 	case <-ctx.Done():
 	}
 }
 
-// Settle implements caller.Site.
-func (s *site) Settle(ctx context.Context) {
+// AwaitFreshState implements caller.Site.
+func (s *site) AwaitFreshState(ctx context.Context) {
 	s.thaw.settle(ctx)
 }
 
@@ -329,16 +329,16 @@
 	return server + "\x00" + model
 }
 
-// Noticed implements caller.Site.
-func (s *site) Noticed(server, model string, version int64) {
+// ObserveVersion implements caller.Site.
+func (s *site) ObserveVersion(server, model string, version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := noticeKey(server, model)
 	s.noticed[k] = max(s.noticed[k], version)
 }
 
-// Newest implements caller.Site.
-func (s *site) Newest(model string) int64 {
+// TargetVersion implements caller.Site.
+func (s *site) TargetVersion(model string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.newest[model]
--- a/internal/process/siteentry/site_test.go
+++ b/internal/process/siteentry/site_test.go
@@ -10,15 +10,15 @@
 
 	"hornbeamwood/internal/base/codec"
 	"hornbeamwood/internal/serve/share"
-	"hornbeamwood/internal/site/board"
 	"hornbeamwood/internal/site/directory"
 	"hornbeamwood/internal/site/parts"
+	"hornbeamwood/internal/site/rowtable"
 	"hornbeamwood/internal/site/stores"
 	"hornbeamwood/internal/site/topic"
 )
 
 func quietSite() *site {
-	return newSite(&log.Logger{Handler: discard.New()}, parts.NewMemory(), share.NewOthers("e"), func() {})
+	return newSite(&log.Logger{Handler: discard.New()}, parts.NewResidency(), share.NewPeerLoads("e"), func() {})
 }
 
 // All processes were killed and are back; the operator's document is there before
@@ -27,7 +27,7 @@
 func TestRequestsOfANewProcessWaitForTheFirstServer(t *testing.T) {
 	s := quietSite()
 	announced := time.AfterFunc(30*time.Millisecond, func() {
-		s.takeServer(directory.Server{ID: "a", Born: 1, Service: "x", Address: "a:1"})
+		s.takeServer(directory.Server{ID: "a", StartedAt: 1, Service: "x", Address: "a:1"})
 	})
 	defer announced.Stop()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -49,9 +49,9 @@
 func TestMemoryOfAGoneEngineIsDropped(t *testing.T) {
 	s := quietSite()
 	now := time.Now()
-	s.takeServer(directory.Server{ID: "a", Born: 1, Service: "x", Address: "a:1"})
+	s.takeServer(directory.Server{ID: "a", StartedAt: 1, Service: "x", Address: "a:1"})
 	s.memory.Note("a", "m/1", "part", 3000, 90_000, now)
-	if err := s.takeRow("r", board.Row{Topic: topic.Servers, Key: "a"}); err != nil {
+	if err := s.takeRow("r", rowtable.Row{Topic: topic.Servers, Key: "a"}); err != nil {
 		t.Fatal(err)
 	}
 	if h := s.memory.Holders("m/1", "part", 3000, now); len(h) != 0 {
@@ -63,17 +63,17 @@
 func TestEngineIsToldOfByTheRelay(t *testing.T) {
 	s := quietSite()
 	now := time.Now()
-	s.takeServer(directory.Server{ID: "a", Born: 2, Service: "x", Address: "a:1"})
-	row := func(born int64) board.Row {
+	s.takeServer(directory.Server{ID: "a", StartedAt: 2, Service: "x", Address: "a:1"})
+	row := func(born int64) rowtable.Row {
 		p := stores.Part{Salt: "m/1", ID: "part"}
-		b, err := codec.Marshal(topic.Cache{Born: born, Least: 1024, Parts: map[uint64]int{p.Hash(): 3000}})
+		b, err := codec.Marshal(topic.EngineCache{StartedAt: born, MinPartTokens: 1024, Parts: map[uint64]int{p.Hash(): 3000}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return board.Row{Topic: topic.Caches, Key: "a", Value: b}
+		return rowtable.Row{Topic: topic.EngineCaches, Key: "a", Value: b}
 	}
 	holds := func() bool { return s.memory.Holds("a", "m/1", "part", 3000, now) }
-	take := func(r board.Row) {
+	take := func(r rowtable.Row) {
 		if err := s.takeHint(r); err != nil {
 			t.Fatal(err)
 		}
@@ -87,7 +87,7 @@
 		t.Error("what the relay tells doesn't count")
 	}
 	take(row(3))
-	s.takeServer(directory.Server{ID: "a", Born: 3, Service: "x", Address: "a:1"})
+	s.takeServer(directory.Server{ID: "a", StartedAt: 3, Service: "x", Address: "a:1"})
 	if !holds() {
 		t.Error("what was told before the announcement is lost")
 	}
@@ -95,7 +95,7 @@
 	if holds() {
 		t.Error("the word of a relay that is no more counts for ever")
 	}
-	s.takeHints(relayStart{"another", 1}, []board.Row{row(3)}, nil)
+	s.takeHints(relayStart{"another", 1}, []rowtable.Row{row(3)}, nil)
 	s.takeHints(relayStart{"another", 1}, nil, nil)
 	if !holds() {
 		t.Error("an answer without news undid what the relay told before")
@@ -105,7 +105,7 @@
 		t.Error("the word of an earlier start of the relay counts for ever")
 	}
 	take(row(3))
-	take(board.Row{Topic: topic.Caches, Key: "a"})
+	take(rowtable.Row{Topic: topic.EngineCaches, Key: "a"})
 	if holds() {
 		t.Error("an engine that isn't followed any more is still believed to have the part")
 	}
--- a/internal/serve/caller/await.go
+++ b/internal/serve/caller/await.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"hornbeamwood/internal/base/wait"
-	"hornbeamwood/internal/serve/line"
 	"hornbeamwood/internal/serve/share"
+	"hornbeamwood/internal/serve/waitqueue"
 	"hornbeamwood/internal/site/document"
 )
 
@@ -42,13 +42,13 @@
 		j.awaitStores(ctx)
 	}
 	c, ok := j.chooseEngine(e)
-	if ok && c.fits && j.turn(e, c, j.Others.Lag()) || !ok && !j.engineComes() {
-		j.Line.Direct(j.ask())
+	if ok && c.fits && j.turn(e, c, j.PeerLoads.PropagationDelay()) || !ok && !j.engineComes() {
+		j.Queue.RecordImmediate(j.ask())
 		return c, ok
 	}
-	w := j.Line.Enter(j.ask())
+	w := j.Queue.Enter(j.ask())
 	c, ok = j.wait(ctx, e, w)
-	j.Line.Leave(w, ok)
+	j.Queue.Leave(w, ok)
 	return c, ok
 }
 
@@ -57,28 +57,28 @@
 // A request that can't be served is refused while its caller can still do
 // something else with the time; held until it is too late, it would take the room
 // of others at the last moment and bring nobody anything.
-func (j *job) wait(ctx context.Context, e document.Engine, w *line.Waiter) (choice, bool) {
-	rest, looked := line.LookInterval, time.Now()
+func (j *job) wait(ctx context.Context, e document.Engine, w *waitqueue.Waiter) (choice, bool) {
+	rest, looked := waitqueue.RecheckInterval, time.Now()
 	for {
-		f := j.Line.Forecast(w)
-		if f.Hopeless {
-			j.refusal, j.clear = overloaded, f.Clear
+		f := j.Queue.Forecast(w)
+		if f.Unservable {
+			j.refusal, j.clear = overloaded, f.ClearAfter
 			return choice{}, false
 		}
-		why := j.Line.Wait(ctx, w, rest)
-		if why == line.Ended {
+		why := j.Queue.Wait(ctx, w, rest)
+		if why == waitqueue.ContextDone {
 			return choice{}, false
 		}
-		if why == line.Look && rest != line.TurnPause {
+		if why == waitqueue.Recheck && rest != waitqueue.AdmitBackoff {
 			continue
 		}
 		c, ok := j.chooseEngine(e)
-		rest = line.LookInterval
+		rest = waitqueue.RecheckInterval
 		since := time.Since(looked)
 		looked = looked.Add(since)
 		switch {
 		case ok && c.fits && !j.turn(e, c, since):
-			rest = line.TurnPause
+			rest = waitqueue.AdmitBackoff
 		case ok && c.fits:
 			c.fields["waited-ms"] = time.Since(j.arrived).Milliseconds()
 			return c, true
@@ -90,27 +90,27 @@
 
 // turn returns whether the request takes room that other entries see too, when it last looked that long ago.
 func (j *job) turn(e document.Engine, c choice, since time.Duration) bool {
-	if float64(j.room()) <= smallShare*float64(e.Tokens) {
+	if float64(j.room()) <= smallShare*float64(e.CapacityTokens) {
 		return true
 	}
 	now, wanted := time.Now(), 0
-	own := j.Line.Tokens()
+	own := j.Queue.WaitingTokens()
 	for u := range j.urgency() + 1 {
-		wanted += own[u] + j.Others.Load(share.Line(u), now).Held
+		wanted += own[u] + j.PeerLoads.Load(share.QueueKey(u), now).ReservedTokens
 	}
-	return line.Turn(c.free, wanted, since, j.Others.Lag(), fraction())
+	return waitqueue.Admit(c.free, wanted, since, j.PeerLoads.PropagationDelay(), fraction())
 }
 
 // ask returns what the request waits for.
-func (j *job) ask() line.Ask {
+func (j *job) ask() waitqueue.Item {
 	last := j.deadline
 	if j.route.Silence > 0 {
 		last = wait.Earlier(last, j.arrived.Add(j.route.Silence))
 	}
-	return line.Ask{
-		Rank:   line.Rank{OnTime: j.arrived.Add(j.route.Target - min(expectedFirst, j.route.Target/2)), Urgency: j.urgency()},
+	return waitqueue.Item{
+		Rank:   waitqueue.Rank{OnTime: j.arrived.Add(j.route.LatencyTarget - min(expectedFirst, j.route.LatencyTarget/2)), Urgency: j.urgency()},
 		Tokens: j.room(),
-		Last:   last.Add(-expectedFirst),
+		SendBy: last.Add(-expectedFirst),
 	}
 }
 
@@ -139,7 +139,7 @@
 // the stores are known, so that it loses nothing by waiting for as long as its
 // caller does, and those that come after it find engines that are free.
 func (j *job) awaitStores(ctx context.Context) {
-	last := j.ask().Last
+	last := j.ask().SendBy
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(storesShare*float64(time.Until(last))))
 	defer cancel()
 	j.Site.AwaitStores(ctx)
--- a/internal/serve/caller/await_test.go
+++ b/internal/serve/caller/await_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"hornbeamwood/internal/serve/line"
 	"hornbeamwood/internal/serve/request"
 	"hornbeamwood/internal/serve/share"
+	"hornbeamwood/internal/serve/waitqueue"
 	"hornbeamwood/internal/site/document"
 )
 
@@ -33,7 +33,7 @@
 	now := time.Now()
 	j := &job{
 		gateway: &gateway{Config: Config{Site: s}}, arrived: now, deadline: now.Add(15 * time.Second),
-		route:   document.Route{Target: time.Second, Silence: silence},
+		route:   document.Route{LatencyTarget: time.Second, Silence: silence},
 		request: request.Request{Prompt: &request.Prompt{Tokens: 12_000, Output: 400}},
 	}
 	j.awaitStores(t.Context())
@@ -45,10 +45,10 @@
 // Prompts wait for more room than there is. A short question takes so little of an
 // engine that it goes beside them; in turn with them it would be late for nothing.
 func TestSmallRequestsTakeNoTurns(t *testing.T) {
-	e := document.Engine{Tokens: 96_000}
-	l := line.New()
-	l.Enter(line.Ask{Tokens: 1_000_000})
-	j := &job{gateway: &gateway{Config: Config{Line: l, Others: share.NewOthers("e")}}}
+	e := document.Engine{CapacityTokens: 96_000}
+	l := waitqueue.New()
+	l.Enter(waitqueue.Item{Tokens: 1_000_000})
+	j := &job{gateway: &gateway{Config: Config{Queue: l, PeerLoads: share.NewPeerLoads("e")}}}
 	for tokens, small := range map[int]bool{2_000: true, 12_000: false} {
 		j.request.Prompt = &request.Prompt{Tokens: tokens}
 		if took := j.turn(e, choice{}, time.Second); took != small {
@@ -64,7 +64,7 @@
 	now := time.Now()
 	for _, target := range []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond, time.Second} {
 		j := &job{
-			gateway: &gateway{}, arrived: now, deadline: now.Add(time.Minute), route: document.Route{Target: target},
+			gateway: &gateway{}, arrived: now, deadline: now.Add(time.Minute), route: document.Route{LatencyTarget: target},
 			request: request.Request{Prompt: &request.Prompt{Tokens: 1000}},
 		}
 		if on := j.ask().Rank.OnTime; !on.After(now) || on.After(now.Add(target)) {
--- a/internal/serve/caller/choose.go
+++ b/internal/serve/caller/choose.go
@@ -55,13 +55,13 @@
 		if j.Limits.Wait(s.ID, now) > 0 {
 			continue
 		}
-		t := j.Tracker.Track(s.ID)
-		o := j.Others.Load(s.ID, now)
+		t := j.Tracker.Stats(s.ID)
+		o := j.PeerLoads.Load(s.ID, now)
 		t.InFlight += o.InFlight
-		t.Reading += o.Reading
-		t.Held += o.Held
-		t.RefusedBy = o.Refused
-		all = append(all, choose.Candidate{Server: s, Track: t})
+		t.PrefillTokens += o.PrefillTokens
+		t.ReservedTokens += o.ReservedTokens
+		t.RefusedBy = o.RefusedEntries
+		all = append(all, choose.Candidate{Server: s, Stats: t})
 	}
 	return all
 }
@@ -69,7 +69,7 @@
 func (j *job) choosePlain(ctx context.Context) (choice, bool) {
 	now := time.Now()
 	all := j.candidates(now)
-	at, cost := choose.Plain{Now: now, Zone: j.Zone, Random: random()}.Pick(all)
+	at, cost := choose.PlainPicker{Now: now, Zone: j.Zone, Random: random()}.Pick(all)
 	if at < 0 {
 		return j.awaitLimit(ctx)
 	}
@@ -78,13 +78,13 @@
 		server:   c.Server,
 		dispatch: j.dispatch(now),
 		fields: log.Fields{
-			"kind": "plain", "cost": cost, "candidates": len(all), "in-flight": c.Track.InFlight, "failures": c.Track.Failures,
-			"load-age-ms": age(c.Track, now),
+			"kind": "plain", "cost": cost, "candidates": len(all), "in-flight": c.Stats.InFlight, "failures": c.Stats.Failures,
+			"load-age-ms": age(c.Stats, now),
 		},
 	}, true
 }
 
-func age(t observe.Track, now time.Time) int64 {
+func age(t observe.ServerStats, now time.Time) int64 {
 	if t.Reported.IsZero() {
 		return -1
 	}
@@ -108,7 +108,7 @@
 // weights that they named; an engine that gets them late must not break it.
 func (j *job) outdated(version int64) bool {
 	model := j.request.Prompt.Model
-	return version < j.Site.Newest(model) && j.Site.Outdated(model)
+	return version < j.Site.TargetVersion(model) && j.Site.VersionExpired(model)
 }
 
 // chooseEngine weighs the engines of each version by themselves: parts that
@@ -116,7 +116,7 @@
 func (j *job) chooseEngine(e document.Engine) (choice, bool) {
 	now := time.Now()
 	prompt := j.request.Prompt
-	newest := j.Site.Newest(prompt.Model)
+	newest := j.Site.TargetVersion(prompt.Model)
 	groups := map[int64][]choose.Candidate{}
 	for _, c := range j.candidates(now) {
 		if j.Site.Busy(c.Server.ID) {
@@ -133,26 +133,26 @@
 	for v, all := range groups {
 		p := j.engine(e, v, now).Pick(all)
 		if v < newest {
-			p.Millis += olderMillis
+			p.CostMillis += olderMillis
 		}
-		if p.At < 0 || fits && !p.Fits || fits == p.Fits && best >= 0 && p.Millis >= best {
+		if p.Index < 0 || fits && !p.Fits || fits == p.Fits && best >= 0 && p.CostMillis >= best {
 			continue
 		}
-		best, fits = p.Millis, p.Fits
-		found = j.engineChoice(e, v, all[p.At], p, now)
-		found.free = p.Free
+		best, fits = p.CostMillis, p.Fits
+		found = j.engineChoice(e, v, all[p.Index], p, now)
+		found.free = p.FreeTokens
 		found.fields["candidates"], found.fields["newest"] = len(all), newest
 	}
 	found.fits = fits
 	return found, best >= 0
 }
 
-func (j *job) engine(e document.Engine, version int64, now time.Time) choose.Engine {
+func (j *job) engine(e document.Engine, version int64, now time.Time) choose.EnginePicker {
 	salt := j.salt(version)
-	return choose.Engine{
-		Now: now, Zone: j.Zone, Parts: j.parts(salt, e, now), Output: j.request.Prompt.Output, Capacity: e.Tokens, Random: random(),
-		Stride: e.Stride, Gap: j.route.Gap, Entries: j.Site.Entries(), Late: now.After(j.ask().Rank.OnTime),
-		Holds: func(server string, p choose.Part) bool { return j.Memory.Holds(server, p.Salt, p.ID, p.Tokens, now) },
+	return choose.EnginePicker{
+		Now: now, Zone: j.Zone, Parts: j.parts(salt, e, now), Output: j.request.Prompt.Output, Capacity: e.CapacityTokens, Random: random(),
+		TokensPerEvent: e.TokensPerEvent, EventGap: j.route.EventGapTarget, Entries: j.Site.Entries(), PastTarget: now.After(j.ask().Rank.OnTime),
+		Holds: func(server string, p choose.Part) bool { return j.Residency.Holds(server, p.Salt, p.ID, p.Tokens, now) },
 	}
 }
 
@@ -189,13 +189,13 @@
 func (j *job) copies(salt string, p request.Part, e document.Engine, now time.Time) []choose.Copy {
 	all := j.Site.Copies(salt, p.ID, p.Tokens)
 	for i := range all {
-		all[i].Queued = j.Tracker.Fetching(all[i].Address) + j.Others.Load(all[i].Address, now).Reading
+		all[i].QueuedTokens = j.Tracker.FetchTokens(all[i].Address) + j.PeerLoads.Load(all[i].Address, now).PrefillTokens
 	}
 	if e.LinkRate <= 0 {
 		return all
 	}
 	stored := len(all) > 0
-	for _, h := range j.Memory.Holders(salt, p.ID, p.Tokens, now) {
+	for _, h := range j.Residency.Holders(salt, p.ID, p.Tokens, now) {
 		s, ok := j.Site.Server(h.Server)
 		guessed := !h.Since.IsZero()
 		if !ok || s.Silent || guessed && (stored || now.Sub(h.Since) < readBy) {
@@ -203,8 +203,8 @@
 		}
 		all = append(all, choose.Copy{
 			Server: s.ID, Address: s.Address, Zone: s.Zone,
-			PerToken: time.Duration(e.TokenBytes / e.LinkRate * float64(time.Second)),
-			Queued:   j.Tracker.Fetching(s.Address) + j.Others.Load(s.Address, now).Reading,
+			PerToken:     time.Duration(e.TokenBytes / e.LinkRate * float64(time.Second)),
+			QueuedTokens: j.Tracker.FetchTokens(s.Address) + j.PeerLoads.Load(s.Address, now).PrefillTokens,
 		})
 	}
 	return all
@@ -219,13 +219,13 @@
 	return choice{
 		server:   c.Server,
 		dispatch: d,
-		attempt:  observe.Attempt{Reading: p.Missing, Held: held, Fetching: fetching(p, prompt.Parts)},
+		attempt:  observe.Attempt{PrefillTokens: p.PrefillTokens, ReservedTokens: held, FetchTokens: fetching(p, prompt.Parts)},
 		prepare:  func(d *request.Dispatch) { j.prepare(d, version) },
-		noted:    func() { j.noteParts(c.Server, salt, e, p.From, now) },
+		noted:    func() { j.noteParts(c.Server, salt, e, p.Sources, now) },
 		describe: func(f log.Fields) { j.describeLongest(f, salt, e, now) },
 		fields: log.Fields{
-			"kind": "engine", "cost-ms": p.Millis, "missing": p.Missing, "from": p.From, "tokens": prompt.Tokens, "version": version,
-			"in-flight": c.Track.InFlight, "reading": c.Track.Reading, "held": c.Track.Held, "load-age-ms": age(c.Track, now),
+			"kind": "engine", "cost-ms": p.CostMillis, "missing": p.PrefillTokens, "from": p.Sources, "tokens": prompt.Tokens, "version": version,
+			"in-flight": c.Stats.InFlight, "reading": c.Stats.PrefillTokens, "held": c.Stats.ReservedTokens, "load-age-ms": age(c.Stats, now),
 		},
 	}
 }
@@ -246,7 +246,7 @@
 	f["part"] = strconv.FormatUint(stores.Part{Salt: salt, ID: p.ID}.Hash(), 16)
 	f["part-place"], f["part-tokens"], f["places"] = at, p.Tokens, len(j.copies(salt, p, e, now))
 	f["stores-age-ms"] = -1
-	if age := j.Site.StoresAge(); age >= 0 {
+	if age := j.Site.StoreStateAge(); age >= 0 {
 		f["stores-age-ms"] = age.Milliseconds()
 	}
 }
@@ -255,7 +255,7 @@
 func fetching(p choose.Plan, parts []request.Part) map[string]int {
 	all := map[string]int{}
 	for i, part := range parts {
-		if p.Fetch[i] != "" && p.From[i] != 'm' {
+		if p.Fetch[i] != "" && p.Sources[i] != 'm' {
 			all[p.Fetch[i]] += part.Tokens
 		}
 	}
@@ -265,7 +265,7 @@
 // prepare adds what is settled only when the request goes out: the stores that
 // get its parts, and until when it may fetch.
 func (j *job) prepare(d *request.Dispatch, version int64) {
-	if d.Until = j.Site.FetchUntil(); d.Until == 0 {
+	if d.FetchDeadline = j.Site.FetchUntil(); d.FetchDeadline == 0 {
 		d.Fetch = nil
 	}
 	parts := j.request.Prompt.Parts
@@ -275,7 +275,7 @@
 	d.Save = make([]string, len(parts))
 	for i, p := range parts[:max(0, len(parts)-1)] {
 		if d.Fetch == nil || d.Fetch[i] == "" {
-			d.Save[i] = j.Site.SaveTo(d.Salt, p.ID, p.Tokens)
+			d.Save[i] = j.Site.SaveTarget(d.Salt, p.ID, p.Tokens)
 		}
 	}
 }
@@ -286,9 +286,9 @@
 func (j *job) noteParts(s directory.Server, salt string, e document.Engine, from string, now time.Time) {
 	parts := j.request.Prompt.Parts
 	for i, p := range parts[:max(0, len(parts)-1)] {
-		j.Memory.Note(s.ID, salt, p.ID, p.Tokens, e.Tokens, now)
+		j.Residency.Note(s.ID, salt, p.ID, p.Tokens, e.CapacityTokens, now)
 		if from[i] == 'r' && p.Tokens >= longPart {
-			j.Site.Reads(salt, p.ID, p.Tokens, s.ID)
+			j.Site.ReportPrefill(salt, p.ID, p.Tokens, s.ID)
 		}
 	}
 }
--- a/internal/serve/caller/config.go
+++ b/internal/serve/caller/config.go
@@ -11,11 +11,11 @@
 	"hornbeamwood/internal/serve/backend"
 	"hornbeamwood/internal/serve/choose"
 	"hornbeamwood/internal/serve/limit"
-	"hornbeamwood/internal/serve/line"
 	"hornbeamwood/internal/serve/observe"
 	"hornbeamwood/internal/serve/request"
 	"hornbeamwood/internal/serve/retry"
 	"hornbeamwood/internal/serve/share"
+	"hornbeamwood/internal/serve/waitqueue"
 	"hornbeamwood/internal/site/directory"
 	"hornbeamwood/internal/site/document"
 	"hornbeamwood/internal/site/parts"
@@ -35,10 +35,10 @@
 type Site interface {
 	// Table returns the document in force, nil while there is none.
 	Table() document.Table
-	// Await returns once there is a document, or ctx ends.
-	Await(ctx context.Context)
-	// Settle returns at once, but in a process that has just stood still once it has heard news, or a moment later.
-	Settle(ctx context.Context)
+	// AwaitDocument returns once there is a document, or ctx ends.
+	AwaitDocument(ctx context.Context)
+	// AwaitFreshState returns at once, but in a process that has just stood still once it has heard news, or a moment later.
+	AwaitFreshState(ctx context.Context)
 	// AwaitServers returns once a server of the service is known, or ctx ends; at once when the process has run for a while.
 	AwaitServers(ctx context.Context, service string)
 	// AwaitStores returns once it is known what lies in the stores, or ctx ends; at once when the process has run for a while.
@@ -47,24 +47,24 @@
 	Servers(service string) []directory.Server
 	// Server returns the newest incarnation of id while it is ready.
 	Server(id string) (directory.Server, bool)
-	// Reads tells the other entries that the engine reads a part that was nowhere else.
-	Reads(salt, part string, tokens int, server string)
+	// ReportPrefill tells the other entries that the engine reads a part that was nowhere else.
+	ReportPrefill(salt, part string, tokens int, server string)
 	// Version returns the version of the model that the server has, zero when it isn't known.
 	Version(s directory.Server, model string) int64
-	// Noticed tells the version that a server's answer showed.
-	Noticed(server, model string, version int64)
-	// Newest returns the version that was named for the model, zero for none.
-	Newest(model string) int64
-	// Outdated returns whether new weights of the model were named so long ago that no request may be sent to older ones.
-	Outdated(model string) bool
+	// ObserveVersion tells the version that a server's answer showed.
+	ObserveVersion(server, model string, version int64)
+	// TargetVersion returns the version that was named for the model, zero for none.
+	TargetVersion(model string) int64
+	// VersionExpired returns whether new weights of the model were named so long ago that no request may be sent to older ones.
+	VersionExpired(model string) bool
 	// Busy returns whether the server carries out an order that keeps it from taking requests for the model.
 	Busy(server string) bool
 	// Copies returns the stores that have the part of that size whole.
 	Copies(salt, part string, tokens int) []choose.Copy
-	// SaveTo returns the store that shall have the part, empty for none.
-	SaveTo(salt, part string, tokens int) string
-	// StoresAge returns how old the word is by which Copies goes, negative when there is none.
-	StoresAge() time.Duration
+	// SaveTarget returns the store that shall have the part, empty for none.
+	SaveTarget(salt, part string, tokens int) string
+	// StoreStateAge returns how old the word is by which Copies goes, negative when there is none.
+	StoreStateAge() time.Duration
 	// FetchUntil returns the servers' clock time until which a fetch that begins now may last, zero when it can't be told.
 	FetchUntil() int64
 	// Entries returns how many entries share the servers.
@@ -83,12 +83,12 @@
 	Client backend.Client
 	// Tracker follows attempts.
 	Tracker observe.Tracker
-	// Memory guesses what engines hold.
-	Memory parts.Memory
-	// Others is what the other entries have at each engine.
-	Others share.Others
-	// Line holds the requests that wait for room.
-	Line line.Line
+	// Residency guesses what engines hold.
+	Residency parts.Residency
+	// PeerLoads is what the other entries have at each engine.
+	PeerLoads share.PeerLoads
+	// Queue holds the requests that wait for room.
+	Queue waitqueue.Queue
 	// Budget grants repeats.
 	Budget retry.Budget
 	// Limits are those that servers name.
--- a/internal/serve/caller/fake_test.go
+++ b/internal/serve/caller/fake_test.go
@@ -18,11 +18,11 @@
 	"hornbeamwood/internal/serve/backend"
 	"hornbeamwood/internal/serve/choose"
 	"hornbeamwood/internal/serve/limit"
-	"hornbeamwood/internal/serve/line"
 	"hornbeamwood/internal/serve/observe"
 	"hornbeamwood/internal/serve/request"
 	"hornbeamwood/internal/serve/retry"
 	"hornbeamwood/internal/serve/share"
+	"hornbeamwood/internal/serve/waitqueue"
 	"hornbeamwood/internal/site/directory"
 	"hornbeamwood/internal/site/document"
 	"hornbeamwood/internal/site/parts"
@@ -37,7 +37,7 @@
 		Key: q.Header.Get("A-Key"), Header: q.Header.Clone(),
 	}
 	if n, err := strconv.Atoi(q.Header.Get("A-Patience")); err == nil {
-		r.Patience = time.Duration(n) * time.Millisecond
+		r.CallerTimeout = time.Duration(n) * time.Millisecond
 	}
 	if q.Header.Get("A-Prompt") != "" {
 		r.Prompt = &request.Prompt{Model: "m", Tokens: 100, Output: 10, Parts: []request.Part{{ID: "own", Tokens: 100}}}
@@ -97,31 +97,31 @@
 	return max(1, s.version)
 }
 
-func (s *fakeSite) Newest(string) int64 {
+func (s *fakeSite) TargetVersion(string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return max(1, s.newest)
 }
 
-func (s *fakeSite) Outdated(string) bool {
+func (s *fakeSite) VersionExpired(string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.outdated
 }
 
-func (s *fakeSite) Table() document.Table                    { return s.table }
-func (s *fakeSite) Await(context.Context)                    {}
-func (s *fakeSite) Settle(context.Context)                   {}
-func (s *fakeSite) AwaitStores(context.Context)              {}
-func (s *fakeSite) StoresAge() time.Duration                 { return 0 }
-func (s *fakeSite) AwaitServers(context.Context, string)     {}
-func (s *fakeSite) Server(string) (directory.Server, bool)   { return directory.Server{}, false }
-func (s *fakeSite) Reads(string, string, int, string)        {}
-func (s *fakeSite) Noticed(string, string, int64)            {}
-func (s *fakeSite) Copies(string, string, int) []choose.Copy { return nil }
-func (s *fakeSite) SaveTo(string, string, int) string        { return "" }
-func (s *fakeSite) FetchUntil() int64                        { return 0 }
-func (s *fakeSite) Entries() int                             { return 1 }
+func (s *fakeSite) Table() document.Table                     { return s.table }
+func (s *fakeSite) AwaitDocument(context.Context)             {}
+func (s *fakeSite) AwaitFreshState(context.Context)           {}
+func (s *fakeSite) AwaitStores(context.Context)               {}
+func (s *fakeSite) StoreStateAge() time.Duration              { return 0 }
+func (s *fakeSite) AwaitServers(context.Context, string)      {}
+func (s *fakeSite) Server(string) (directory.Server, bool)    { return directory.Server{}, false }
+func (s *fakeSite) ReportPrefill(string, string, int, string) {}
+func (s *fakeSite) ObserveVersion(string, string, int64)      {}
+func (s *fakeSite) Copies(string, string, int) []choose.Copy  { return nil }
+func (s *fakeSite) SaveTarget(string, string, int) string     { return "" }
+func (s *fakeSite) FetchUntil() int64                         { return 0 }
+func (s *fakeSite) Entries() int                              { return 1 }
 
 // script answers one request on a connection and returns whether the connection goes on.
 type script func(t *standin, c net.Conn, q *http.Request) bool
@@ -167,13 +167,13 @@
 	servers []*standin
 	front   *httptest.Server
 	site    *fakeSite
-	line    line.Line
+	line    waitqueue.Queue
 	config  Config
 }
 
 func newBench(t *testing.T, scripts ...script) *bench {
 	t.Helper()
-	b := &bench{site: &fakeSite{}, line: line.New()}
+	b := &bench{site: &fakeSite{}, line: waitqueue.New()}
 	for i, s := range scripts {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -193,18 +193,18 @@
 		b.servers = append(b.servers, x)
 		// The first server is the nearest, so that it is asked first.
 		zone := "z" + strconv.Itoa(i)
-		b.site.servers = append(b.site.servers, directory.Server{ID: fmt.Sprint("s", i), Born: 1, Address: l.Addr().String(), Zone: zone, Slots: 100 / (i + 1)})
+		b.site.servers = append(b.site.servers, directory.Server{ID: fmt.Sprint("s", i), StartedAt: 1, Address: l.Addr().String(), Zone: zone, Slots: 100 / (i + 1)})
 	}
 	shares := []document.Share{{Service: "s", Weight: 1}}
 	b.site.table = document.NewTable(document.Document{
-		Number:   1,
-		Services: []document.Service{{Name: "s"}, {Name: "e", Engine: &document.Engine{Slots: 4, Tokens: 1000}}},
+		Revision: 1,
+		Services: []document.Service{{Name: "s"}, {Name: "e", Engine: &document.Engine{Slots: 4, CapacityTokens: 1000}}},
 		Routes: []document.Route{
-			{Name: "read", Host: "h", Prefix: "/read/", Kind: document.Idempotent, Timeout: 2 * time.Second, Target: 100 * time.Millisecond, MaxAttempts: 2, Shares: shares},
-			{Name: "once", Host: "h", Prefix: "/once/", Kind: document.NonIdempotent, Timeout: 2 * time.Second, Target: 100 * time.Millisecond, MaxAttempts: 1, Shares: shares},
-			{Name: "resume", Host: "h", Prefix: "/resume/", Kind: document.Streaming, Resumable: true, Timeout: 5 * time.Second, Target: time.Second, MaxAttempts: 2, Shares: shares},
-			{Name: "stream", Host: "h", Prefix: "/stream/", Kind: document.Streaming, Timeout: 5 * time.Second, Target: time.Second, MaxAttempts: 1, Shares: shares},
-			{Name: "prompt", Host: "h", Prefix: "/prompt/", Kind: document.Streaming, Prompts: true, Timeout: 3 * time.Second, Target: time.Second, MaxAttempts: 1, Shares: []document.Share{{Service: "e", Weight: 1}}},
+			{Name: "read", Host: "h", Prefix: "/read/", Kind: document.Idempotent, Timeout: 2 * time.Second, LatencyTarget: 100 * time.Millisecond, MaxAttempts: 2, Shares: shares},
+			{Name: "once", Host: "h", Prefix: "/once/", Kind: document.NonIdempotent, Timeout: 2 * time.Second, LatencyTarget: 100 * time.Millisecond, MaxAttempts: 1, Shares: shares},
+			{Name: "resume", Host: "h", Prefix: "/resume/", Kind: document.Streaming, Resumable: true, Timeout: 5 * time.Second, LatencyTarget: time.Second, MaxAttempts: 2, Shares: shares},
+			{Name: "stream", Host: "h", Prefix: "/stream/", Kind: document.Streaming, Timeout: 5 * time.Second, LatencyTarget: time.Second, MaxAttempts: 1, Shares: shares},
+			{Name: "prompt", Host: "h", Prefix: "/prompt/", Kind: document.Streaming, Prompts: true, Timeout: 3 * time.Second, LatencyTarget: time.Second, MaxAttempts: 1, Shares: []document.Share{{Service: "e", Weight: 1}}},
 		},
 		Limits: document.Limits{BodyBytes: 1 << 20},
 	})
@@ -214,10 +214,10 @@
 	t.Cleanup(client.Close)
 	never := func() bool { return false }
 	b.config = Config{
-		Zone: "z0", Codec: fakeCodec{}, Site: b.site, Client: client, Tracker: observe.New(), Memory: parts.NewMemory(),
-		Others: share.NewOthers("e"), Line: b.line,
+		Zone: "z0", Codec: fakeCodec{}, Site: b.site, Client: client, Tracker: observe.New(), Residency: parts.NewResidency(),
+		PeerLoads: share.NewPeerLoads("e"), Queue: b.line,
 		Budget:   retry.NewBudget(retry.Terms{Ratio: 1, Window: time.Second, Slack: 100}),
-		Limits:   limit.New(limit.Config{Random: func() float64 { return 0 }, Room: b.line.Changed}),
+		Limits:   limit.New(limit.Config{Random: func() float64 { return 0 }, OnCapacity: b.line.LocalCapacityFreed}),
 		Stopping: never, Refusing: never, Metrics: metrics.NewSet(),
 	}
 	b.front = httptest.NewServer(New(b.config))
--- a/internal/serve/caller/gateway.go
+++ b/internal/serve/caller/gateway.go
@@ -64,7 +64,7 @@
 	if table == nil {
 		return j.reject(http.StatusServiceUnavailable, "no-document", retrySoon)
 	}
-	j.number = table.Document().Number
+	j.number = table.Document().Revision
 	if most := table.Document().Limits.HeaderBytes; most > 0 && headerBytes(q) > most {
 		return j.reject(http.StatusRequestHeaderFieldsTooLarge, "headers-too-large", 0)
 	}
@@ -79,8 +79,8 @@
 	}
 	j.service, _ = table.Service(route.ServiceAt(fraction()))
 	patience := defaultPatience
-	if r.Patience > 0 {
-		patience = r.Patience
+	if r.CallerTimeout > 0 {
+		patience = r.CallerTimeout
 	}
 	j.deadline = j.arrived.Add(min(patience, route.Timeout))
 	return j.readBody(q, table.Document().Limits)
@@ -109,12 +109,12 @@
 		return t
 	}
 	wait := documentWait
-	if p := j.request.Patience; p > 0 {
+	if p := j.request.CallerTimeout; p > 0 {
 		wait = min(wait, p/4)
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	j.Site.Await(ctx)
+	j.Site.AwaitDocument(ctx)
 	return j.Site.Table()
 }
 
@@ -184,7 +184,7 @@
 // dispatch returns what every server is told.
 func (j *job) dispatch(now time.Time) request.Dispatch {
 	return request.Dispatch{
-		Left:      j.deadline.Sub(now),
+		Remaining: j.deadline.Sub(now),
 		Workspace: j.workspace.Name,
 		Urgency:   -1,
 		LastEvent: j.resumeAt(),
--- a/internal/serve/caller/gateway_test.go
+++ b/internal/serve/caller/gateway_test.go
@@ -278,7 +278,7 @@
 	b := newBench(t, slow, slow)
 	c := b.config
 	c.Budget = retry.NewBudget(retry.Terms{Window: time.Hour})
-	for c.Budget.Take("s", time.Now()) {
+	for c.Budget.Spend("s", time.Now()) {
 	}
 	b.front.Config.Handler = New(c)
 	if got := b.ask(t, "r1", http.MethodGet, "/read/x"); got.status != http.StatusOK || got.body != "slow" {
@@ -373,7 +373,7 @@
 	status := b.prompt(t)
 	b.waitInLine(t)
 	b.site.set(false, false)
-	b.line.Changed()
+	b.line.LocalCapacityFreed()
 	if got := <-status; got != http.StatusOK {
 		t.Errorf("got %d", got)
 	}
@@ -388,7 +388,7 @@
 	status := b.prompt(t)
 	b.waitInLine(t)
 	b.site.set(true, true)
-	b.line.Changed()
+	b.line.LocalCapacityFreed()
 	if got := <-status; got != http.StatusServiceUnavailable {
 		t.Errorf("got %d", got)
 	}
@@ -397,7 +397,7 @@
 // panicking is a site with a defect.
 type panicking struct{ *fakeSite }
 
-func (panicking) Settle(context.Context) { panic("a defect") }
+func (panicking) AwaitFreshState(context.Context) { panic("a defect") }
 
 // A defect ends the handling of a request. The caller must not be left with a
 // closed connection and no word; what it gets promises nothing, since nobody
@@ -429,7 +429,7 @@
 		t.Fatalf("%d requests went to old weights", n)
 	}
 	set(2, true)
-	b.line.Changed()
+	b.line.LocalCapacityFreed()
 	if got := <-status; got != http.StatusOK {
 		t.Errorf("got %d", got)
 	}
--- a/internal/serve/caller/job.go
+++ b/internal/serve/caller/job.go
@@ -73,7 +73,7 @@
 // be stopped when the caller leaves; gone ends when it has left.
 func (j *job) serve(ctx, gone context.Context) {
 	j.verdict = verdict.NotRun
-	j.Budget.Request(j.service.Name, j.arrived)
+	j.Budget.RecordRequest(j.service.Name, j.arrived)
 	// A caller that stops reading would hold the handler and its memory for ever.
 	_ = http.NewResponseController(j.writer).SetWriteDeadline(j.deadline.Add(writeSlack))
 	for {
@@ -81,7 +81,7 @@
 			j.abandon()
 			return
 		}
-		j.Site.Settle(ctx)
+		j.Site.AwaitFreshState(ctx)
 		c, ok := j.choose(ctx)
 		if gone.Err() != nil {
 			if c.taken {
@@ -136,7 +136,7 @@
 	case j.sends == 0:
 		return true
 	}
-	return j.Budget.Take(j.service.Name, time.Now())
+	return j.Budget.Spend(j.service.Name, time.Now())
 }
 
 // choice is a server with what is sent to it.
@@ -183,14 +183,14 @@
 	now := time.Now()
 	j.tried = append(j.tried, c.server.ID)
 	c.dispatch.Server = c.server.ID
-	c.dispatch.Left = j.deadline.Sub(now)
+	c.dispatch.Remaining = j.deadline.Sub(now)
 	c.fields["request"], c.fields["server"], c.fields["try"] = j.request.Attempt, c.server.ID, len(j.tried)
 	c.fields["document"] = j.number
 	if c.describe != nil {
 		c.describe(c.fields)
 	}
 	event.AttemptRouted.Write(j.Logger, c.fields)
-	c.attempt.Server, c.attempt.Began = c.server.ID, now
+	c.attempt.Server, c.attempt.SentAt = c.server.ID, now
 	a := j.Tracker.Begin(c.attempt)
 	if c.prepare != nil {
 		c.prepare(&c.dispatch)
@@ -207,7 +207,7 @@
 }
 
 func (j *job) target(s directory.Server) backend.Target {
-	t := backend.Target{ID: s.ID, Born: s.Born, Address: s.Address}
+	t := backend.Target{ID: s.ID, Born: s.StartedAt, Address: s.Address}
 	if m := j.service.MaxConnections; m > 0 {
 		t.MaxConnections = max(leastConnections, int(connectionShare*float64(m))/max(1, j.Site.Entries()))
 	}
@@ -286,7 +286,7 @@
 func (j *job) end() {
 	cause := recover()
 	cut := cause != nil && (intended(cause) || !j.defect(cause))
-	j.Line.Changed()
+	j.Queue.LocalCapacityFreed()
 	took := time.Since(j.arrived)
 	j.meters.ended(j.route.Kind, j.status, took)
 	event.RequestEnded.Write(j.Logger, log.Fields{
--- a/internal/serve/caller/limited.go
+++ b/internal/serve/caller/limited.go
@@ -29,7 +29,7 @@
 			return choice{}, false
 		}
 		// The process may have stood still, and the server may have left meanwhile.
-		j.Site.Settle(ctx)
+		j.Site.AwaitFreshState(ctx)
 		if ctx.Err() == nil && j.ready(s) {
 			return choice{
 				server: s, dispatch: j.dispatch(time.Now()), taken: true,
@@ -59,7 +59,7 @@
 // ready returns whether the server may still be tried.
 func (j *job) ready(s directory.Server) bool {
 	for x := range j.untried() {
-		if x.ID == s.ID && x.Born == s.Born {
+		if x.ID == s.ID && x.StartedAt == s.StartedAt {
 			return true
 		}
 	}
--- a/internal/serve/caller/pass.go
+++ b/internal/serve/caller/pass.go
@@ -53,7 +53,7 @@
 		j.Tracker.Report(c.server.ID, l.Running, l.Waiting, l.Slots, now)
 	}
 	if told.Version != 0 && j.request.Prompt != nil {
-		j.Site.Noticed(c.server.ID, j.request.Prompt.Model, told.Version)
+		j.Site.ObserveVersion(c.server.ID, j.request.Prompt.Model, told.Version)
 	}
 }
 
@@ -63,7 +63,7 @@
 	if status == http.StatusMisdirectedRequest || !told.Stamped && !told.NotRun {
 		return
 	}
-	j.Limits.Note(a.Server, told.Limit, a.Began, time.Now())
+	j.Limits.Observe(a.Server, told.Limit, a.SentAt, time.Now())
 }
 
 // unfit returns why a success can't be passed on.
--- a/internal/serve/caller/patience.go
+++ b/internal/serve/caller/patience.go
@@ -13,7 +13,7 @@
 // anew by a server that has even less time for it. And where the budget allows no
 // repeat, it would be thrown away for nothing.
 func (j *job) patience(now time.Time) time.Time {
-	if !j.route.Repeatable() || j.runs+1 >= j.route.MaxAttempts || !j.Budget.Has(j.service.Name, now) {
+	if !j.route.Repeatable() || j.runs+1 >= j.route.MaxAttempts || !j.Budget.Available(j.service.Name, now) {
 		return j.deadline
 	}
 	first := firstPatience(j.route)
@@ -28,5 +28,5 @@
 // thrown away for one that begins anew.
 func firstPatience(r document.Route) time.Duration {
 	const times, least = 3, 200 * time.Millisecond
-	return max(times*r.Target, least)
+	return max(times*r.LatencyTarget, least)
 }
--- a/internal/serve/caller/stream.go
+++ b/internal/serve/caller/stream.go
@@ -104,7 +104,7 @@
 		return errCaller
 	}
 	if j.mayResume() {
-		x.SetDeadline(wait.Earlier(j.deadline, now.Add(max(pauseTimes*j.route.Gap, leastPause))))
+		x.SetDeadline(wait.Earlier(j.deadline, now.Add(max(pauseTimes*j.route.EventGapTarget, leastPause))))
 	} else {
 		x.SetDeadline(j.deadline)
 	}
--- a/internal/serve/choose/candidate.go
+++ b/internal/serve/choose/candidate.go
@@ -11,8 +11,8 @@
 type Candidate struct {
 	// Server is what it announced.
 	Server directory.Server
-	// Track is what this entry saw.
-	Track observe.Track
+	// Stats is what this entry saw.
+	Stats observe.ServerStats
 }
 
 const (
@@ -39,9 +39,9 @@
 
 func (c Candidate) standing(now time.Time) standing {
 	switch {
-	case now.Before(c.Track.SetAside), c.refuses(now):
+	case now.Before(c.Stats.EjectedUntil), c.refuses(now):
 		return aside
-	case c.Server.Silent && now.Sub(c.Track.Answered) > provenFor:
+	case c.Server.Silent && now.Sub(c.Stats.Answered) > provenFor:
 		return doubtful
 	}
 	return usable
@@ -55,18 +55,18 @@
 // missed only seconds later. One entry may be cut off in a way of its own, two
 // that are refused are not.
 func (c Candidate) refuses(now time.Time) bool {
-	return c.Track.RefusedBy >= refusals && now.Sub(c.Track.Answered) > answeredLately
+	return c.Stats.RefusedBy >= refusals && now.Sub(c.Stats.Answered) > answeredLately
 }
 
 // load returns how many requests the server has, as far as this entry can tell.
 func (c Candidate) load(now time.Time) float64 {
-	own := float64(c.Track.InFlight)
-	if c.Track.Reported.IsZero() {
+	own := float64(c.Stats.InFlight)
+	if c.Stats.Reported.IsZero() {
 		return own
 	}
-	age := now.Sub(c.Track.Reported)
+	age := now.Sub(c.Stats.Reported)
 	weight := 1 - max(0, min(1, float64(age-reportFresh)/float64(reportFresh)))
-	told := float64(c.Track.Running+c.Track.Waiting+c.Track.Since) * weight
+	told := float64(c.Stats.Running+c.Stats.Waiting+c.Stats.SentSinceReport) * weight
 	return max(own, told)
 }
 
--- a/internal/serve/choose/cost.go
+++ b/internal/serve/choose/cost.go
@@ -1,7 +1,7 @@
 package choose
 
 // plan weighs one engine. A part is of use only if all parts before it are there.
-func (e Engine) plan(c Candidate, homes []string) Plan {
+func (e EnginePicker) plan(c Candidate, homes []string) Plan {
 	p := Plan{Fetch: make([]string, len(e.Parts))}
 	total, whole := 0, true
 	for i, part := range e.Parts {
@@ -11,32 +11,32 @@
 			// The engine moves nothing that it has; if it has lost the part, the copy spares reading it again.
 			copied, _ := e.nearest(c, part)
 			p.Fetch[i] = copied.Address
-			p.From += "m"
+			p.Sources += "m"
 		case whole && e.elsewhere(c, part):
 			copied, millis := e.nearest(c, part)
 			p.Fetch[i] = copied.Address
-			p.Millis += millis
-			p.From += from(copied)
+			p.CostMillis += millis
+			p.Sources += from(copied)
 		default:
 			whole = false
-			p.From += "r"
-			p.Missing += part.Tokens
-			p.Millis += e.reading(c, part, homes[i])
+			p.Sources += "r"
+			p.PrefillTokens += part.Tokens
+			p.CostMillis += e.reading(c, part, homes[i])
 		}
 	}
-	p.Millis += e.waiting(c) + e.crowding(c, total) + e.disturbing(c, p.Missing)
+	p.CostMillis += e.waiting(c) + e.crowding(c, total) + e.disturbing(c, p.PrefillTokens)
 	p.Fits = e.fits(c, total)
 	if c.Server.Zone != e.Zone {
-		p.Millis += otherZoneMillis
+		p.CostMillis += otherZoneMillis
 	}
 	if e.Random != nil {
-		p.Millis += millisJitter * e.Random.Float64()
+		p.CostMillis += millisJitter * e.Random.Float64()
 	}
 	return p
 }
 
 // elsewhere returns whether the part can be fetched.
-func (e Engine) elsewhere(c Candidate, part Part) bool {
+func (e EnginePicker) elsewhere(c Candidate, part Part) bool {
 	for _, k := range part.Copies {
 		if k.Server != c.Server.ID {
 			return true
@@ -53,7 +53,7 @@
 	return "s"
 }
 
-func (e Engine) reading(c Candidate, part Part, home string) float64 {
+func (e EnginePicker) reading(c Candidate, part Part, home string) float64 {
 	millis := float64(part.Tokens) / readRate
 	if !part.Shared {
 		return millis
@@ -66,7 +66,7 @@
 }
 
 // nearest returns the copy that arrives first and how long it takes in milliseconds.
-func (e Engine) nearest(c Candidate, part Part) (Copy, float64) {
+func (e EnginePicker) nearest(c Candidate, part Part) (Copy, float64) {
 	found, lowest := Copy{}, 0.0
 	for _, k := range part.Copies {
 		if k.Server == c.Server.ID {
@@ -76,7 +76,7 @@
 		if k.Zone != c.Server.Zone {
 			millis *= 2
 		}
-		millis += k.First.Seconds()*1000 + e.crossing*float64(k.Queued)*k.PerToken.Seconds()*1000
+		millis += k.Latency.Seconds()*1000 + e.crossing*float64(k.QueuedTokens)*k.PerToken.Seconds()*1000
 		if found.Address == "" || millis < lowest {
 			found, lowest = k, millis
 		}
@@ -85,14 +85,14 @@
 }
 
 // waiting returns how long the prompts before this one take.
-func (e Engine) waiting(c Candidate) float64 {
-	return float64(c.Track.Reading) / readRate
+func (e EnginePicker) waiting(c Candidate) float64 {
+	return float64(c.Stats.PrefillTokens) / readRate
 }
 
 // crowding returns what the engine's other requests cost this one.
-func (e Engine) crowding(c Candidate, tokens int) float64 {
+func (e EnginePicker) crowding(c Candidate, tokens int) float64 {
 	millis := busyMillis * c.load(e.Now) / float64(max(1, c.Server.Slots))
-	if e.Capacity > 0 && c.Track.Held+tokens+e.Output > e.Capacity {
+	if e.Capacity > 0 && c.Stats.ReservedTokens+tokens+e.Output > e.Capacity {
 		millis += memoryMillis
 	}
 	return millis
@@ -104,36 +104,36 @@
 // An engine reads a chunk of a prompt between two steps. While it reads a long
 // prompt, each event waits for as many chunks as it has tokens, and when that is
 // longer than a timely pause every stream there is late.
-func (e Engine) disturbing(c Candidate, missing int) float64 {
-	if e.Gap <= 0 || e.Stride <= 0 {
+func (e EnginePicker) disturbing(c Candidate, missing int) float64 {
+	if e.EventGap <= 0 || e.TokensPerEvent <= 0 {
 		return 0
 	}
-	limit := pauseMargin * float64(e.Gap.Milliseconds())
-	before, after := e.pause(c.Track.Reading), e.pause(c.Track.Reading+missing)
+	limit := pauseMargin * float64(e.EventGap.Milliseconds())
+	before, after := e.pause(c.Stats.PrefillTokens), e.pause(c.Stats.PrefillTokens+missing)
 	switch {
 	case before > limit:
 		return latePauseMillis
 	case after > limit:
-		return latePauseMillis * float64(c.Track.InFlight)
+		return latePauseMillis * float64(c.Stats.InFlight)
 	}
 	return 0
 }
 
 // pause returns how long an event takes while so many tokens are read, in milliseconds.
-func (e Engine) pause(reading int) float64 {
-	read := float64(min(reading, e.Stride*chunkTokens)) / readRate
-	return read + float64(e.Stride)*stepMillis
+func (e EnginePicker) pause(reading int) float64 {
+	read := float64(min(reading, e.TokensPerEvent*chunkTokens)) / readRate
+	return read + float64(e.TokensPerEvent)*stepMillis
 }
 
 // fits returns whether the engine has room: slots, memory, and time to read.
 // An engine without any request takes each one that can run at all.
-func (e Engine) fits(c Candidate, tokens int) bool {
-	if c.Track.InFlight == 0 {
+func (e EnginePicker) fits(c Candidate, tokens int) bool {
+	if c.Stats.InFlight == 0 {
 		return true
 	}
-	return c.Track.InFlight < c.Server.Slots &&
+	return c.Stats.InFlight < c.Server.Slots &&
 		tokens+e.Output <= e.free(c) &&
-		float64(c.Track.Reading) <= e.share()*mostReading
+		float64(c.Stats.PrefillTokens) <= e.share()*mostReading
 }
 
 // share returns the part of an engine that the request may use.
@@ -141,14 +141,14 @@
 // After a loss of all processes hundreds of prompts wait that are late, and go out
 // together as soon as they can. If they filled the engines, everybody who comes in
 // the next seconds would be late as well.
-func (e Engine) share() float64 {
-	if e.Late {
+func (e EnginePicker) share() float64 {
+	if e.PastTarget {
 		return lateShare
 	}
 	return 1
 }
 
 // free returns how many tokens of the engine's memory such requests may still take.
-func (e Engine) free(c Candidate) int {
-	return max(0, int(e.share()*roomShare*float64(e.Capacity))-c.Track.Held)
+func (e EnginePicker) free(c Candidate) int {
+	return max(0, int(e.share()*roomShare*float64(e.Capacity))-c.Stats.ReservedTokens)
 }
--- a/internal/serve/choose/draw.go
+++ b/internal/serve/choose/draw.go
@@ -13,7 +13,7 @@
 //
 // Entries hear of each other's choices some time later. If all went to the
 // engine that looks best, it would be the worst one by then.
-func (e Engine) draw(all []Candidate, homes []string) []int {
+func (e EnginePicker) draw(all []Candidate, homes []string) []int {
 	drawn := make([]int, 0, len(all))
 	if e.Entries <= fewEntries || len(all) <= sampled || e.Random == nil {
 		for i := range all {
@@ -61,7 +61,7 @@
 
 // wantedZone returns the availability zone of the store that has the longest
 // shared part, the entry's own where none has it.
-func (e Engine) wantedZone() string {
+func (e EnginePicker) wantedZone() string {
 	zone, longest := e.Zone, chunkTokens/2
 	for _, p := range e.Parts {
 		if len(p.Copies) > 0 && p.Copies[0].Server == "" && p.Tokens > longest {
@@ -72,7 +72,7 @@
 }
 
 // special returns whether the engine has a large part of the prompt, or is where entries meet for one.
-func (e Engine) special(c Candidate, homes []string) bool {
+func (e EnginePicker) special(c Candidate, homes []string) bool {
 	for i, p := range e.Parts {
 		if !p.Shared || p.Tokens < chunkTokens/2 {
 			continue
@@ -85,7 +85,7 @@
 }
 
 // homes returns, for each part, the engine at which entries meet that know of no copy.
-func (e Engine) homes(all []Candidate) []string {
+func (e EnginePicker) homes(all []Candidate) []string {
 	homes := make([]string, len(e.Parts))
 	for i, p := range e.Parts {
 		if !p.Shared || len(p.Copies) > 0 {
--- a/internal/serve/choose/engine.go
+++ b/internal/serve/choose/engine.go
@@ -87,14 +87,14 @@
 	Address string
 	// Zone is its availability zone.
 	Zone string
-	// PerToken is how long a token takes over the store's link, First what each transfer waits.
-	PerToken, First time.Duration
-	// Queued is how many tokens all entries are having fetched from there.
-	Queued int
+	// PerToken is how long a token takes over the store's link, Latency what each transfer waits.
+	PerToken, Latency time.Duration
+	// QueuedTokens is how many tokens all entries are having fetched from there.
+	QueuedTokens int
 }
 
-// Engine is a choice among the engines of a service.
-type Engine struct {
+// EnginePicker is a choice among the engines of a service.
+type EnginePicker struct {
 	// Now is the time of the decision.
 	Now time.Time
 	// Zone is the entry's availability zone.
@@ -104,11 +104,11 @@
 	Output int
 	// Capacity is an engine's memory in tokens.
 	Capacity int
-	// Stride is how many tokens one event holds, and Gap the longest timely pause between events; zero for none.
-	Stride int
-	Gap    time.Duration
-	// Late says that the answer can't be on time any more.
-	Late bool
+	// TokensPerEvent is how many tokens one event holds, and Gap the longest timely pause between events; zero for none.
+	TokensPerEvent int
+	EventGap       time.Duration
+	// PastTarget says that the answer can't be on time any more.
+	PastTarget bool
 	// Entries is how many entries choose among the same engines.
 	Entries int
 	// Holds returns whether a server probably has a part in memory.
@@ -134,24 +134,24 @@
 
 // Plan is a choice of an engine with where each part comes from.
 type Plan struct {
-	// At is the index of the engine, -1 without candidates.
-	At int
-	// Millis is the estimated cost in milliseconds.
-	Millis float64
+	// Index is the index of the engine, -1 without candidates.
+	Index int
+	// CostMillis is the estimated cost in milliseconds.
+	CostMillis float64
 	// Fetch names the store of each part; empty for none.
 	Fetch []string
-	// Missing is how many tokens the engine has to read.
-	Missing int
+	// PrefillTokens is how many tokens the engine has to read.
+	PrefillTokens int
 	// Fits says that the engine has room for the request now.
 	Fits bool
-	// Free is how many tokens are free at all engines that have room for the request, as far as the drawn ones tell.
-	Free int
-	// From says, part by part, where it comes from: m for the engine's memory, s for a store, e for another engine, r for reading it.
-	From string
+	// FreeTokens is how many tokens are free at all engines that have room for the request, as far as the drawn ones tell.
+	FreeTokens int
+	// Sources says, part by part, where it comes from: m for the engine's memory, s for a store, e for another engine, r for reading it.
+	Sources string
 }
 
 // Pick returns the plan with the lowest cost.
-func (e Engine) Pick(all []Candidate) Plan {
+func (e EnginePicker) Pick(all []Candidate) Plan {
 	e.crossing = crossing(all)
 	homes := e.homes(all)
 	drawn := e.draw(all, homes)
@@ -163,18 +163,18 @@
 	at, millis := best(some, e.Now, func(i int) float64 {
 		plans[i] = e.plan(some[i], homes)
 		if !plans[i].Fits {
-			return plans[i].Millis + fullMillis
+			return plans[i].CostMillis + fullMillis
 		}
-		return plans[i].Millis
+		return plans[i].CostMillis
 	})
 	if at < 0 {
-		return Plan{At: -1}
+		return Plan{Index: -1}
 	}
 	p := plans[at]
-	p.At, p.Millis = drawn[at], millis
+	p.Index, p.CostMillis = drawn[at], millis
 	for i, x := range plans {
 		if x.Fits {
-			p.Free += e.free(some[i]) * len(all) / len(drawn)
+			p.FreeTokens += e.free(some[i]) * len(all) / len(drawn)
 		}
 	}
 	return p
--- a/internal/serve/choose/engine_test.go
+++ b/internal/serve/choose/engine_test.go
@@ -20,9 +20,9 @@
 	return all
 }
 
-func long(missing int) Engine {
-	return Engine{
-		Now: now, Zone: "z0", Capacity: 80000, Stride: 6, Gap: 500 * time.Millisecond, Output: 100,
+func long(missing int) EnginePicker {
+	return EnginePicker{
+		Now: now, Zone: "z0", Capacity: 80000, TokensPerEvent: 6, EventGap: 500 * time.Millisecond, Output: 100,
 		Parts: []Part{{Salt: "m/1", ID: "p", Tokens: missing, Shared: true}, {Salt: "m/1", ID: "own", Tokens: 100}},
 	}
 }
@@ -33,15 +33,15 @@
 // idle engine further away costs a few milliseconds.
 func TestLongReadingKeepsAwayFromRunningStreams(t *testing.T) {
 	all := engines(2)
-	all[0].Track = observe.Track{InFlight: 6, Held: 3000}
-	if p := long(30000).Pick(all); p.At != 1 {
+	all[0].Stats = observe.ServerStats{InFlight: 6, ReservedTokens: 3000}
+	if p := long(30000).Pick(all); p.Index != 1 {
 		t.Errorf("read beside six streams: %+v", p)
 	}
-	if p := long(3000).Pick(all); p.At != 0 && p.At != 1 || !p.Fits {
+	if p := long(3000).Pick(all); p.Index != 0 && p.Index != 1 || !p.Fits {
 		t.Errorf("got %+v", p)
 	}
-	all[1].Track = observe.Track{Reading: 30000, InFlight: 1, Held: 30000}
-	if p := long(100).Pick(all); p.At != 0 {
+	all[1].Stats = observe.ServerStats{PrefillTokens: 30000, InFlight: 1, ReservedTokens: 30000}
+	if p := long(100).Pick(all); p.Index != 0 {
 		t.Errorf("a note is sent to the engine that reads: %+v", p)
 	}
 }
@@ -50,15 +50,15 @@
 // others are about to use; the request has to wait or go elsewhere.
 func TestFullEngineDoesNotFit(t *testing.T) {
 	all := engines(1)
-	all[0].Track = observe.Track{InFlight: 3, Held: 60000}
+	all[0].Stats = observe.ServerStats{InFlight: 3, ReservedTokens: 60000}
 	if p := long(20000).Pick(all); p.Fits {
 		t.Error("a request fits into a full memory")
 	}
-	all[0].Track = observe.Track{InFlight: 12, Held: 5000}
+	all[0].Stats = observe.ServerStats{InFlight: 12, ReservedTokens: 5000}
 	if p := long(100).Pick(all); p.Fits {
 		t.Error("a request fits though all slots are taken")
 	}
-	all[0].Track = observe.Track{}
+	all[0].Stats = observe.ServerStats{}
 	if p := long(79000).Pick(all); !p.Fits {
 		t.Error("the largest request never runs")
 	}
@@ -72,11 +72,11 @@
 		{Address: "near", Zone: "z0", PerToken: 2 * time.Microsecond},
 	}
 	p := e.Pick(engines(1))
-	if p.From != "sr" || p.Fetch[0] != "near" || p.Missing != 100 {
+	if p.Sources != "sr" || p.Fetch[0] != "near" || p.PrefillTokens != 100 {
 		t.Errorf("got %+v", p)
 	}
 	e.Holds = func(string, Part) bool { return true }
-	if p := e.Pick(engines(1)); p.From != "mm" {
+	if p := e.Pick(engines(1)); p.Sources != "mm" {
 		t.Errorf("got %+v", p)
 	}
 }
@@ -86,10 +86,10 @@
 // prompts of that time.
 func TestManyEntriesSpread(t *testing.T) {
 	all := engines(90)
-	all[7].Track.Held = 0
+	all[7].Stats.ReservedTokens = 0
 	for i := range all {
 		if i != 7 {
-			all[i].Track.InFlight = 2
+			all[i].Stats.InFlight = 2
 		}
 	}
 	taken := map[int]int{}
@@ -98,7 +98,7 @@
 		e.Parts[0].ID = fmt.Sprint("p", i)
 		e.Entries = 80
 		e.Random = rand.New(rand.NewPCG(uint64(i), 1))
-		taken[e.Pick(all).At]++
+		taken[e.Pick(all).Index]++
 	}
 	if taken[7] > 20 {
 		t.Errorf("%d of 80 went to one engine", taken[7])
@@ -112,17 +112,17 @@
 	// 100,000 tokens wait; the link carries 300 in a millisecond.
 	const queued, perToken = 100_000, time.Second / 300_000
 	e := long(13000)
-	e.Parts[0].Copies = []Copy{{Address: "s", Zone: "z0", PerToken: perToken, Queued: queued}}
+	e.Parts[0].Copies = []Copy{{Address: "s", Zone: "z0", PerToken: perToken, QueuedTokens: queued}}
 	wait := func(zones int) float64 {
 		all := engines(4)
 		for i := range all {
 			all[i].Server.Zone = fmt.Sprint("z", i%zones)
 		}
-		loaded := e.Pick(all).Millis
+		loaded := e.Pick(all).CostMillis
 		idle := e
 		idle.Parts = slices.Clone(e.Parts)
 		idle.Parts[0].Copies = []Copy{{Address: "s", Zone: "z0", PerToken: perToken}}
-		return loaded - idle.Pick(all).Millis
+		return loaded - idle.Pick(all).CostMillis
 	}
 	for _, x := range []struct {
 		zones  int
@@ -140,18 +140,18 @@
 // are used up. Two entries that were refused are enough for the others.
 func TestEnginesThatRefuseOthersAreSetAside(t *testing.T) {
 	all := engines(2)
-	all[1].Track = observe.Track{InFlight: 6, Held: 30000}
+	all[1].Stats = observe.ServerStats{InFlight: 6, ReservedTokens: 30000}
 	for _, x := range []struct {
 		refused  int
 		answered time.Duration
 		at       int
 	}{{0, time.Minute, 0}, {1, time.Minute, 0}, {2, time.Minute, 1}, {9, 100 * time.Millisecond, 0}} {
-		all[0].Track = observe.Track{RefusedBy: x.refused, Answered: now.Add(-x.answered)}
-		if p := long(100).Pick(all); p.At != x.at {
-			t.Errorf("%d entries refused, own answer %s ago: engine %d", x.refused, x.answered, p.At)
+		all[0].Stats = observe.ServerStats{RefusedBy: x.refused, Answered: now.Add(-x.answered)}
+		if p := long(100).Pick(all); p.Index != x.at {
+			t.Errorf("%d entries refused, own answer %s ago: engine %d", x.refused, x.answered, p.Index)
 		}
 	}
-	if p := long(100).Pick(all[:1]); p.At != 0 {
+	if p := long(100).Pick(all[:1]); p.Index != 0 {
 		t.Error("the last engine isn't tried")
 	}
 }
@@ -167,16 +167,16 @@
 	for i := range all {
 		all[i] = Candidate{
 			Server: directory.Server{ID: fmt.Sprint("e", i), Zone: fmt.Sprint("z", i%3), Address: fmt.Sprint("a", i), Slots: 64},
-			Track:  observe.Track{InFlight: r.IntN(8), Reading: r.IntN(10_000), Held: r.IntN(70_000)},
+			Stats:  observe.ServerStats{InFlight: r.IntN(8), PrefillTokens: r.IntN(10_000), ReservedTokens: r.IntN(70_000)},
 		}
 	}
 	got := map[int]int{}
 	for i := range prompts {
-		e := Engine{
+		e := EnginePicker{
 			Now: now, Zone: fmt.Sprint("z", i%3), Output: 400, Capacity: 95_000, Entries: entries, Random: r,
 			Parts: []Part{{Salt: "m/1", ID: fmt.Sprint("own", i), Tokens: 3000}},
 		}
-		got[e.Pick(all).At]++
+		got[e.Pick(all).Index]++
 	}
 	most := 0
 	for _, n := range got {
@@ -197,12 +197,12 @@
 		held, reading   int
 		onTime, tooLate bool
 	}{{20_000, 0, true, true}, {50_000, 0, true, false}, {20_000, 10_000, true, false}, {72_000, 0, false, false}} {
-		all[0].Track = observe.Track{InFlight: 3, Held: x.held, Reading: x.reading}
+		all[0].Stats = observe.ServerStats{InFlight: 3, ReservedTokens: x.held, PrefillTokens: x.reading}
 		e := long(5000)
 		if p := e.Pick(all); p.Fits != x.onTime {
 			t.Errorf("%+v: fits %v", x, p.Fits)
 		}
-		e.Late = true
+		e.PastTarget = true
 		if p := e.Pick(all); p.Fits != x.tooLate {
 			t.Errorf("%+v: fits %v when late", x, p.Fits)
 		}
--- a/internal/serve/choose/plain.go
+++ b/internal/serve/choose/plain.go
@@ -20,8 +20,8 @@
 	jitter = 0.02
 )
 
-// Plain is a choice among the servers of a plain service.
-type Plain struct {
+// PlainPicker is a choice among the servers of a plain service.
+type PlainPicker struct {
 	// Now is the time of the decision.
 	Now time.Time
 	// Zone is the entry's availability zone.
@@ -34,28 +34,28 @@
 //
 // Failures are weighed against the best server of the service: where every
 // tenth request fails by itself, none is to blame.
-func (p Plain) Pick(all []Candidate) (int, float64) {
+func (p PlainPicker) Pick(all []Candidate) (int, float64) {
 	fewest, fastest := 1.0, time.Duration(0)
 	for _, c := range all {
-		fewest = min(fewest, c.Track.Failures)
-		if l := c.Track.Latency; l > 0 && (fastest == 0 || l < fastest) {
+		fewest = min(fewest, c.Stats.Failures)
+		if l := c.Stats.Latency; l > 0 && (fastest == 0 || l < fastest) {
 			fastest = l
 		}
 	}
 	return best(all, p.Now, func(i int) float64 { return p.cost(all[i], fewest, fastest) })
 }
 
-func (p Plain) cost(c Candidate, fewest float64, fastest time.Duration) float64 {
+func (p PlainPicker) cost(c Candidate, fewest float64, fastest time.Duration) float64 {
 	x := (c.load(p.Now) + 1) / float64(max(1, c.Server.Slots))
-	x += failureCost * max(0, c.Track.Failures-fewest-0.1)
+	x += failureCost * max(0, c.Stats.Failures-fewest-0.1)
 	if c.Server.Zone != p.Zone {
 		x += otherZoneCost
 	}
-	if c.Server.Cold > 0 {
+	if c.Server.WarmUp > 0 {
 		x += coldCost
 	}
 	if fastest > 0 {
-		x += slowCost * max(0, float64(c.Track.Latency)/float64(fastest)-2)
+		x += slowCost * max(0, float64(c.Stats.Latency)/float64(fastest)-2)
 	}
 	if p.Random != nil {
 		x += jitter * p.Random.Float64()
--- a/internal/serve/choose/plain_test.go
+++ b/internal/serve/choose/plain_test.go
@@ -18,13 +18,13 @@
 // Callers see those failures until requests go elsewhere.
 func TestServerThatFailsIsPassedOver(t *testing.T) {
 	all := []Candidate{plainServer("a", "z1"), plainServer("b", "z2")}
-	all[0].Track.Failures = 0.45
-	all[1].Track.Failures = 0.05
-	if at, _ := (Plain{Now: now, Zone: "z1"}).Pick(all); at != 1 {
+	all[0].Stats.Failures = 0.45
+	all[1].Stats.Failures = 0.05
+	if at, _ := (PlainPicker{Now: now, Zone: "z1"}).Pick(all); at != 1 {
 		t.Error("the failing server of the own zone was taken")
 	}
-	all[1].Track.Failures = 0.4
-	if at, _ := (Plain{Now: now, Zone: "z1"}).Pick(all); at != 0 {
+	all[1].Stats.Failures = 0.4
+	if at, _ := (PlainPicker{Now: now, Zone: "z1"}).Pick(all); at != 0 {
 		t.Error("where all servers fail alike the near one should be taken")
 	}
 }
@@ -35,18 +35,18 @@
 func TestSilentServer(t *testing.T) {
 	all := []Candidate{plainServer("a", "z1"), plainServer("b", "z2")}
 	all[0].Server.Silent = true
-	p := Plain{Now: now, Zone: "z1"}
+	p := PlainPicker{Now: now, Zone: "z1"}
 	if at, _ := p.Pick(all); at != 1 {
 		t.Error("a silent server was taken")
 	}
 	if at, _ := p.Pick(all[:1]); at != 0 {
 		t.Error("the last server was not tried")
 	}
-	all[0].Track.Answered = now.Add(-time.Second)
+	all[0].Stats.Answered = now.Add(-time.Second)
 	if at, _ := p.Pick(all); at != 0 {
 		t.Error("a server that answers was not taken because its announcements are cut off")
 	}
-	all[0].Track.SetAside = now.Add(time.Second)
+	all[0].Stats.EjectedUntil = now.Add(time.Second)
 	if at, _ := p.Pick(all); at != 1 {
 		t.Error("a server that was set aside was taken")
 	}
@@ -54,15 +54,15 @@
 
 func TestNearServerUntilItFills(t *testing.T) {
 	all := []Candidate{plainServer("a", "z1"), plainServer("b", "z2")}
-	p := Plain{Now: now, Zone: "z1"}
+	p := PlainPicker{Now: now, Zone: "z1"}
 	if at, _ := p.Pick(all); at != 0 {
 		t.Error("the near server was not taken")
 	}
-	all[0].Track = observe.Track{Running: 6, Reported: now.Add(-100 * time.Millisecond)}
+	all[0].Stats = observe.ServerStats{Running: 6, Reported: now.Add(-100 * time.Millisecond)}
 	if at, _ := p.Pick(all); at != 1 {
 		t.Error("a full server was taken")
 	}
-	all[0].Track.Reported = now.Add(-time.Hour)
+	all[0].Stats.Reported = now.Add(-time.Hour)
 	if at, _ := p.Pick(all); at != 0 {
 		t.Error("a report of an hour ago still counts")
 	}
--- a/internal/serve/choose/random_test.go
+++ b/internal/serve/choose/random_test.go
@@ -25,17 +25,17 @@
 	for i := range all {
 		c := Candidate{Server: directory.Server{
 			ID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", r.IntN(zones)), Address: fmt.Sprint("a", i),
-			Slots: r.IntN(128), Silent: r.IntN(5) == 0, Cold: time.Duration(r.IntN(2)) * time.Second,
+			Slots: r.IntN(128), Silent: r.IntN(5) == 0, WarmUp: time.Duration(r.IntN(2)) * time.Second,
 		}}
-		c.Track = observe.Track{
-			InFlight: r.IntN(20), Reading: r.IntN(30000), Held: r.IntN(90000), Failures: r.Float64(), RefusedBy: r.IntN(4),
+		c.Stats = observe.ServerStats{
+			InFlight: r.IntN(20), PrefillTokens: r.IntN(30000), ReservedTokens: r.IntN(90000), Failures: r.Float64(), RefusedBy: r.IntN(4),
 			Latency: time.Duration(r.IntN(500)) * time.Millisecond, Running: r.IntN(9), Waiting: r.IntN(9),
 		}
 		if r.IntN(4) == 0 {
-			c.Track.SetAside = now.Add(time.Second)
+			c.Stats.EjectedUntil = now.Add(time.Second)
 		}
 		if r.IntN(2) == 0 {
-			c.Track.Reported = now.Add(-time.Duration(r.IntN(2000)) * time.Millisecond)
+			c.Stats.Reported = now.Add(-time.Duration(r.IntN(2000)) * time.Millisecond)
 		}
 		all[i] = c
 	}
@@ -43,10 +43,10 @@
 }
 
 // randomPrompt draws a prompt with parts in stores, in engines and nowhere.
-func randomPrompt(r *rand.Rand, all []Candidate) Engine {
-	e := Engine{
-		Now: now, Zone: fmt.Sprint("z", r.IntN(4)), Output: r.IntN(2000), Capacity: r.IntN(100000), Stride: r.IntN(7),
-		Gap: time.Duration(r.IntN(2)) * 500 * time.Millisecond, Entries: 1 + r.IntN(86), Random: r,
+func randomPrompt(r *rand.Rand, all []Candidate) EnginePicker {
+	e := EnginePicker{
+		Now: now, Zone: fmt.Sprint("z", r.IntN(4)), Output: r.IntN(2000), Capacity: r.IntN(100000), TokensPerEvent: r.IntN(7),
+		EventGap: time.Duration(r.IntN(2)) * 500 * time.Millisecond, Entries: 1 + r.IntN(86), Random: r,
 	}
 	if r.IntN(2) == 0 {
 		e.Holds = func(server string, p Part) bool { return (len(server)+len(p.ID))%3 == 0 }
@@ -54,7 +54,7 @@
 	for i := range 1 + r.IntN(4) {
 		p := Part{Salt: "m/1", ID: fmt.Sprint("p", i), Tokens: r.IntN(34000), Shared: true}
 		for range r.IntN(3) {
-			k := Copy{Address: fmt.Sprint("store", r.IntN(5)), Zone: fmt.Sprint("z", r.IntN(4)), PerToken: time.Duration(r.IntN(4000)), Queued: r.IntN(200000)}
+			k := Copy{Address: fmt.Sprint("store", r.IntN(5)), Zone: fmt.Sprint("z", r.IntN(4)), PerToken: time.Duration(r.IntN(4000)), QueuedTokens: r.IntN(200000)}
 			if r.IntN(2) == 0 {
 				c := all[r.IntN(len(all))]
 				k.Server, k.Address = c.Server.ID, c.Server.Address
@@ -105,26 +105,26 @@
 	all := randomSite(r)
 	e := randomPrompt(r, all)
 	p := e.Pick(all)
-	return p.At >= 0 && p.At < len(all) && all[p.At].standing(now) == bestStanding(all) && sound(e, all[p.At], p)
+	return p.Index >= 0 && p.Index < len(all) && all[p.Index].standing(now) == bestStanding(all) && sound(e, all[p.Index], p)
 }
 
 // sound returns whether each part comes from one of its copies, from the engine's memory or is read.
-func sound(e Engine, c Candidate, p Plan) bool {
+func sound(e EnginePicker, c Candidate, p Plan) bool {
 	missing := 0
 	for i, part := range e.Parts {
 		known := p.Fetch[i] == ""
 		for _, k := range part.Copies {
 			known = known || k.Address == p.Fetch[i] && k.Server != c.Server.ID
 		}
-		if !known || p.From[i] == 's' && p.Fetch[i] == "" {
+		if !known || p.Sources[i] == 's' && p.Fetch[i] == "" {
 			return false
 		}
-		if p.From[i] == 'r' {
+		if p.Sources[i] == 'r' {
 			missing += part.Tokens
 		}
 	}
 	own := len(e.Parts) - 1
-	return missing == p.Missing && len(p.From) == len(e.Parts) && (p.From[own] == 'r' || e.Holds != nil)
+	return missing == p.PrefillTokens && len(p.Sources) == len(e.Parts) && (p.Sources[own] == 'r' || e.Holds != nil)
 }
 
 // A plain request gets a server as long as there is one, and none that is known
@@ -132,10 +132,10 @@
 func TestPlainOnRandomSites(t *testing.T) {
 	check(t, "a choice is sound", func(r *rand.Rand) bool {
 		all := randomSite(r)
-		at, _ := Plain{Now: now, Zone: fmt.Sprint("z", r.IntN(5)), Random: r}.Pick(all)
+		at, _ := PlainPicker{Now: now, Zone: fmt.Sprint("z", r.IntN(5)), Random: r}.Pick(all)
 		return at >= 0 && all[at].standing(now) == bestStanding(all)
 	})
-	if at, _ := (Plain{Now: now}).Pick(nil); at != -1 {
+	if at, _ := (PlainPicker{Now: now}).Pick(nil); at != -1 {
 		t.Errorf("without servers: %d", at)
 	}
 }
--- a/internal/serve/limit/limits.go
+++ b/internal/serve/limit/limits.go
@@ -22,9 +22,9 @@
 
 // Limits holds the limits that servers name, and this entry's share of each.
 type Limits interface {
-	// Note takes the answer to a request that was sent at sent: the requests a second
+	// Observe takes the answer to a request that was sent at sent: the requests a second
 	// that the server takes from all entries, nil when it names no limit.
-	Note(server string, perSecond *float64, sent, now time.Time)
+	Observe(server string, perSecond *float64, sent, now time.Time)
 	// Wait returns how long it is until a request may be sent to the server.
 	Wait(server string, now time.Time) time.Duration
 	// Take spends a request to the server that may be sent after the returned time,
@@ -42,8 +42,8 @@
 type Config struct {
 	// Random draws from 0 to 1; it keeps entries apart that hear of a limit at the same moment.
 	Random func() float64
-	// Room, if any, is called when a server's limit leaves room for another request.
-	Room func()
+	// OnCapacity, if any, is called when a server's limit leaves room for another request.
+	OnCapacity func()
 	// Logger takes the events.
 	Logger log.Interface
 }
@@ -87,11 +87,11 @@
 	return &l.shards[xxhash.Sum64String(server)%shards]
 }
 
-// Note implements Limits.
+// Observe implements Limits.
 //
 // An answer without a limit ends one only if its request was sent after the limit
 // was named last: answers on different connections overtake each other.
-func (l *limits) Note(server string, perSecond *float64, sent, now time.Time) {
+func (l *limits) Observe(server string, perSecond *float64, sent, now time.Time) {
 	if perSecond == nil && l.named.Load() == 0 {
 		return
 	}
@@ -131,7 +131,7 @@
 // bucket gains a request, for as long as the server names a limit. It forgets a server
 // that hasn't answered for long.
 func (l *limits) announce(server string, b *bucket, after time.Duration) {
-	if l.Room == nil {
+	if l.OnCapacity == nil {
 		return
 	}
 	time.AfterFunc(after, func() {
@@ -146,7 +146,7 @@
 		next := b.interval(entries)
 		s.mu.Unlock()
 		if current {
-			l.Room()
+			l.OnCapacity()
 			l.announce(server, b, next)
 		}
 	})
--- a/internal/serve/limit/limits_test.go
+++ b/internal/serve/limit/limits_test.go
@@ -40,7 +40,7 @@
 	for range n {
 		l := New(Config{Random: f.random.Float64})
 		l.SetEntries(n)
-		l.Note(server, &perSecond, start, start)
+		l.Observe(server, &perSecond, start, start)
 		f.entries = append(f.entries, l)
 	}
 	return f
@@ -126,12 +126,12 @@
 // Guards against an answer that was overtaken ending a limit that still holds.
 func TestLimitEndsWithAnAnswerToALaterRequest(t *testing.T) {
 	l := newLimits(0)
-	l.Note(server, number(2), start, start.Add(time.Second))
-	l.Note(server, nil, start.Add(500*time.Millisecond), start.Add(1100*time.Millisecond))
+	l.Observe(server, number(2), start, start.Add(time.Second))
+	l.Observe(server, nil, start.Add(500*time.Millisecond), start.Add(1100*time.Millisecond))
 	if l.Wait(server, start.Add(1100*time.Millisecond)) == 0 {
 		t.Error("an answer to a request of before the limit was named ended it")
 	}
-	l.Note(server, nil, start.Add(1200*time.Millisecond), start.Add(1300*time.Millisecond))
+	l.Observe(server, nil, start.Add(1200*time.Millisecond), start.Add(1300*time.Millisecond))
 	if w := l.Wait(server, start.Add(1300*time.Millisecond)); w != 0 || l.Len() != 0 {
 		t.Errorf("the limit goes on: %s", w)
 	}
@@ -141,7 +141,7 @@
 func TestLimitOfZeroIsAskedNowAndThen(t *testing.T) {
 	l := newLimits(0)
 	l.SetEntries(1)
-	l.Note(server, number(0), start, start)
+	l.Observe(server, number(0), start, start)
 	if _, ok := l.Take(server, 0, start.Add(time.Second)); ok {
 		t.Error("a server that takes nothing was asked at once")
 	}
@@ -154,7 +154,7 @@
 func TestEachWaitHasItsPlace(t *testing.T) {
 	l := newLimits(0)
 	l.SetEntries(1)
-	l.Note(server, number(1/usedShare), start, start)
+	l.Observe(server, number(1/usedShare), start, start)
 	first, ok := l.Take(server, 5*time.Second, start)
 	second, also := l.Take(server, 5*time.Second, start)
 	if !ok || !also || second-first < 900*time.Millisecond {
@@ -175,10 +175,10 @@
 	l := New(Config{Random: func() float64 { return 0 }, Logger: &log.Logger{Handler: written, Level: log.InfoLevel}})
 	for i, v := range []float64{3, 3.1, 2.9, 3, 6, 6.1} {
 		now := start.Add(time.Duration(i) * time.Second)
-		l.Note(server, number(v), now, now)
+		l.Observe(server, number(v), now, now)
 	}
-	l.Note(server, nil, start.Add(time.Hour), start.Add(time.Hour))
-	l.Note(server, nil, start.Add(time.Hour), start.Add(time.Hour))
+	l.Observe(server, nil, start.Add(time.Hour), start.Add(time.Hour))
+	l.Observe(server, nil, start.Add(time.Hour), start.Add(time.Hour))
 	if len(written.Entries) != 3 {
 		t.Errorf("%d lines, wanted those of 3, 6 and none", len(written.Entries))
 	}
--- a/internal/serve/line/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package line holds the requests that wait for room at a backend server and
-// decides in which order they try again.
-package line
--- a/internal/serve/observe/refused_test.go
+++ b/internal/serve/observe/refused_test.go
@@ -10,15 +10,15 @@
 // a restart takes.
 func TestRefusalIsTold(t *testing.T) {
 	x, now := New(), time.Now()
-	a := x.Begin(Attempt{Server: "s", Held: 100, Began: now})
+	a := x.Begin(Attempt{Server: "s", ReservedTokens: 100, SentAt: now})
 	x.End(a, Refused, now)
-	if l := x.Loads()["s"]; l.Refused != 1 || l.Held != 0 {
+	if l := x.Loads()["s"]; l.RefusedEntries != 1 || l.ReservedTokens != 0 {
 		t.Errorf("told %+v", l)
 	}
-	if !now.Before(x.Track("s").SetAside) {
+	if !now.Before(x.Stats("s").EjectedUntil) {
 		t.Error("this entry asks the server again at once")
 	}
-	b := x.Begin(Attempt{Server: "s", Held: 100, Began: now})
+	b := x.Begin(Attempt{Server: "s", ReservedTokens: 100, SentAt: now})
 	x.End(b, Refused, now.Add(-2*refusedFor))
 	if l, ok := x.Loads()["s"]; ok {
 		t.Errorf("told of a refusal long ago: %+v", l)
@@ -31,8 +31,8 @@
 // is no failure of the server.
 func TestMisdirectedRequestSetsTheServerAside(t *testing.T) {
 	x, now := New(), time.Now()
-	x.End(x.Begin(Attempt{Server: "s", Began: now}), Misdirected, now)
-	if s := x.Track("s"); !now.Before(s.SetAside) || s.Failures != 0 || s.Streak != 0 {
+	x.End(x.Begin(Attempt{Server: "s", SentAt: now}), Misdirected, now)
+	if s := x.Stats("s"); !now.Before(s.EjectedUntil) || s.Failures != 0 || s.ConsecutiveLosses != 0 {
 		t.Errorf("got %+v", s)
 	}
 }
--- a/internal/serve/observe/tracker.go
+++ b/internal/serve/observe/tracker.go
@@ -32,12 +32,12 @@
 type Attempt struct {
 	// Server is the server's ID.
 	Server string
-	// Reading and Held are the prompt's tokens to be read and the most that the request holds.
-	Reading, Held int
-	// Fetching is how many tokens it fetches from each store, by the store's address.
-	Fetching map[string]int
-	// Began is when it was sent.
-	Began time.Time
+	// PrefillTokens and ReservedTokens are the prompt's tokens to be read and the most that the request holds.
+	PrefillTokens, ReservedTokens int
+	// FetchTokens is how many tokens it fetches from each store, by the store's address.
+	FetchTokens map[string]int
+	// SentAt is when it was sent.
+	SentAt time.Time
 
 	started, fetched bool
 }
@@ -52,16 +52,16 @@
 	End(a *Attempt, o Outcome, now time.Time)
 	// Report notes a server's own load.
 	Report(server string, running, waiting, slots int, now time.Time)
-	// Track returns what is known of the server.
-	Track(server string) Track
-	// Fetching returns how many tokens are on their way from a store.
-	Fetching(store string) int
+	// Stats returns what is known of the server.
+	Stats(server string) ServerStats
+	// FetchTokens returns how many tokens are on their way from a store.
+	FetchTokens(store string) int
 	// Loads returns what this entry has at each server with prompts, and what it has fetched from each store as reading.
 	Loads() share.Loads
 }
 
 type state struct {
-	Track
+	ServerStats
 	touched time.Time
 	aside   time.Duration
 }
@@ -116,11 +116,11 @@
 	s := t.shard(a.Server)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	x := s.state(a.Server, a.Began)
+	x := s.state(a.Server, a.SentAt)
 	x.InFlight++
-	x.Since++
-	x.Reading += a.Reading
-	x.Held += a.Held
+	x.SentSinceReport++
+	x.PrefillTokens += a.PrefillTokens
+	x.ReservedTokens += a.ReservedTokens
 	t.fetch(&a, 1)
 	return &a
 }
@@ -133,7 +133,7 @@
 	a.fetched = sign < 0
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for store, tokens := range a.Fetching {
+	for store, tokens := range a.FetchTokens {
 		t.fetching[store] += sign * tokens
 		if t.fetching[store] <= 0 {
 			delete(t.fetching, store)
@@ -141,8 +141,8 @@
 	}
 }
 
-// Fetching implements Tracker.
-func (t *tracker) Fetching(store string) int {
+// FetchTokens implements Tracker.
+func (t *tracker) FetchTokens(store string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.fetching[store]
@@ -162,14 +162,14 @@
 		return
 	}
 	a.started = true
-	x.Reading -= a.Reading
-	x.answered(now.Sub(a.Began), now)
+	x.PrefillTokens -= a.PrefillTokens
+	x.answered(now.Sub(a.SentAt), now)
 }
 
 func (x *state) answered(took time.Duration, now time.Time) {
 	x.Answered = now
-	x.Streak, x.aside = 0, 0
-	x.SetAside = time.Time{}
+	x.ConsecutiveLosses, x.aside = 0, 0
+	x.EjectedUntil = time.Time{}
 	if x.Latency == 0 {
 		x.Latency = took
 		return
@@ -184,11 +184,11 @@
 	defer s.mu.Unlock()
 	x := s.state(a.Server, now)
 	x.InFlight--
-	x.Held -= a.Held
+	x.ReservedTokens -= a.ReservedTokens
 	if o == Served {
 		x.start(a, now)
 	} else if !a.started {
-		x.Reading -= a.Reading
+		x.PrefillTokens -= a.PrefillTokens
 	}
 	x.judge(o, now)
 	t.fetch(a, -1)
@@ -205,22 +205,22 @@
 		return
 	case Misdirected:
 		// The next announcement tells more; until it comes each try would be in vain.
-		x.SetAside = now.Add(asideFirst)
+		x.EjectedUntil = now.Add(asideFirst)
 		return
 	case Served:
 		x.Failures -= failureWeight * x.Failures
 		return
 	case Failed:
 		x.Answered = now
-		x.Streak = 0
+		x.ConsecutiveLosses = 0
 	case Lost, Unreachable, Refused:
 		if o == Refused {
 			x.Refused = now
 		}
-		x.Streak++
-		if x.Streak >= asideStreak || o != Lost {
+		x.ConsecutiveLosses++
+		if x.ConsecutiveLosses >= asideStreak || o != Lost {
 			x.aside = min(asideMost, max(asideFirst, 2*x.aside))
-			x.SetAside = now.Add(x.aside)
+			x.EjectedUntil = now.Add(x.aside)
 		}
 	}
 	x.Failures += failureWeight * (1 - x.Failures)
@@ -232,18 +232,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	x := s.state(server, now)
-	x.Running, x.Waiting, x.Slots, x.Reported, x.Since = running, waiting, slots, now, 0
+	x.Running, x.Waiting, x.Slots, x.Reported, x.SentSinceReport = running, waiting, slots, now, 0
 }
 
-// Track implements Tracker.
-func (t *tracker) Track(server string) Track {
+// Stats implements Tracker.
+func (t *tracker) Stats(server string) ServerStats {
 	s := t.shard(server)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if x, ok := s.servers[server]; ok {
-		return x.Track
+		return x.ServerStats
 	}
-	return Track{}
+	return ServerStats{}
 }
 
 // Loads implements Tracker.
@@ -257,8 +257,8 @@
 			if now.Sub(x.Refused) < refusedFor {
 				refused = 1
 			}
-			if x.Held > 0 || refused > 0 {
-				all[id] = share.Load{InFlight: x.InFlight, Reading: x.Reading, Held: x.Held, Refused: refused}
+			if x.ReservedTokens > 0 || refused > 0 {
+				all[id] = share.Load{InFlight: x.InFlight, PrefillTokens: x.PrefillTokens, ReservedTokens: x.ReservedTokens, RefusedEntries: refused}
 			}
 		}
 		s.mu.Unlock()
@@ -266,7 +266,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for store, tokens := range t.fetching {
-		all[store] = share.Load{Reading: tokens}
+		all[store] = share.Load{PrefillTokens: tokens}
 	}
 	return all
 }
--- a/internal/serve/request/dispatch.go
+++ b/internal/serve/request/dispatch.go
@@ -4,8 +4,8 @@
 
 // Dispatch is what the system tells a server beside the caller's request.
 type Dispatch struct {
-	// Left is how long the server may work.
-	Left time.Duration
+	// Remaining is how long the server may work.
+	Remaining time.Duration
 	// Server is the ID of the server that is meant; another one at its address refuses.
 	Server string
 	// Workspace is the caller's workspace; empty for none.
@@ -20,8 +20,8 @@
 	Fetch []string
 	// Save names, for each part of the prompt, the store that shall have it; empty for none.
 	Save []string
-	// Until is the moment on the servers' clock at which an unfinished fetch is thrown away, in Unix milliseconds; zero for never.
-	Until int64
+	// FetchDeadline is the moment on the servers' clock at which an unfinished fetch is thrown away, in Unix milliseconds; zero for never.
+	FetchDeadline int64
 	// LastEvent continues a stream after this event; zero for a whole stream.
 	LastEvent int64
 }
--- a/internal/serve/request/request.go
+++ b/internal/serve/request/request.go
@@ -15,8 +15,8 @@
 	Header http.Header
 	// Body is the whole body.
 	Body []byte
-	// Patience is how long the caller waits, counted from Arrived; zero when it doesn't say.
-	Patience time.Duration
+	// CallerTimeout is how long the caller waits, counted from Arrived; zero when it doesn't say.
+	CallerTimeout time.Duration
 	// Arrived is when the request was read.
 	Arrived time.Time
 	// Key is the caller's API key.
--- a/internal/serve/retry/budget.go
+++ b/internal/serve/retry/budget.go
@@ -28,12 +28,12 @@
 
 // Budget grants repeats, service by service.
 type Budget interface {
-	// Request notes a caller's request for the service.
-	Request(service string, now time.Time)
-	// Take returns whether one repeat at the service may be sent, and spends it.
-	Take(service string, now time.Time) bool
-	// Has returns whether a repeat at the service could be sent now; it spends nothing.
-	Has(service string, now time.Time) bool
+	// RecordRequest notes a caller's request for the service.
+	RecordRequest(service string, now time.Time)
+	// Spend returns whether one repeat at the service may be sent, and spends it.
+	Spend(service string, now time.Time) bool
+	// Available returns whether a repeat at the service could be sent now; it spends nothing.
+	Available(service string, now time.Time) bool
 	// SetEntries tells how many entries share the slack.
 	SetEntries(n int)
 }
@@ -65,8 +65,8 @@
 	}
 }
 
-// Request implements Budget.
-func (b *budget) Request(service string, now time.Time) {
+// RecordRequest implements Budget.
+func (b *budget) RecordRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.bucket(service, now)
@@ -75,8 +75,8 @@
 	k.earned = min(k.earned+b.terms.Ratio*ratioShare, b.share())
 }
 
-// Take implements Budget.
-func (b *budget) Take(service string, now time.Time) bool {
+// Spend implements Budget.
+func (b *budget) Spend(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.bucket(service, now)
@@ -91,8 +91,8 @@
 	return true
 }
 
-// Has implements Budget.
-func (b *budget) Has(service string, now time.Time) bool {
+// Available implements Budget.
+func (b *budget) Available(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.bucket(service, now)
--- a/internal/serve/retry/budget_test.go
+++ b/internal/serve/retry/budget_test.go
@@ -26,9 +26,9 @@
 		gap := time.Second / time.Duration(perSecond)
 		for at := time.Duration(0); at < 30*time.Second; at += gap {
 			b := fleet[len(requests)%entries]
-			b.Request("s", start.Add(at))
+			b.RecordRequest("s", start.Add(at))
 			requests = append(requests, at)
-			if b.Take("s", start.Add(at)) {
+			if b.Spend("s", start.Add(at)) {
 				repeats = append(repeats, at)
 			}
 		}
--- a/internal/serve/share/adder.go
+++ b/internal/serve/share/adder.go
@@ -9,16 +9,16 @@
 // times as often, and one that was lost must not keep engines busy for ever.
 const postTimeout = 1500 * time.Millisecond
 
-// Adder adds posts up.
-type Adder interface {
-	// Take takes a post; an older one than the last changes nothing.
-	Take(p Post, now time.Time)
+// Aggregator adds posts up.
+type Aggregator interface {
+	// Add takes a post; an older one than the last changes nothing.
+	Add(p Report, now time.Time)
 	// Sum returns the sum of the posts that count.
 	Sum(now time.Time) Sum
 }
 
 type posted struct {
-	post Post
+	post Report
 	at   time.Time
 }
 
@@ -27,16 +27,16 @@
 	posts map[string]posted
 }
 
-// NewAdder returns an Adder without posts.
-func NewAdder() Adder {
+// NewAggregator returns an Adder without posts.
+func NewAggregator() Aggregator {
 	return &adder{posts: map[string]posted{}}
 }
 
-// Take implements Adder.
-func (a *adder) Take(p Post, now time.Time) {
+// Add implements Adder.
+func (a *adder) Add(p Report, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if p.Number > a.posts[p.Entry].post.Number {
+	if p.Sequence > a.posts[p.Entry].post.Sequence {
 		a.posts[p.Entry] = posted{p, now}
 	}
 }
@@ -45,13 +45,13 @@
 func (a *adder) Sum(now time.Time) Sum {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := Sum{Loads: map[uint32]Load{}, Posts: map[uint32]uint64{}}
+	s := Sum{Loads: map[uint32]Load{}, Sequences: map[uint32]uint64{}}
 	for entry, p := range a.posts {
 		if now.Sub(p.at) > postTimeout {
 			delete(a.posts, entry)
 			continue
 		}
-		s.Posts[hash(entry)] = p.post.Number
+		s.Sequences[hash(entry)] = p.post.Sequence
 		for server, l := range p.post.Loads {
 			h := hash(server)
 			s.Loads[h] = s.Loads[h].Plus(l)
--- a/internal/serve/share/load.go
+++ b/internal/serve/share/load.go
@@ -13,33 +13,33 @@
 	_ struct{} `cbor:",toarray"`
 	// InFlight counts requests.
 	InFlight int
-	// Reading is how many prompt tokens wait for the first event of their request.
-	Reading int
-	// Held is how many tokens the requests hold at most.
-	Held int
-	// Refused is how many entries had a connection refused there lately.
-	Refused int
+	// PrefillTokens is how many prompt tokens wait for the first event of their request.
+	PrefillTokens int
+	// ReservedTokens is how many tokens the requests hold at most.
+	ReservedTokens int
+	// RefusedEntries is how many entries had a connection refused there lately.
+	RefusedEntries int
 }
 
 // Plus returns the sum.
 func (l Load) Plus(o Load) Load {
-	return Load{InFlight: l.InFlight + o.InFlight, Reading: l.Reading + o.Reading, Held: l.Held + o.Held, Refused: l.Refused + o.Refused}
+	return Load{InFlight: l.InFlight + o.InFlight, PrefillTokens: l.PrefillTokens + o.PrefillTokens, ReservedTokens: l.ReservedTokens + o.ReservedTokens, RefusedEntries: l.RefusedEntries + o.RefusedEntries}
 }
 
 // Minus returns the difference, nothing less than zero.
 func (l Load) Minus(o Load) Load {
-	return Load{InFlight: max(0, l.InFlight-o.InFlight), Reading: max(0, l.Reading-o.Reading), Held: max(0, l.Held-o.Held), Refused: max(0, l.Refused-o.Refused)}
+	return Load{InFlight: max(0, l.InFlight-o.InFlight), PrefillTokens: max(0, l.PrefillTokens-o.PrefillTokens), ReservedTokens: max(0, l.ReservedTokens-o.ReservedTokens), RefusedEntries: max(0, l.RefusedEntries-o.RefusedEntries)}
 }
 
 // Loads is an entry's load by the engine's ID; engines without any are left out.
 type Loads map[string]Load
 
-// Post is what an entry tells of its loads.
-type Post struct {
+// Report is what an entry tells of its loads.
+type Report struct {
 	// Entry names the entry with its start.
 	Entry string `cbor:"entry"`
-	// Number counts the entry's posts.
-	Number uint64 `cbor:"number"`
+	// Sequence counts the entry's posts.
+	Sequence uint64 `cbor:"number"`
 	// Loads are the loads.
 	Loads Loads `cbor:"loads"`
 }
@@ -52,8 +52,8 @@
 type Sum struct {
 	// Loads are the loads by the hash of the engine's ID.
 	Loads map[uint32]Load `cbor:"loads"`
-	// Posts are the number of the post that is included, by the hash of the entry's name.
-	Posts map[uint32]uint64 `cbor:"posts"`
+	// Sequences are the number of the post that is included, by the hash of the entry's name.
+	Sequences map[uint32]uint64 `cbor:"posts"`
 }
 
 // WithLoads returns the sum with other's loads added; the posts stay those of s.
@@ -74,7 +74,7 @@
 	return uint32(xxhash.Sum64String(name))
 }
 
-// Line names the load that holds the room which the requests in the entries' lines want, by their urgency.
-func Line(urgency int) string {
+// QueueKey names the load that holds the room which the requests in the entries' lines want, by their urgency.
+func QueueKey(urgency int) string {
 	return "line/" + strconv.Itoa(urgency)
 }
--- a/internal/serve/share/others.go
+++ b/internal/serve/share/others.go
@@ -17,16 +17,16 @@
 	lagWeight = 0.2
 )
 
-// Others is what the other entries have at each engine, as this entry knows it.
-type Others interface {
-	// Post returns the next post of this entry's loads, and false when nothing has changed since the last.
-	Post(own Loads, force bool, now time.Time) (Post, bool)
-	// Take takes a sum.
-	Take(s Sum, now time.Time)
+// PeerLoads is what the other entries have at each engine, as this entry knows it.
+type PeerLoads interface {
+	// NextReport returns the next post of this entry's loads, and false when nothing has changed since the last.
+	NextReport(own Loads, force bool, now time.Time) (Report, bool)
+	// Apply takes a sum.
+	Apply(s Sum, now time.Time)
 	// Load returns the others' load at the engine.
 	Load(server string, now time.Time) Load
-	// Lag returns how long it takes until entries hear what one of them has posted, zero before it was seen.
-	Lag() time.Duration
+	// PropagationDelay returns how long it takes until entries hear what one of them has posted, zero before it was seen.
+	PropagationDelay() time.Duration
 }
 
 // kept is a post that this entry has made.
@@ -47,32 +47,32 @@
 	lag   time.Duration
 }
 
-// NewOthers returns the Others of the entry of that name.
-func NewOthers(entry string) Others {
+// NewPeerLoads returns the Others of the entry of that name.
+func NewPeerLoads(entry string) PeerLoads {
 	return &others{entry: entry, posts: map[uint64]kept{}}
 }
 
-// Post implements Others.
-func (o *others) Post(own Loads, force bool, now time.Time) (Post, bool) {
+// NextReport implements Others.
+func (o *others) NextReport(own Loads, force bool, now time.Time) (Report, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !force && maps.Equal(own, o.posts[o.last].loads) {
-		return Post{}, false
+		return Report{}, false
 	}
 	o.last++
 	o.posts[o.last] = kept{own, now}
 	delete(o.posts, o.last-keptPosts)
-	return Post{Entry: o.entry, Number: o.last, Loads: own}, true
+	return Report{Entry: o.entry, Sequence: o.last, Loads: own}, true
 }
 
-// Take implements Others.
+// Apply implements Others.
 //
 // The sum holds this entry's own load as it was some posts ago. Taking the
 // present one out instead would count what was sent since then against others.
-func (o *others) Take(s Sum, now time.Time) {
+func (o *others) Apply(s Sum, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	number := s.Posts[hash(o.entry)]
+	number := s.Sequences[hash(o.entry)]
 	own, ok := o.posts[number]
 	if ok && number > o.heard {
 		o.measure(now.Sub(own.at))
@@ -97,8 +97,8 @@
 	o.lag += time.Duration(lagWeight * float64(lag-o.lag))
 }
 
-// Lag implements Others.
-func (o *others) Lag() time.Duration {
+// PropagationDelay implements Others.
+func (o *others) PropagationDelay() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.lag
--- a/internal/serve/line/flow.go
+++ b/internal/serve/waitqueue/flow.go
@@ -1,4 +1,4 @@
-package line
+package waitqueue
 
 import "time"
 
@@ -28,7 +28,7 @@
 // arrival is a request that came.
 type arrival struct {
 	at  time.Time
-	ask Ask
+	ask Item
 }
 
 // flow measures how fast a line moves. What limits it may be the time to read
@@ -68,7 +68,7 @@
 }
 
 // arrive notes a request that comes.
-func (f *flow) arrive(now time.Time, a Ask) {
+func (f *flow) arrive(now time.Time, a Item) {
 	old := 0
 	for old < len(f.arrivals) && now.Sub(f.arrivals[old].at) > flowSpan {
 		old++
@@ -101,7 +101,7 @@
 }
 
 // coming returns how many tokens a second come that go before the request when it is late.
-func (f *flow) coming(now time.Time, a Ask) float64 {
+func (f *flow) coming(now time.Time, a Item) float64 {
 	span := min(now.Sub(f.started), flowSpan)
 	if span <= 0 {
 		return 0
--- a/internal/serve/line/forecast.go
+++ b/internal/serve/waitqueue/forecast.go
@@ -1,4 +1,4 @@
-package line
+package waitqueue
 
 import (
 	"math"
@@ -7,10 +7,10 @@
 
 // Forecast is what a waiting request can expect.
 type Forecast struct {
-	// Hopeless says that it can't be sent in time for its caller to get the answer.
-	Hopeless bool
-	// Clear is when those who wait now will have gone: who comes back then finds room.
-	Clear time.Duration
+	// Unservable says that it can't be sent in time for its caller to get the answer.
+	Unservable bool
+	// ClearAfter is when those who wait now will have gone: who comes back then finds room.
+	ClearAfter time.Duration
 }
 
 // forecast works out what the waiter can expect from the work that stands before
@@ -24,21 +24,21 @@
 func forecast(all []*Waiter, w *Waiter, f *flow, now time.Time) Forecast {
 	leave, known := f.leaving(now)
 	if !known {
-		return Forecast{Hopeless: !now.Before(w.Last)}
+		return Forecast{Unservable: !now.Before(w.SendBy)}
 	}
 	before, total := 0, 0
 	for _, o := range all {
 		total += o.Tokens
-		if o != w && o.Rank.before(w.Rank, now) && o.competes(w.Ask) {
+		if o != w && o.Rank.before(w.Rank, now) && o.competes(w.Item) {
 			before += o.Tokens
 		}
 	}
-	out := Forecast{Clear: spell(total, leave)}
+	out := Forecast{ClearAfter: spell(total, leave)}
 	if start := now.Add(spell(before, leave)); !start.After(w.Rank.OnTime) {
 		return out
 	}
-	start := now.Add(spell(before, leave-f.coming(now, w.Ask)))
-	out.Hopeless = start.After(w.Last)
+	start := now.Add(spell(before, leave-f.coming(now, w.Item)))
+	out.Unservable = start.After(w.SendBy)
 	return out
 }
 
--- a/internal/serve/line/line.go
+++ b/internal/serve/waitqueue/line.go
@@ -1,4 +1,4 @@
-package line
+package waitqueue
 
 import (
 	"context"
@@ -11,63 +11,63 @@
 // small requests pass one that needs much room.
 const mostWoken = 12
 
-// LookInterval is how long a waiter rests at most before it looks again what it can expect.
-const LookInterval = 100 * time.Millisecond
+// RecheckInterval is how long a waiter rests at most before it looks again what it can expect.
+const RecheckInterval = 100 * time.Millisecond
 
-// Line is those who wait.
-type Line interface {
+// Queue is those who wait.
+type Queue interface {
 	// Wait returns when the waiter may try again, or after a rest, or when ctx ends.
-	Wait(ctx context.Context, w *Waiter, rest time.Duration) Wake
+	Wait(ctx context.Context, w *Waiter, rest time.Duration) WakeReason
 	// Enter adds a waiter and Leave takes it out; sent says that its request went to an engine.
-	Enter(a Ask) *Waiter
+	Enter(a Item) *Waiter
 	Leave(w *Waiter, sent bool)
-	// Direct notes a request that was sent without waiting.
-	Direct(a Ask)
+	// RecordImmediate notes a request that was sent without waiting.
+	RecordImmediate(a Item)
 	// Forecast returns what the waiter can expect.
 	Forecast(w *Waiter) Forecast
-	// Changed lets those in front try again: this entry has made room.
-	Changed()
-	// ChangedElsewhere does so when all entries hear of room at the same moment.
-	ChangedElsewhere()
-	// Tokens returns the room that waiters want, by their urgency.
-	Tokens() map[int]int
+	// LocalCapacityFreed lets those in front try again: this entry has made room.
+	LocalCapacityFreed()
+	// SharedCapacityFreed does so when all entries hear of room at the same moment.
+	SharedCapacityFreed()
+	// WaitingTokens returns the room that waiters want, by their urgency.
+	WaitingTokens() map[int]int
 	// Len returns how many wait.
 	Len() int
 }
 
-// Wake is why a wait has ended.
-type Wake uint8
+// WakeReason is why a wait has ended.
+type WakeReason uint8
 
 const (
-	// Ended means that the context has.
-	Ended Wake = iota
-	// Look means that nothing has changed for a while.
-	Look
-	// Room means that there may be room, of which this entry knows first.
-	Room
-	// RoomElsewhere means that there may be room, of which all entries hear at the same moment.
-	RoomElsewhere
+	// ContextDone means that the context has.
+	ContextDone WakeReason = iota
+	// Recheck means that nothing has changed for a while.
+	Recheck
+	// LocalCapacity means that there may be room, of which this entry knows first.
+	LocalCapacity
+	// SharedCapacity means that there may be room, of which all entries hear at the same moment.
+	SharedCapacity
 )
 
-// Ask is what a request waits for.
-type Ask struct {
+// Item is what a request waits for.
+type Item struct {
 	// Rank says who goes first.
 	Rank Rank
 	// Tokens is the room that the request takes at an engine.
 	Tokens int
-	// Last is until when it must be sent for its caller to get the answer.
-	Last time.Time
+	// SendBy is until when it must be sent for its caller to get the answer.
+	SendBy time.Time
 }
 
 // competes returns whether the request stands in the way of b when it goes first.
-func (a Ask) competes(b Ask) bool {
+func (a Item) competes(b Item) bool {
 	return a.Tokens <= largerTimes*b.Tokens
 }
 
 // Waiter is one who waits.
 type Waiter struct {
-	Ask
-	wake chan Wake
+	Item
+	wake chan WakeReason
 }
 
 type line struct {
@@ -77,13 +77,13 @@
 }
 
 // New returns an empty Line.
-func New() Line {
+func New() Queue {
 	return &line{}
 }
 
 // Enter implements Line.
-func (l *line) Enter(a Ask) *Waiter {
-	w := &Waiter{Ask: a, wake: make(chan Wake, 1)}
+func (l *line) Enter(a Item) *Waiter {
+	w := &Waiter{Item: a, wake: make(chan WakeReason, 1)}
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,8 +107,8 @@
 	l.flow.pass(now, len(l.waiters) > 0)
 }
 
-// Direct implements Line.
-func (l *line) Direct(a Ask) {
+// RecordImmediate implements Line.
+func (l *line) RecordImmediate(a Item) {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -127,26 +127,26 @@
 }
 
 // Wait implements Line.
-func (l *line) Wait(ctx context.Context, w *Waiter, rest time.Duration) Wake {
+func (l *line) Wait(ctx context.Context, w *Waiter, rest time.Duration) WakeReason {
 	look := time.NewTimer(rest)
 	defer look.Stop()
 	select {
 	case why := <-w.wake:
 		return why
 	case <-look.C:
-		return Look
+		return Recheck
 	case <-ctx.Done():
-		return Ended
+		return ContextDone
 	}
 }
 
-// Changed implements Line.
-func (l *line) Changed() {
-	l.wakeFront(Room)
+// LocalCapacityFreed implements Line.
+func (l *line) LocalCapacityFreed() {
+	l.wakeFront(LocalCapacity)
 }
 
 // wakeFront wakes those in front.
-func (l *line) wakeFront(why Wake) {
+func (l *line) wakeFront(why WakeReason) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.waiters) == 0 {
@@ -170,9 +170,9 @@
 	}
 }
 
-// ChangedElsewhere implements Line.
-func (l *line) ChangedElsewhere() {
-	l.wakeFront(RoomElsewhere)
+// SharedCapacityFreed implements Line.
+func (l *line) SharedCapacityFreed() {
+	l.wakeFront(SharedCapacity)
 }
 
 // Len implements Line.
@@ -182,13 +182,13 @@
 	return len(l.waiters)
 }
 
-// Tokens implements Line.
-func (l *line) Tokens() map[int]int {
+// WaitingTokens implements Line.
+func (l *line) WaitingTokens() map[int]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	all := map[int]int{}
 	for _, w := range l.waiters {
-		all[w.Rank.Urgency] += w.Ask.Tokens
+		all[w.Rank.Urgency] += w.Item.Tokens
 	}
 	return all
 }
--- a/internal/serve/line/line_test.go
+++ b/internal/serve/waitqueue/line_test.go
@@ -1,4 +1,4 @@
-package line
+package waitqueue
 
 import (
 	"context"
@@ -28,12 +28,12 @@
 	l, began := New(), time.Now()
 	var all []*Waiter
 	for i := range mostWoken + 1 {
-		all = append(all, l.Enter(Ask{Rank: Rank{OnTime: began.Add(time.Hour + time.Duration(i))}}))
+		all = append(all, l.Enter(Item{Rank: Rank{OnTime: began.Add(time.Hour + time.Duration(i))}}))
 	}
-	l.Changed()
+	l.LocalCapacityFreed()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
-	if l.Wait(ctx, all[0], time.Minute) != Room || l.Wait(ctx, all[mostWoken], time.Minute) != Ended {
+	if l.Wait(ctx, all[0], time.Minute) != LocalCapacity || l.Wait(ctx, all[mostWoken], time.Minute) != ContextDone {
 		t.Error("not those in front were woken")
 	}
 	l.Leave(all[0], false)
@@ -52,7 +52,7 @@
 	for _, x := range []struct{ rooms, waiting int }{{1, 7}, {1, 73}, {20, 73}, {90, 73}, {1, 1}} {
 		went := 0
 		for range rounds * x.waiting {
-			if Turn(x.rooms*size, x.waiting*size, time.Second, time.Second, r.Float64()) {
+			if Admit(x.rooms*size, x.waiting*size, time.Second, time.Second, r.Float64()) {
 				went++
 			}
 		}
@@ -73,7 +73,7 @@
 	r := rand.New(rand.NewPCG(5, 5))
 	went := 0
 	for range rounds * looks * waiting {
-		if Turn(size, waiting*size, pause, looks*pause, r.Float64()) {
+		if Admit(size, waiting*size, pause, looks*pause, r.Float64()) {
 			went++
 		}
 	}
@@ -85,16 +85,16 @@
 // A waiter must know whether others hear of the same room.
 func TestWhoWakesIsTold(t *testing.T) {
 	l := New()
-	w := l.Enter(Ask{})
-	l.ChangedElsewhere()
-	if why := l.Wait(t.Context(), w, time.Minute); why != RoomElsewhere {
+	w := l.Enter(Item{})
+	l.SharedCapacityFreed()
+	if why := l.Wait(t.Context(), w, time.Minute); why != SharedCapacity {
 		t.Errorf("woken by %d", why)
 	}
-	l.Changed()
-	if why := l.Wait(t.Context(), w, time.Minute); why != Room {
+	l.LocalCapacityFreed()
+	if why := l.Wait(t.Context(), w, time.Minute); why != LocalCapacity {
 		t.Errorf("woken by %d", why)
 	}
-	if why := l.Wait(t.Context(), w, time.Millisecond); why != Look {
+	if why := l.Wait(t.Context(), w, time.Millisecond); why != Recheck {
 		t.Errorf("woken by %d", why)
 	}
 }
--- a/internal/serve/line/load_test.go
+++ b/internal/serve/waitqueue/load_test.go
@@ -1,4 +1,4 @@
-package line
+package waitqueue
 
 import (
 	"math/rand/v2"
@@ -93,22 +93,22 @@
 }
 
 // pass takes one request through the line as an entry does.
-func pass(t *testing.T, l Line, pool *engines, tokens int) outcome {
+func pass(t *testing.T, l Queue, pool *engines, tokens int) outcome {
 	arrived := time.Now()
-	a := Ask{Rank: Rank{OnTime: arrived.Add(target)}, Tokens: tokens, Last: arrived.Add(patience)}
+	a := Item{Rank: Rank{OnTime: arrived.Add(target)}, Tokens: tokens, SendBy: arrived.Add(patience)}
 	o := outcome{tokens: tokens}
 	at := pool.take(tokens)
 	if at >= 0 {
-		l.Direct(a)
+		l.RecordImmediate(a)
 	} else {
 		w := l.Enter(a)
 		for at < 0 {
 			f := l.Forecast(w)
-			if f.Hopeless {
-				o.clear = f.Clear
+			if f.Unservable {
+				o.clear = f.ClearAfter
 				break
 			}
-			if l.Wait(t.Context(), w, LookInterval) == Room {
+			if l.Wait(t.Context(), w, RecheckInterval) == LocalCapacity {
 				at = pool.take(tokens)
 			}
 		}
@@ -118,7 +118,7 @@
 	if o.sent {
 		time.Sleep(run)
 		pool.give(at, tokens)
-		l.Changed()
+		l.LocalCapacityFreed()
 	}
 	return o
 }
--- a/internal/serve/line/rank.go
+++ b/internal/serve/waitqueue/rank.go
@@ -1,4 +1,4 @@
-package line
+package waitqueue
 
 import "time"
 
--- a/internal/site/directory/directory.go
+++ b/internal/site/directory/directory.go
@@ -41,7 +41,7 @@
 		return false, false
 	}
 	d.rows[s.ID] = s
-	if known && s.Same(o) {
+	if known && s.SameRouting(o) {
 		return true, false
 	}
 	d.view.Store(newView(d.rows))
--- a/internal/site/directory/directory_test.go
+++ b/internal/site/directory/directory_test.go
@@ -13,11 +13,11 @@
 // off when it ends.
 func TestLateAnnouncementDoesNotBringBackALeavingServer(t *testing.T) {
 	d := New()
-	d.Merge(Server{ID: "a", Born: 1, Sequence: 4, State: Leaving, Service: "s"})
-	if newer, _ := d.Merge(Server{ID: "a", Born: 1, Sequence: 5, Service: "s"}); newer || len(d.View().Service("s")) != 0 {
+	d.Merge(Server{ID: "a", StartedAt: 1, Sequence: 4, State: Leaving, Service: "s"})
+	if newer, _ := d.Merge(Server{ID: "a", StartedAt: 1, Sequence: 5, Service: "s"}); newer || len(d.View().Service("s")) != 0 {
 		t.Error("the server takes requests again")
 	}
-	if newer, _ := d.Merge(Server{ID: "a", Born: 2, Sequence: 1, Service: "s"}); !newer || len(d.View().Service("s")) != 1 {
+	if newer, _ := d.Merge(Server{ID: "a", StartedAt: 2, Sequence: 1, Service: "s"}); !newer || len(d.View().Service("s")) != 1 {
 		t.Error("a new start under the same id is not used")
 	}
 }
@@ -27,8 +27,8 @@
 // service.
 func TestLatestStartOwnsTheAddress(t *testing.T) {
 	d := New()
-	d.Merge(Server{ID: "new", Born: 9, Sequence: 1, Service: "b", Address: "1:1"})
-	d.Merge(Server{ID: "old", Born: 3, Sequence: 70, Service: "a", Address: "1:1"})
+	d.Merge(Server{ID: "new", StartedAt: 9, Sequence: 1, Service: "b", Address: "1:1"})
+	d.Merge(Server{ID: "old", StartedAt: 3, Sequence: 70, Service: "a", Address: "1:1"})
 	if len(d.View().Service("a")) != 0 || len(d.View().Service("b")) != 1 {
 		t.Error("the old server still has the address")
 	}
@@ -42,7 +42,7 @@
 		forward, backward := New(), New()
 		rows := make([]Server, len(steps))
 		for i, s := range steps {
-			rows[i] = Server{ID: "a", Born: int64(s % 3), Sequence: int64(s / 3 % 5), State: State(s / 15 % 3), Silent: s/45%2 == 1}
+			rows[i] = Server{ID: "a", StartedAt: int64(s % 3), Sequence: int64(s / 3 % 5), State: State(s / 15 % 3), Silent: s/45%2 == 1}
 		}
 		for i := range rows {
 			forward.Merge(rows[i])
@@ -50,7 +50,7 @@
 		}
 		a, _ := forward.Get("a")
 		b, _ := backward.Get("a")
-		return a.Same(b) && a.Sequence == b.Sequence
+		return a.SameRouting(b) && a.Sequence == b.Sequence
 	}, gen.SliceOf(gen.UInt16()), gen.Int()))
 	p.TestingRun(t)
 }
--- a/internal/site/directory/server.go
+++ b/internal/site/directory/server.go
@@ -9,8 +9,8 @@
 	_ struct{} `cbor:",toarray"`
 	// ID names the server; it may return under the same one after a restart.
 	ID string
-	// Born is the start of the incarnation in Unix milliseconds; a later start is another server.
-	Born int64
+	// StartedAt is the start of the incarnation in Unix milliseconds; a later start is another server.
+	StartedAt int64
 	// Sequence counts the announcements of the incarnation.
 	Sequence int64
 	// Service is the service that it belongs to.
@@ -27,8 +27,8 @@
 	State State
 	// Silent says that announcements have stopped coming.
 	Silent bool
-	// Cold is how long it stays slow after the announcement.
-	Cold time.Duration
+	// WarmUp is how long it stays slow after the announcement.
+	WarmUp time.Duration
 	// Models are the weights that it has.
 	Models []Weights
 	// Home is the control replica that it announces itself to.
@@ -78,8 +78,8 @@
 // must not bring back a server that others are told to leave alone.
 func (s Server) Newer(o Server) bool {
 	switch {
-	case s.Born != o.Born:
-		return s.Born > o.Born
+	case s.StartedAt != o.StartedAt:
+		return s.StartedAt > o.StartedAt
 	case s.State != o.State:
 		return s.State > o.State
 	case s.Sequence != o.Sequence:
@@ -88,8 +88,8 @@
 	return s.Silent && !o.Silent
 }
 
-// Same returns whether o tells routing nothing that s does not.
-func (s Server) Same(o Server) bool {
+// SameRouting returns whether o tells routing nothing that s does not.
+func (s Server) SameRouting(o Server) bool {
 	if len(s.Models) != len(o.Models) {
 		return false
 	}
@@ -98,6 +98,6 @@
 			return false
 		}
 	}
-	return s.ID == o.ID && s.Born == o.Born && s.Service == o.Service && s.Address == o.Address && s.Zone == o.Zone &&
-		s.Slots == o.Slots && s.State == o.State && s.Silent == o.Silent && s.Home == o.Home && (s.Cold > 0) == (o.Cold > 0)
+	return s.ID == o.ID && s.StartedAt == o.StartedAt && s.Service == o.Service && s.Address == o.Address && s.Zone == o.Zone &&
+		s.Slots == o.Slots && s.State == o.State && s.Silent == o.Silent && s.Home == o.Home && (s.WarmUp > 0) == (o.WarmUp > 0)
 }
--- a/internal/site/directory/view.go
+++ b/internal/site/directory/view.go
@@ -26,7 +26,7 @@
 	latest := map[string]Server{}
 	for _, s := range rows {
 		v.servers[s.ID] = s
-		if o, ok := latest[s.Address]; !ok || s.Born > o.Born {
+		if o, ok := latest[s.Address]; !ok || s.StartedAt > o.StartedAt {
 			latest[s.Address] = s
 		}
 	}
--- a/internal/site/document/document.go
+++ b/internal/site/document/document.go
@@ -2,8 +2,8 @@
 
 // Document is one complete, immutable description of a site.
 type Document struct {
-	// Number orders documents; the highest one is in force.
-	Number int64 `cbor:"number"`
+	// Revision orders documents; the highest one is in force.
+	Revision int64 `cbor:"number"`
 	// Routes say where requests go.
 	Routes []Route `cbor:"routes"`
 	// Services are the groups of equal backend servers.
--- a/internal/site/document/document_test.go
+++ b/internal/site/document/document_test.go
@@ -8,7 +8,7 @@
 
 func valid() Document {
 	return Document{
-		Number:   3,
+		Revision: 3,
 		Services: []Service{{Name: "a"}, {Name: "b"}},
 		Routes: []Route{
 			{Name: "wide", Host: "h", Prefix: "/x/", Kind: Idempotent, Timeout: time.Second, Shares: []Share{{"a", 1}}},
--- a/internal/site/document/route.go
+++ b/internal/site/document/route.go
@@ -14,10 +14,10 @@
 	Kind Kind `cbor:"kind"`
 	// Timeout is the longest time that a request is kept waiting.
 	Timeout time.Duration `cbor:"timeout"`
-	// Target is the latency within which an answer has its full worth; for streams up to the first event.
-	Target time.Duration `cbor:"target"`
-	// Gap is the longest pause between events at which a stream is on time; zero for none.
-	Gap time.Duration `cbor:"gap"`
+	// LatencyTarget is the latency within which an answer has its full worth; for streams up to the first event.
+	LatencyTarget time.Duration `cbor:"target"`
+	// EventGapTarget is the longest pause between events at which a stream is on time; zero for none.
+	EventGapTarget time.Duration `cbor:"gap"`
 	// Silence is how long callers of a stream wait for its next event, the first one too, before they leave; zero where it isn't known.
 	Silence time.Duration `cbor:"silence"`
 	// Priority is the rank, 0 the most urgent.
--- a/internal/site/document/store.go
+++ b/internal/site/document/store.go
@@ -10,12 +10,12 @@
 	Address string `cbor:"address"`
 	// Zone is its availability zone.
 	Zone string `cbor:"zone"`
-	// Tokens is its room.
-	Tokens int `cbor:"tokens"`
+	// CapacityTokens is its room.
+	CapacityTokens int `cbor:"tokens"`
 	// LinkRate is what its link carries, in bytes per second.
 	LinkRate float64 `cbor:"link-rate"`
-	// First is what each transfer waits at least.
-	First time.Duration `cbor:"first"`
+	// Latency is what each transfer waits at least.
+	Latency time.Duration `cbor:"first"`
 	// Managed says that it keeps parts until they are freed.
 	Managed bool `cbor:"managed"`
 	// MaxFeeds is how many polls for cache events it holds at once.
--- a/internal/site/host/host.go
+++ b/internal/site/host/host.go
@@ -36,8 +36,8 @@
 	Grace time.Duration
 	// Lease is how long the giver of orders counts after its last sign of life.
 	Lease time.Duration
-	// Weights is how long after new weights were named no request may begin on older ones; zero for no bound.
-	Weights time.Duration
+	// WeightsDeadline is how long after new weights were named no request may begin on older ones; zero for no bound.
+	WeightsDeadline time.Duration
 	// RetryRatio is the part of a service's requests that may be repeated within RetryWindow.
 	RetryRatio float64
 	// RetryWindow is the span that repeats are counted in.
--- a/internal/site/parts/memory.go
+++ b/internal/site/parts/memory.go
@@ -30,9 +30,9 @@
 	Since time.Time
 }
 
-// Memory tells what lies in the memory of engines: by what they say of
+// Residency tells what lies in the memory of engines: by what they say of
 // themselves, and where that isn't known by the requests that were sent there.
-type Memory interface {
+type Residency interface {
 	// Note remembers that an engine of so many tokens reads the part.
 	Note(server, salt, part string, tokens, capacity int, now time.Time)
 	// Confirm takes what an engine says that it keeps: the tokens of each part of at
@@ -53,8 +53,8 @@
 	holders map[uint64][]string
 }
 
-// NewMemory returns a Memory of nothing.
-func NewMemory() Memory {
+// NewResidency returns a Memory of nothing.
+func NewResidency() Residency {
 	return &memory{engines: map[string]*engine{}, holders: map[uint64][]string{}}
 }
 
--- a/internal/site/parts/memory_test.go
+++ b/internal/site/parts/memory_test.go
@@ -11,7 +11,7 @@
 // prompts. An entry that believes it there sends the next prompt to it for
 // nothing, and the part is read again beside a store that has it.
 func TestOldPartsAreForgotten(t *testing.T) {
-	m, now := NewMemory(), time.Unix(1, 0)
+	m, now := NewResidency(), time.Unix(1, 0)
 	for _, id := range []string{"a", "b", "c"} {
 		m.Note("s", "x", id, 300, 1000, now)
 	}
@@ -34,7 +34,7 @@
 // counts for more, in both directions.
 func TestEnginesOwnWordCountsForMore(t *testing.T) {
 	const least, size = 1000, 4000
-	m, now := NewMemory(), time.Unix(1, 0)
+	m, now := NewResidency(), time.Unix(1, 0)
 	part := stores.Part{Salt: "x", ID: "a"}
 	m.Note("s", "x", "a", size, 100_000, now)
 	m.Confirm("s", map[uint64]int{part.Hash(): size}, least)
--- a/internal/site/board/board.go
+++ b/internal/site/rowtable/board.go
@@ -1,4 +1,4 @@
-package board
+package rowtable
 
 import (
 	"bytes"
@@ -16,16 +16,16 @@
 // rowBytes is what a row takes besides its key and value.
 const rowBytes = 8
 
-// Board is a set of rows with the numbers of their changes.
-type Board interface {
+// Table is a set of rows with the numbers of their changes.
+type Table interface {
 	// Epoch is a number that differs after each start of the process.
 	Epoch() uint64
 	// Put sets a row and returns the number of its last change; an equal value changes nothing.
 	Put(topic Topic, key string, value []byte) uint64
 	// Since returns the rows that changed after the given number, the oldest first, and the number up to which they go.
 	Since(number uint64) ([]Row, uint64)
-	// Behind returns whether there are changes after number.
-	Behind(number uint64) bool
+	// ChangedAfter returns whether there are changes after number.
+	ChangedAfter(number uint64) bool
 	// Wait returns once there is a change after number, or ctx ends.
 	Wait(ctx context.Context, number uint64)
 }
@@ -57,7 +57,7 @@
 }
 
 // New returns an empty Board.
-func New(epoch uint64) Board {
+func New(epoch uint64) Table {
 	return &board{epoch: epoch, rows: map[id]*entry{}, signal: make(chan struct{})}
 }
 
@@ -139,8 +139,8 @@
 	return low
 }
 
-// Behind implements Board.
-func (b *board) Behind(number uint64) bool {
+// ChangedAfter implements Board.
+func (b *board) ChangedAfter(number uint64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.last > number
--- a/internal/site/board/board_test.go
+++ b/internal/site/rowtable/board_test.go
@@ -1,4 +1,4 @@
-package board
+package rowtable
 
 import (
 	"context"
--- a/internal/site/board/row.go
+++ b/internal/site/rowtable/row.go
@@ -1,4 +1,4 @@
-package board
+package rowtable
 
 // Row is one piece of what a replica believes.
 type Row struct {
