--- a/internal/site/section/command.go
+++ b/internal/site/section/command.go
@@ -14,8 +14,8 @@
 	Put *Put `cbor:"put,omitempty"`
 	// PutChunks brings a document into force.
 	PutChunks *PutChunks `cbor:"put-chunks,omitempty"`
-	// NameVersion names new weights.
-	NameVersion *NameVersion `cbor:"name-version,omitempty"`
+	// SetTargetVersion names new weights.
+	SetTargetVersion *SetTargetVersion `cbor:"name-version,omitempty"`
 }
 
 // Put brings a document into force unless one with its number or a higher one is.
@@ -32,16 +32,16 @@
 // A log entry with all of a large document takes the leader's link for longer than
 // heartbeats may be late, and another replica is elected while it is under way.
 type PutChunks struct {
-	// Number is the document's.
-	Number int64 `cbor:"number"`
+	// Revision is the document's.
+	Revision int64 `cbor:"number"`
 	// Document is the decoded document, checked before it is proposed, in its encoding.
 	Document []chunk.Chunk `cbor:"document"`
 	// Source is what the operator sent; reads return it unchanged.
 	Source []chunk.Chunk `cbor:"source"`
 }
 
-// NameVersion names the weights that the engines shall have.
-type NameVersion struct {
+// SetTargetVersion names the weights that the engines shall have.
+type SetTargetVersion struct {
 	// Model is the model.
 	Model string `cbor:"model"`
 	// Version is the number of its weights; a lower one than the present changes nothing.
@@ -54,10 +54,10 @@
 type Result struct {
 	// Taken says that the command was read; also one that changed nothing is.
 	Taken bool `cbor:"taken"`
-	// Lacking says that the command left out chunks that aren't held any more; it has changed nothing and is sent again with all of them.
-	Lacking bool `cbor:"lacking,omitempty"`
+	// MissingChunks says that the command left out chunks that aren't held any more; it has changed nothing and is sent again with all of them.
+	MissingChunks bool `cbor:"lacking,omitempty"`
 	// Changed says that the state is another one now.
 	Changed bool `cbor:"changed"`
-	// Number is the number of the document in force.
-	Number int64 `cbor:"number"`
+	// Revision is the number of the document in force.
+	Revision int64 `cbor:"number"`
 }
--- a/internal/site/section/held.go
+++ b/internal/site/section/held.go
@@ -6,8 +6,8 @@
 	"hornbeamwood/internal/site/document"
 )
 
-// Held is the document in force; it is immutable.
-type Held struct {
+// ActiveDocument is the document in force; it is immutable.
+type ActiveDocument struct {
 	// Document is the decoded document.
 	Document document.Document
 	// Chunks hold the document's encoding.
@@ -18,16 +18,16 @@
 }
 
 // newHeld decodes a document from its chunks.
-func newHeld(encoded, source []chunk.Chunk) (Held, error) {
+func newHeld(encoded, source []chunk.Chunk) (ActiveDocument, error) {
 	text, err := chunk.Join(encoded)
 	if err != nil {
-		return Held{}, err
+		return ActiveDocument{}, err
 	}
 	d, err := codec.Unmarshal[document.Document](text)
 	if err != nil {
-		return Held{}, err
+		return ActiveDocument{}, err
 	}
-	h := Held{Document: d, Chunks: encoded, source: source, byName: map[chunk.Digest]chunk.Chunk{}}
+	h := ActiveDocument{Document: d, Chunks: encoded, source: source, byName: map[chunk.Digest]chunk.Chunk{}}
 	for _, all := range [][]chunk.Chunk{encoded, source} {
 		for _, c := range all {
 			h.byName[c.Digest] = c
@@ -37,18 +37,18 @@
 }
 
 // Source returns what the operator sent.
-func (h Held) Source() ([]byte, error) {
+func (h ActiveDocument) Source() ([]byte, error) {
 	return chunk.Join(h.source)
 }
 
 // Chunk returns a chunk of the document or of its source by its name.
-func (h Held) Chunk(d chunk.Digest) (chunk.Chunk, bool) {
+func (h ActiveDocument) Chunk(d chunk.Digest) (chunk.Chunk, bool) {
 	c, ok := h.byName[d]
 	return c, ok
 }
 
 // fill returns the chunks with the data that the command left out, and false if some of it isn't held.
-func (h Held) fill(all []chunk.Chunk) ([]chunk.Chunk, bool) {
+func (h ActiveDocument) fill(all []chunk.Chunk) ([]chunk.Chunk, bool) {
 	filled := make([]chunk.Chunk, 0, len(all))
 	for _, c := range all {
 		if len(c.Data) == 0 {
--- a/internal/site/section/put.go
+++ b/internal/site/section/put.go
@@ -7,12 +7,12 @@
 )
 
 // NewPutChunks returns the command that brings d into force where h is: without the data of the chunks that both share.
-func NewPutChunks(d document.Document, source []byte, h Held) (PutChunks, error) {
+func NewPutChunks(d document.Document, source []byte, h ActiveDocument) (PutChunks, error) {
 	encoded, err := codec.Marshal(d)
 	if err != nil {
 		return PutChunks{}, err
 	}
-	p := PutChunks{Number: d.Number}
+	p := PutChunks{Revision: d.Revision}
 	if p.Document, err = cut(encoded, h); err != nil {
 		return PutChunks{}, err
 	}
@@ -20,7 +20,7 @@
 	return p, err
 }
 
-func cut(text []byte, h Held) ([]chunk.Chunk, error) {
+func cut(text []byte, h ActiveDocument) ([]chunk.Chunk, error) {
 	return chunk.Cut(text, func(d chunk.Digest) (chunk.Chunk, bool) {
 		c, ok := h.Chunk(d)
 		return c.WithoutData(), ok
--- a/internal/site/section/section.go
+++ b/internal/site/section/section.go
@@ -15,12 +15,12 @@
 // Section holds the operator's document and the named versions.
 type Section interface {
 	state.Section
-	// Held returns the document in force and false while there is none.
-	Held() (Held, bool)
-	// Versions returns the named version of each model.
-	Versions() map[string]int64
-	// NamedAt returns when each model's version was named by the servers' clock in Unix milliseconds, where that is known.
-	NamedAt() map[string]int64
+	// Active returns the document in force and false while there is none.
+	Active() (ActiveDocument, bool)
+	// TargetVersions returns the named version of each model.
+	TargetVersions() map[string]int64
+	// TargetVersionTimes returns when each model's version was named by the servers' clock in Unix milliseconds, where that is known.
+	TargetVersionTimes() map[string]int64
 }
 
 // Config is what a Section is made from.
@@ -33,7 +33,7 @@
 	config Config
 	mu     sync.RWMutex
 	// held is the document in force, nil while there is none.
-	held     *Held
+	held     *ActiveDocument
 	versions map[string]int64
 	namedAt  map[string]int64
 }
@@ -82,11 +82,11 @@
 		r = s.putWhole(*c.Put)
 	case c.PutChunks != nil:
 		r = s.put(*c.PutChunks)
-	case c.NameVersion != nil:
-		r = s.nameVersion(*c.NameVersion)
+	case c.SetTargetVersion != nil:
+		r = s.nameVersion(*c.SetTargetVersion)
 	}
 	if s.held != nil {
-		r.Number = s.held.Document.Number
+		r.Revision = s.held.Document.Revision
 	}
 	return r
 }
@@ -97,17 +97,17 @@
 // is answered like the first time and changes nothing: an older document that
 // arrives late would otherwise undo a newer one.
 func (s *section) put(p PutChunks) Result {
-	var before Held
+	var before ActiveDocument
 	if s.held != nil {
 		before = *s.held
 	}
-	if s.held != nil && p.Number <= before.Document.Number {
+	if s.held != nil && p.Revision <= before.Document.Revision {
 		return Result{Taken: true}
 	}
 	encoded, whole := before.fill(p.Document)
 	source, sourceWhole := before.fill(p.Source)
 	if !whole || !sourceWhole {
-		return Result{Taken: true, Lacking: true}
+		return Result{Taken: true, MissingChunks: true}
 	}
 	h, err := newHeld(encoded, source)
 	if err != nil {
@@ -119,14 +119,14 @@
 
 // putWhole takes a document as logs of earlier releases hold it.
 func (s *section) putWhole(p Put) Result {
-	c, err := NewPutChunks(p.Document, p.Source, Held{})
+	c, err := NewPutChunks(p.Document, p.Source, ActiveDocument{})
 	if err != nil {
 		return Result{}
 	}
 	return s.put(c)
 }
 
-func (s *section) nameVersion(n NameVersion) Result {
+func (s *section) nameVersion(n SetTargetVersion) Result {
 	if n.Model == "" || n.Version <= s.versions[n.Model] {
 		return Result{Taken: n.Model != ""}
 	}
@@ -144,25 +144,25 @@
 	}
 }
 
-// Held implements Section.
-func (s *section) Held() (Held, bool) {
+// Active implements Section.
+func (s *section) Active() (ActiveDocument, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	if s.held == nil {
-		return Held{}, false
+		return ActiveDocument{}, false
 	}
 	return *s.held, true
 }
 
-// Versions implements Section.
-func (s *section) Versions() map[string]int64 {
+// TargetVersions implements Section.
+func (s *section) TargetVersions() map[string]int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return maps.Clone(s.versions)
 }
 
-// NamedAt implements Section.
-func (s *section) NamedAt() map[string]int64 {
+// TargetVersionTimes implements Section.
+func (s *section) TargetVersionTimes() map[string]int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return maps.Clone(s.namedAt)
@@ -179,7 +179,7 @@
 	defer s.mu.RUnlock()
 	i := image{Versions: s.versions, NamedAt: s.namedAt}
 	if s.held != nil {
-		i.Chunks = &PutChunks{Number: s.held.Document.Number, Document: s.held.Chunks, Source: s.held.source}
+		i.Chunks = &PutChunks{Revision: s.held.Document.Revision, Document: s.held.Chunks, Source: s.held.source}
 	}
 	return codec.Marshal(i)
 }
@@ -208,10 +208,10 @@
 }
 
 // held returns the document of a snapshot, nil where there is none.
-func (i image) held() (*Held, error) {
+func (i image) held() (*ActiveDocument, error) {
 	c := i.Chunks
 	if i.Held != nil {
-		whole, err := NewPutChunks(i.Held.Document, i.Held.Source, Held{})
+		whole, err := NewPutChunks(i.Held.Document, i.Held.Source, ActiveDocument{})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/site/section/section_test.go
+++ b/internal/site/section/section_test.go
@@ -29,8 +29,8 @@
 		{8, "eight", false, "nine"},
 	}
 	for _, p := range steps {
-		h, _ := s.Held()
-		r := apply(t, s, put(t, document.Document{Number: p.number}, p.source, h))
+		h, _ := s.Active()
+		r := apply(t, s, put(t, document.Document{Revision: p.number}, p.source, h))
 		if got := source(t, s); !r.Taken || r.Changed != p.changed || got != p.held {
 			t.Errorf("%d %s: %+v, held %s", p.number, p.source, r, got)
 		}
@@ -41,9 +41,9 @@
 // was accepted meanwhile must be in force there as well.
 func TestSnapshotHoldsEverything(t *testing.T) {
 	s := New(Config{})
-	apply(t, s, put(t, document.Document{Number: 4}, "x", Held{}))
-	apply(t, s, Command{NameVersion: &NameVersion{Model: "m", Version: 3}})
-	apply(t, s, Command{NameVersion: &NameVersion{Model: "m", Version: 2}})
+	apply(t, s, put(t, document.Document{Revision: 4}, "x", ActiveDocument{}))
+	apply(t, s, Command{SetTargetVersion: &SetTargetVersion{Model: "m", Version: 3}})
+	apply(t, s, Command{SetTargetVersion: &SetTargetVersion{Model: "m", Version: 2}})
 	b, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -53,9 +53,9 @@
 	if err := o.Restore(b); err != nil {
 		t.Fatal(err)
 	}
-	h, ok := o.Held()
-	if !ok || h.Document.Number != 4 || source(t, o) != "x" || o.Versions()["m"] != 3 || !told {
-		t.Errorf("restored %+v %v %v", h, o.Versions(), told)
+	h, ok := o.Active()
+	if !ok || h.Document.Revision != 4 || source(t, o) != "x" || o.TargetVersions()["m"] != 3 || !told {
+		t.Errorf("restored %+v %v %v", h, o.TargetVersions(), told)
 	}
 }
 
@@ -63,14 +63,14 @@
 // another change has come in between, they aren't held any more and must be sent.
 func TestChangeOverAnotherDocumentIsSentWhole(t *testing.T) {
 	s := New(Config{})
-	apply(t, s, put(t, document.Document{Number: 1, Routes: routes(500)}, "one", Held{}))
-	h, _ := s.Held()
-	late := put(t, document.Document{Number: 3, Routes: routes(500)}, "three", h)
-	apply(t, s, put(t, document.Document{Number: 2}, "two", h))
-	if r := apply(t, s, late); !r.Lacking || r.Changed || source(t, s) != "two" {
+	apply(t, s, put(t, document.Document{Revision: 1, Routes: routes(500)}, "one", ActiveDocument{}))
+	h, _ := s.Active()
+	late := put(t, document.Document{Revision: 3, Routes: routes(500)}, "three", h)
+	apply(t, s, put(t, document.Document{Revision: 2}, "two", h))
+	if r := apply(t, s, late); !r.MissingChunks || r.Changed || source(t, s) != "two" {
 		t.Errorf("%+v, held %s", r, source(t, s))
 	}
-	if r := apply(t, s, put(t, document.Document{Number: 3, Routes: routes(500)}, "three", Held{})); !r.Changed || source(t, s) != "three" {
+	if r := apply(t, s, put(t, document.Document{Revision: 3, Routes: routes(500)}, "three", ActiveDocument{})); !r.Changed || source(t, s) != "three" {
 		t.Errorf("%+v, held %s", r, source(t, s))
 	}
 }
@@ -78,7 +78,7 @@
 // A replica is started with a new release on the data of an earlier one, whose
 // log and snapshots hold documents whole; none of them may be lost.
 func TestDocumentsOfEarlierReleasesAreRead(t *testing.T) {
-	whole := Put{Document: document.Document{Number: 6, Routes: routes(3)}, Source: []byte("six")}
+	whole := Put{Document: document.Document{Revision: 6, Routes: routes(3)}, Source: []byte("six")}
 	s := New(Config{})
 	if r := apply(t, s, Command{Put: &whole}); !r.Changed || source(t, s) != "six" {
 		t.Errorf("log: %+v, held %s", r, source(t, s))
@@ -91,7 +91,7 @@
 	if err := o.Restore(b); err != nil {
 		t.Fatal(err)
 	}
-	if h, _ := o.Held(); source(t, o) != "six" || len(h.Document.Routes) != 3 {
+	if h, _ := o.Active(); source(t, o) != "six" || len(h.Document.Routes) != 3 {
 		t.Errorf("snapshot: %+v", h.Document)
 	}
 }
@@ -101,10 +101,10 @@
 	const most = 64 << 10 // a document of 4,000 routes has ten times as much
 	s := New(Config{})
 	all := routes(4000)
-	apply(t, s, put(t, document.Document{Number: 1, Routes: all}, "one", Held{}))
-	h, _ := s.Held()
+	apply(t, s, put(t, document.Document{Revision: 1, Routes: all}, "one", ActiveDocument{}))
+	h, _ := s.Active()
 	all[2000].Prefix = "/other/"
-	b, err := codec.Marshal(put(t, document.Document{Number: 2, Routes: all}, "two", h))
+	b, err := codec.Marshal(put(t, document.Document{Revision: 2, Routes: all}, "two", h))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,7 +121,7 @@
 	return all
 }
 
-func put(t *testing.T, d document.Document, source string, h Held) Command {
+func put(t *testing.T, d document.Document, source string, h ActiveDocument) Command {
 	t.Helper()
 	c, err := NewPutChunks(d, []byte(source), h)
 	if err != nil {
@@ -132,7 +132,7 @@
 
 func source(t *testing.T, s Section) string {
 	t.Helper()
-	h, _ := s.Held()
+	h, _ := s.Active()
 	b, err := h.Source()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/site/stores/cache.go
+++ b/internal/site/stores/cache.go
@@ -1,7 +1,7 @@
 package stores
 
-// Cache is the account of an engine's memory, which drops parts by itself.
-type Cache struct {
+// EngineInventory is the account of an engine's memory, which drops parts by itself.
+type EngineInventory struct {
 	// least is the size in tokens from which on a part is followed.
 	least int
 
@@ -10,24 +10,24 @@
 	parts       map[uint64]int
 }
 
-// NewCache returns the account of an engine of which nothing is known yet.
-func NewCache(least int) *Cache {
-	return &Cache{least: least, parts: map[uint64]int{}}
+// NewEngineInventory returns the account of an engine of which nothing is known yet.
+func NewEngineInventory(least int) *EngineInventory {
+	return &EngineInventory{least: least, parts: map[uint64]int{}}
 }
 
 // Next returns where the next poll goes on.
-func (c *Cache) Next() int64 {
+func (c *EngineInventory) Next() int64 {
 	return c.next
 }
 
 // Parts returns the tokens that the engine keeps of each part, by the part's hash.
-func (c *Cache) Parts() map[uint64]int {
+func (c *EngineInventory) Parts() map[uint64]int {
 	return c.parts
 }
 
-// Take takes a feed and returns false when the whole must be listed, because
+// ApplyFeed takes a feed and returns false when the whole must be listed, because
 // something was lost or the engine has restarted since the last poll.
-func (c *Cache) Take(f Feed) bool {
+func (c *EngineInventory) ApplyFeed(f Feed) bool {
 	if f.Lost || c.begun && f.Epoch != c.epoch {
 		return false
 	}
@@ -38,8 +38,8 @@
 	return true
 }
 
-// TakeList takes a listing.
-func (c *Cache) TakeList(l Listing) {
+// ApplyListing takes a listing.
+func (c *EngineInventory) ApplyListing(l Listing) {
 	c.epoch, c.next, c.begun = l.Epoch, l.Next, true
 	clear(c.parts)
 	for p, tokens := range l.Held {
@@ -48,7 +48,7 @@
 }
 
 // set notes how much the engine keeps of a part; a part of which it drops the end keeps its beginning.
-func (c *Cache) set(p Part, tokens int) {
+func (c *EngineInventory) set(p Part, tokens int) {
 	if tokens < c.least {
 		delete(c.parts, p.Hash())
 		return
--- a/internal/site/stores/cache_test.go
+++ b/internal/site/stores/cache_test.go
@@ -7,19 +7,19 @@
 // nothing of them lies.
 func TestCacheIsListedAgain(t *testing.T) {
 	long, short := Part{Salt: "x", ID: "long"}, Part{Salt: "x", ID: "short"}
-	c := NewCache(1000)
+	c := NewEngineInventory(1000)
 	added := Feed{Epoch: 1, Next: 3, Changes: []Change{{long, true, 5000}, {short, true, 300}}}
-	if !c.Take(added) || len(c.Parts()) != 1 || c.Parts()[long.Hash()] != 5000 || c.Next() != 3 {
+	if !c.ApplyFeed(added) || len(c.Parts()) != 1 || c.Parts()[long.Hash()] != 5000 || c.Next() != 3 {
 		t.Fatalf("kept %v, next %d", c.Parts(), c.Next())
 	}
-	if !c.Take(Feed{Epoch: 1, Next: 4, Changes: []Change{{long, false, 2000}}}) || c.Parts()[long.Hash()] != 2000 {
+	if !c.ApplyFeed(Feed{Epoch: 1, Next: 4, Changes: []Change{{long, false, 2000}}}) || c.Parts()[long.Hash()] != 2000 {
 		t.Errorf("of a part that lost its end the engine keeps %d tokens", c.Parts()[long.Hash()])
 	}
-	if c.Take(Feed{Epoch: 1, Next: 9, Lost: true}) || c.Take(Feed{Epoch: 2, Next: 1}) {
+	if c.ApplyFeed(Feed{Epoch: 1, Next: 9, Lost: true}) || c.ApplyFeed(Feed{Epoch: 2, Next: 1}) {
 		t.Error("lost events or a restart passed for news")
 	}
-	c.TakeList(Listing{Epoch: 2, Next: 1, Held: map[Part]int{short: 300}})
-	if len(c.Parts()) != 0 || !c.Take(Feed{Epoch: 2, Next: 2}) {
+	c.ApplyListing(Listing{Epoch: 2, Next: 1, Held: map[Part]int{short: 300}})
+	if len(c.Parts()) != 0 || !c.ApplyFeed(Feed{Epoch: 2, Next: 2}) {
 		t.Errorf("after the list it still names %v", c.Parts())
 	}
 }
--- a/internal/site/stores/clock.go
+++ b/internal/site/stores/clock.go
@@ -22,8 +22,8 @@
 	return &Clock{start: time.Now()}
 }
 
-// Heard takes a reading that has just come, in Unix milliseconds; zero is none.
-func (c *Clock) Heard(millis int64) {
+// Observe takes a reading that has just come, in Unix milliseconds; zero is none.
+func (c *Clock) Observe(millis int64) {
 	if millis <= 0 {
 		return
 	}
--- a/internal/site/stores/part.go
+++ b/internal/site/stores/part.go
@@ -24,9 +24,9 @@
 // separator can't stand in addresses, salts or IDs, which travel in headers.
 const separator = "\x00"
 
-// Place is a part in a store by short names: rows about parts go to every entry,
+// PartLocation is a part in a store by short names: rows about parts go to every entry,
 // by the thousand after a loss of all processes, and full names are most of their bytes.
-type Place struct {
+type PartLocation struct {
 	// Store is the store's ShortAddress, Part the part's Hash.
 	Store uint32
 	Part  uint64
@@ -43,25 +43,25 @@
 var errPlace = errors.New("stores: a place can't be read")
 
 // Key returns the place as the key of a row.
-func (p Place) Key() string {
+func (p PartLocation) Key() string {
 	var b [placeBytes]byte
 	binary.BigEndian.PutUint32(b[:], p.Store)
 	binary.BigEndian.PutUint64(b[4:], p.Part)
 	return base64.RawStdEncoding.EncodeToString(b[:])
 }
 
-// ParsePlace returns the place of a row's key.
-func ParsePlace(key string) (Place, error) {
+// ParsePartLocation returns the place of a row's key.
+func ParsePartLocation(key string) (PartLocation, error) {
 	b, err := base64.RawStdEncoding.DecodeString(key)
 	if err != nil || len(b) != placeBytes {
-		return Place{}, errPlace
+		return PartLocation{}, errPlace
 	}
-	return Place{Store: binary.BigEndian.Uint32(b), Part: binary.BigEndian.Uint64(b[4:])}, nil
+	return PartLocation{Store: binary.BigEndian.Uint32(b), Part: binary.BigEndian.Uint64(b[4:])}, nil
 }
 
-// In returns the part's place in the store at address.
-func (p Part) In(address string) Place {
-	return Place{Store: ShortAddress(address), Part: p.Hash()}
+// AtStore returns the part's place in the store at address.
+func (p Part) AtStore(address string) PartLocation {
+	return PartLocation{Store: ShortAddress(address), Part: p.Hash()}
 }
 
 // Hash returns a short name of the part.
--- a/internal/site/stores/shelf.go
+++ b/internal/site/stores/shelf.go
@@ -38,11 +38,11 @@
 	number uint64
 }
 
-// Shelf is the account of one store.
-type Shelf struct {
+// StoreInventory is the account of one store.
+type StoreInventory struct {
 	// Address is the store's IP and port, Room what it can hold in tokens.
-	Address string
-	Room    int
+	Address  string
+	Capacity int
 
 	epoch, next int64
 	listed      bool
@@ -53,24 +53,24 @@
 	partial map[Part]bool
 }
 
-// NewShelf returns the account of a store of which nothing is known yet.
-func NewShelf(address string, room int) *Shelf {
-	return &Shelf{Address: address, Room: room, parts: map[Part]*placed{}, hashes: map[uint64]Part{}, partial: map[Part]bool{}}
+// NewStoreInventory returns the account of a store of which nothing is known yet.
+func NewStoreInventory(address string, room int) *StoreInventory {
+	return &StoreInventory{Address: address, Capacity: room, parts: map[Part]*placed{}, hashes: map[uint64]Part{}, partial: map[Part]bool{}}
 }
 
 // Next returns where the next poll goes on.
-func (s *Shelf) Next() int64 {
+func (s *StoreInventory) Next() int64 {
 	return s.next
 }
 
 // Epoch returns the store's present start.
-func (s *Shelf) Epoch() int64 {
+func (s *StoreInventory) Epoch() int64 {
 	return s.epoch
 }
 
-// Take takes a feed and returns the parts whose row changes and whether the
+// ApplyFeed takes a feed and returns the parts whose row changes and whether the
 // whole must be listed anew, because something was lost or the store has restarted.
-func (s *Shelf) Take(f Feed, now time.Time) (changed []Part, list bool) {
+func (s *StoreInventory) ApplyFeed(f Feed, now time.Time) (changed []Part, list bool) {
 	if !s.listed || f.Lost || f.Epoch != s.epoch {
 		return nil, true
 	}
@@ -83,7 +83,7 @@
 	return changed, false
 }
 
-func (s *Shelf) set(p Part, held bool, tokens int, now time.Time) bool {
+func (s *StoreInventory) set(p Part, held bool, tokens int, now time.Time) bool {
 	old, known := s.parts[p]
 	switch {
 	case held && !known:
@@ -97,20 +97,20 @@
 	return false
 }
 
-func (s *Shelf) remove(p Part) {
+func (s *StoreInventory) remove(p Part) {
 	delete(s.parts, p)
 	delete(s.hashes, p.Hash())
 }
 
-// Use notes that a part was asked for.
-func (s *Shelf) Use(hash uint64, now time.Time) {
+// Touch notes that a part was asked for.
+func (s *StoreInventory) Touch(hash uint64, now time.Time) {
 	if x, ok := s.parts[s.hashes[hash]]; ok {
 		x.used = now
 	}
 }
 
-// TakeList takes a listing and returns the parts whose row changes.
-func (s *Shelf) TakeList(l Listing, now time.Time) []Part {
+// ApplyListing takes a listing and returns the parts whose row changes.
+func (s *StoreInventory) ApplyListing(l Listing, now time.Time) []Part {
 	var changed []Part
 	for p := range s.parts {
 		if _, ok := l.Held[p]; !ok && s.set(p, false, 0, now) {
@@ -129,7 +129,7 @@
 
 // takePartial marks the parts that are not whole in two listings one after the
 // other: their writers have broken off, and they would keep their room for ever.
-func (s *Shelf) takePartial(l Listing, now time.Time) {
+func (s *StoreInventory) takePartial(l Listing, now time.Time) {
 	again := s.partial
 	s.partial = map[Part]bool{}
 	for p, reserved := range l.Partial {
@@ -142,8 +142,8 @@
 	}
 }
 
-// Whole returns the part's size and whether it may be fetched.
-func (s *Shelf) Whole(p Part) (int, bool) {
+// Fetchable returns the part's size and whether it may be fetched.
+func (s *StoreInventory) Fetchable(p Part) (int, bool) {
 	x, ok := s.parts[p]
 	if !ok || !x.withdrawn.IsZero() {
 		return 0, false
@@ -151,8 +151,8 @@
 	return x.tokens, true
 }
 
-// Used returns how many tokens the parts take, withdrawn ones included.
-func (s *Shelf) Used() int {
+// UsedTokens returns how many tokens the parts take, withdrawn ones included.
+func (s *StoreInventory) UsedTokens() int {
 	sum := 0
 	for _, x := range s.parts {
 		sum += (x.tokens + block - 1) / block * block
@@ -163,7 +163,7 @@
 // Withdraw marks the parts that unwanted returns true for, and while more than
 // share of the room is taken those that nobody has asked for in a long time, and
 // returns those newly marked. Entries are told at once; the parts are freed later.
-func (s *Shelf) Withdraw(unwanted func(Part) bool, share float64, now time.Time) []Part {
+func (s *StoreInventory) Withdraw(unwanted func(Part) bool, share float64, now time.Time) []Part {
 	var marked []Part
 	kept, staying := make([]Part, 0, len(s.parts)), 0
 	for p, x := range s.parts {
@@ -185,7 +185,7 @@
 	})
 	for _, p := range kept {
 		x := s.parts[p]
-		if float64(staying) <= share*float64(s.Room) || now.Sub(x.used) < idleBeforeFree {
+		if float64(staying) <= share*float64(s.Capacity) || now.Sub(x.used) < idleBeforeFree {
 			break
 		}
 		x.withdrawn = now
@@ -195,8 +195,8 @@
 	return marked
 }
 
-// Told notes the board's number with which entries were told of withdrawn parts.
-func (s *Shelf) Told(parts []Part, number uint64) {
+// MarkAnnounced notes the board's number with which entries were told of withdrawn parts.
+func (s *StoreInventory) MarkAnnounced(parts []Part, number uint64) {
 	for _, p := range parts {
 		if x, ok := s.parts[p]; ok {
 			x.number = number
@@ -204,21 +204,21 @@
 	}
 }
 
-// Freed notes that the store has dropped the parts; its own word may be lost.
-func (s *Shelf) Freed(parts []Part) {
+// Remove notes that the store has dropped the parts; its own word may be lost.
+func (s *StoreInventory) Remove(parts []Part) {
 	for _, p := range parts {
 		s.remove(p)
 	}
 }
 
-// Due returns the parts that nobody fetches any more. known is the board's
+// Freeable returns the parts that nobody fetches any more. known is the board's
 // number that all entries have which were heard within StaleAfter.
 //
 // A part freed while an engine still reads it would leave that engine with
 // memory of which nobody knows what is in it. An entry that has the news begins
 // no more fetches; one that hasn't, and is cut off, stops after StaleAfter. The
 // last fetch that either began has ended after FetchWindow.
-func (s *Shelf) Due(known uint64, now time.Time) []Part {
+func (s *StoreInventory) Freeable(known uint64, now time.Time) []Part {
 	var due []Part
 	for p, x := range s.parts {
 		if x.withdrawn.IsZero() {
--- a/internal/site/stores/shelf_test.go
+++ b/internal/site/stores/shelf_test.go
@@ -9,13 +9,13 @@
 
 func part(id string) Part { return Part{Salt: "m/1", ID: id} }
 
-func filled(ids ...string) *Shelf {
-	s := NewShelf("1:1", 1000)
+func filled(ids ...string) *StoreInventory {
+	s := NewStoreInventory("1:1", 1000)
 	l := Listing{Epoch: 5, Next: 10, Held: map[Part]int{}}
 	for _, id := range ids {
 		l.Held[part(id)] = 100
 	}
-	s.TakeList(l, start)
+	s.ApplyListing(l, start)
 	return s
 }
 
@@ -24,14 +24,14 @@
 // after a wait.
 func TestRestartedStoreIsListedAnew(t *testing.T) {
 	s := filled("a", "b")
-	if _, list := s.Take(Feed{Epoch: 6, Next: 0}, start); !list {
+	if _, list := s.ApplyFeed(Feed{Epoch: 6, Next: 0}, start); !list {
 		t.Fatal("the restart was not noticed")
 	}
-	changed := s.TakeList(Listing{Epoch: 6, Next: 0, Held: map[Part]int{part("b"): 100}}, start)
+	changed := s.ApplyListing(Listing{Epoch: 6, Next: 0, Held: map[Part]int{part("b"): 100}}, start)
 	if len(changed) != 1 || changed[0] != part("a") {
 		t.Errorf("changed %v", changed)
 	}
-	if _, list := s.Take(Feed{Epoch: 6, Next: 1, Lost: true}, start); !list {
+	if _, list := s.ApplyFeed(Feed{Epoch: 6, Next: 1, Lost: true}, start); !list {
 		t.Error("a gap in the changes was passed over")
 	}
 }
@@ -45,20 +45,20 @@
 	if len(marked) != 1 {
 		t.Fatalf("marked %v", marked)
 	}
-	if _, ok := s.Whole(part("a")); ok {
+	if _, ok := s.Fetchable(part("a")); ok {
 		t.Error("entries may still fetch it")
 	}
-	s.Told(marked, 7)
-	if due := s.Due(7, start.Add(FetchWindow)); len(due) != 0 {
+	s.MarkAnnounced(marked, 7)
+	if due := s.Freeable(7, start.Add(FetchWindow)); len(due) != 0 {
 		t.Error("it is freed while a fetch may run")
 	}
-	if due := s.Due(7, start.Add(FetchWindow+freeSlack)); len(due) != 1 {
+	if due := s.Freeable(7, start.Add(FetchWindow+freeSlack)); len(due) != 1 {
 		t.Errorf("due %v though every entry knows", due)
 	}
-	if due := s.Due(6, start.Add(StaleAfter+FetchWindow)); len(due) != 0 {
+	if due := s.Freeable(6, start.Add(StaleAfter+FetchWindow)); len(due) != 0 {
 		t.Error("it is freed though an entry may still believe it there")
 	}
-	if due := s.Due(6, start.Add(StaleAfter+FetchWindow+freeSlack)); len(due) != 1 {
+	if due := s.Freeable(6, start.Add(StaleAfter+FetchWindow+freeSlack)); len(due) != 1 {
 		t.Errorf("due %v", due)
 	}
 	if again := s.Withdraw(func(p Part) bool { return p == part("a") }, 1, start); len(again) != 0 {
@@ -71,12 +71,12 @@
 // what nobody has asked for in a long time makes room.
 func TestIdlePartsMakeRoom(t *testing.T) {
 	s := filled("a", "b")
-	s.Take(Feed{Epoch: 5, Next: 11, Changes: []Change{{Part: part("c"), Added: true, Tokens: 750}}}, start.Add(time.Second))
+	s.ApplyFeed(Feed{Epoch: 5, Next: 11, Changes: []Change{{Part: part("c"), Added: true, Tokens: 750}}}, start.Add(time.Second))
 	never := func(Part) bool { return false }
 	if marked := s.Withdraw(never, 0.85, start.Add(2*time.Second)); len(marked) != 0 {
 		t.Errorf("marked %v", marked)
 	}
-	s.Use(part("a").Hash(), start.Add(10*time.Second))
+	s.Touch(part("a").Hash(), start.Add(10*time.Second))
 	marked := s.Withdraw(never, 0.85, start.Add(idleBeforeFree))
 	if len(marked) != 1 || marked[0] != part("b") {
 		t.Errorf("marked %v", marked)
@@ -86,14 +86,14 @@
 // A server crashes while it writes a part to a store. The half part keeps its
 // room until it is freed, and the store fills with halves.
 func TestHalfPartsAreFreed(t *testing.T) {
-	s := NewShelf("1:1", 1000)
+	s := NewStoreInventory("1:1", 1000)
 	l := Listing{Epoch: 5, Partial: map[Part]int{part("a"): 100}}
-	s.TakeList(l, start)
-	if due := s.Due(0, start.Add(time.Hour)); len(due) != 0 {
+	s.ApplyListing(l, start)
+	if due := s.Freeable(0, start.Add(time.Hour)); len(due) != 0 {
 		t.Error("a part that is being written is freed")
 	}
-	s.TakeList(l, start.Add(20*time.Second))
-	if due := s.Due(0, start.Add(time.Hour)); len(due) != 1 {
+	s.ApplyListing(l, start.Add(20*time.Second))
+	if due := s.Freeable(0, start.Add(time.Hour)); len(due) != 1 {
 		t.Errorf("due %v", due)
 	}
 }
--- a/internal/site/watch/copies.go
+++ b/internal/site/watch/copies.go
@@ -9,48 +9,48 @@
 
 	"hornbeamwood/internal/node/boottime"
 	"hornbeamwood/internal/node/rpc"
-	"hornbeamwood/internal/site/board"
+	"hornbeamwood/internal/site/rowtable"
 )
 
-// FewEntries is up to how many entries have one relay together: with fewer, the way
+// MaxSingleRelayEntries is up to how many entries have one relay together: with fewer, the way
 // from relay to relay costs more time than the work of one takes.
-const FewEntries = 32
+const MaxSingleRelayEntries = 32
 
-// ManyPause is the time between two messages of one process to another of a site of
+// LargeSitePause is the time between two messages of one process to another of a site of
 // more entries, where each of them has several such peers: what all spend on news
 // together grows with their number only.
-const ManyPause = 100 * time.Millisecond
+const LargeSitePause = 100 * time.Millisecond
 
 // passedOn is of how many holders of the lease entries are told: the present one, and
 // the one before it until the present one has told of every store.
 const passedOn = 2
 
-// Copies are a relay's copies of what replicas show of stores and orders, which it
+// Mirrors are a relay's copies of what replicas show of stores and orders, which it
 // passes on to the entries that it serves.
 //
 // A replica that has just got the lease owes every entry all that lies in all stores:
 // on a large site more than its processor bears beside the heartbeats of the control log.
-type Copies interface {
-	// Asking notes that the replica at address is about to be asked.
-	Asking(address string)
-	// Take takes the replica's answer.
-	Take(address string, a Answer)
-	// Known returns the replica's number up to which all entries have the rows that asked within the given time.
-	Known(address string, within time.Duration) uint64
+type Mirrors interface {
+	// BeginPoll notes that the replica at address is about to be asked.
+	BeginPoll(address string)
+	// Apply takes the replica's answer.
+	Apply(address string, a Answer)
+	// AcknowledgedRevision returns the replica's number up to which all entries have the rows that asked within the given time.
+	AcknowledgedRevision(address string, within time.Duration) uint64
 }
 
-// CopiesConfig is what Copies need.
-type CopiesConfig struct {
+// MirrorsConfig is what Copies need.
+type MirrorsConfig struct {
 	// Node takes the polls.
 	Node rpc.Node
 	// Relayed returns whether rows of the topic are passed on.
-	Relayed func(t board.Topic) bool
+	Relayed func(t rowtable.Topic) bool
 	// Pause returns the time between two rounds of answers to so many entries.
 	Pause func(entries int) time.Duration
 }
 
 type copies struct {
-	CopiesConfig
+	MirrorsConfig
 	// now reads the boot clock.
 	now func() time.Duration
 
@@ -63,34 +63,34 @@
 	signal  chan struct{}
 }
 
-// NewCopies registers the call and returns Copies of nothing; it is called before the node serves.
-func NewCopies(c CopiesConfig) Copies {
+// NewMirrors registers the call and returns Copies of nothing; it is called before the node serves.
+func NewMirrors(c MirrorsConfig) Mirrors {
 	x := newCopies(c, boottime.Now)
-	rpc.Handle(c.Node, Leads, x.leads)
+	rpc.Handle(c.Node, HolderStates, x.leads)
 	return x
 }
 
-func newCopies(c CopiesConfig, now func() time.Duration) *copies {
+func newCopies(c MirrorsConfig, now func() time.Duration) *copies {
 	return &copies{
-		CopiesConfig: c, now: now, all: map[string]*replicaCopy{},
+		MirrorsConfig: c, now: now, all: map[string]*replicaCopy{},
 		asking: map[string]time.Duration{}, entries: map[string]time.Duration{}, signal: make(chan struct{}),
 	}
 }
 
-// Asking implements Copies.
-func (x *copies) Asking(address string) {
+// BeginPoll implements Copies.
+func (x *copies) BeginPoll(address string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.asking[address] = x.now()
 }
 
-// Take implements Copies.
-func (x *copies) Take(address string, a Answer) {
+// Apply implements Copies.
+func (x *copies) Apply(address string, a Answer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	c, ok := x.all[address]
 	if !ok || c.epoch != a.Epoch {
-		c = &replicaCopy{epoch: a.Epoch, board: board.New(uint64(time.Now().UnixNano())), entries: map[string]position{}}
+		c = &replicaCopy{epoch: a.Epoch, board: rowtable.New(uint64(time.Now().UnixNano())), entries: map[string]position{}}
 		x.all[address] = c
 	}
 	changed := false
@@ -100,7 +100,7 @@
 			changed = true
 		}
 	}
-	c.note(a.Number)
+	c.note(a.Revision)
 	if a.Fencing != 0 {
 		changed = changed || a.Fencing != c.fencing
 		c.fencing = a.Fencing
@@ -114,8 +114,8 @@
 	}
 }
 
-// Known implements Copies.
-func (x *copies) Known(address string, within time.Duration) uint64 {
+// AcknowledgedRevision implements Copies.
+func (x *copies) AcknowledgedRevision(address string, within time.Duration) uint64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	c, ok := x.all[address]
@@ -134,24 +134,24 @@
 }
 
 // leads answers an entry.
-func (x *copies) leads(ctx context.Context, _ rpc.Peer, p LeadsPoll) ([]Lead, error) {
+func (x *copies) leads(ctx context.Context, _ rpc.Peer, p HolderStatesPoll) ([]HolderState, error) {
 	ctx, cancel := context.WithTimeout(ctx, min(max(p.Wait, 0), maxWait))
 	defer cancel()
 	x.note(p)
-	if x.await(ctx, p) && !p.Catching {
+	if x.await(ctx, p) && !p.CatchingUp {
 		x.mu.Lock()
 		at := x.rounds.next(time.Now(), x.Pause(len(x.entries)))
 		x.mu.Unlock()
 		time.Sleep(time.Until(at))
 	}
-	return x.since(p.Known), nil
+	return x.since(p.Positions), nil
 }
 
 // since returns what a watcher lacks that has the copies up to its positions.
-func (x *copies) since(known map[string]Position) []Lead {
+func (x *copies) since(known map[string]Position) []HolderState {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	var all []Lead
+	var all []HolderState
 	for _, address := range x.holders() {
 		c := x.all[address]
 		l := c.lead(address, known[address])
@@ -175,7 +175,7 @@
 }
 
 // note remembers how far the entry is.
-func (x *copies) note(p LeadsPoll) {
+func (x *copies) note(p HolderStatesPoll) {
 	now := x.now()
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -187,15 +187,15 @@
 	}
 	for address, c := range x.all {
 		number := uint64(0)
-		if k := p.Known[address]; k.Epoch == c.board.Epoch() {
-			number = k.Number
+		if k := p.Positions[address]; k.Epoch == c.board.Epoch() {
+			number = k.Revision
 		}
 		c.entries[p.Watcher] = position{number, now}
 	}
 }
 
 // await waits until there is something that the entry lacks; false when ctx ends before.
-func (x *copies) await(ctx context.Context, p LeadsPoll) bool {
+func (x *copies) await(ctx context.Context, p HolderStatesPoll) bool {
 	for {
 		x.mu.Lock()
 		signal, news := x.signal, x.behind(p)
@@ -212,10 +212,10 @@
 }
 
 // behind returns whether the entry lacks anything; the caller holds the lock.
-func (x *copies) behind(p LeadsPoll) bool {
+func (x *copies) behind(p HolderStatesPoll) bool {
 	for _, address := range x.holders() {
-		c, k := x.all[address], p.Known[address]
-		if k.Epoch != c.board.Epoch() || c.board.Behind(k.Number) {
+		c, k := x.all[address], p.Positions[address]
+		if k.Epoch != c.board.Epoch() || c.board.ChangedAfter(k.Revision) {
 			return true
 		}
 	}
--- a/internal/site/watch/copies_test.go
+++ b/internal/site/watch/copies_test.go
@@ -11,27 +11,27 @@
 	"github.com/leanovate/gopter/prop"
 
 	"hornbeamwood/internal/node/rpc"
-	"hornbeamwood/internal/site/board"
+	"hornbeamwood/internal/site/rowtable"
 )
 
 const (
-	relayedTopic board.Topic = 6
-	directTopic  board.Topic = 15
+	relayedTopic rowtable.Topic = 6
+	directTopic  rowtable.Topic = 15
 	// counted is within which time the entries that asked are counted.
 	counted = 10 * time.Second
 )
 
-func relayed(t board.Topic) bool { return t == relayedTopic }
+func relayed(t rowtable.Topic) bool { return t == relayedTopic }
 
 // testCopies returns copies whose clock the test moves.
 func testCopies() (*copies, *time.Duration) {
 	now := time.Hour
-	return newCopies(CopiesConfig{Relayed: relayed, Pause: func(int) time.Duration { return 0 }}, func() time.Duration { return now }), &now
+	return newCopies(MirrorsConfig{Relayed: relayed, Pause: func(int) time.Duration { return 0 }}, func() time.Duration { return now }), &now
 }
 
 // asks has an entry ask and returns the answer.
-func (x *copies) asks(watcher string, known map[string]Position) []Lead {
-	x.note(LeadsPoll{Watcher: watcher, Known: known})
+func (x *copies) asks(watcher string, known map[string]Position) []HolderState {
+	x.note(HolderStatesPoll{Watcher: watcher, Positions: known})
 	return x.since(known)
 }
 
@@ -55,7 +55,7 @@
 func claimsHold(t *testing.T, r *rand.Rand) bool {
 	t.Helper()
 	x, now := testCopies()
-	holder, taken := board.New(1), uint64(0)
+	holder, taken := rowtable.New(1), uint64(0)
 	entries := make([]modelEntry, 1+r.IntN(5))
 	for i := range entries {
 		entries[i].known = map[string]Position{}
@@ -70,20 +70,20 @@
 			}
 			holder.Put(topic, fmt.Sprint(r.IntN(8)), []byte{byte(step)})
 		case 1:
-			x.Asking("holder")
+			x.BeginPoll("holder")
 			rows, number := holder.Since(taken)
-			x.Take("holder", Answer{Epoch: 1, Fencing: 1, Number: number, Rows: rows})
+			x.Apply("holder", Answer{Epoch: 1, Fencing: 1, Revision: number, Rows: rows})
 			taken = number
 		default:
 			e := &entries[r.IntN(len(entries))]
 			answer := x.asks(fmt.Sprintf("%p", e), e.known)
 			e.asked = *now
 			if len(answer) == 1 && r.IntN(3) > 0 {
-				e.known = map[string]Position{"holder": answer[0].Copy}
+				e.known = map[string]Position{"holder": answer[0].Position}
 				e.has = taken
 			}
 		}
-		claimed := x.Known("holder", counted)
+		claimed := x.AcknowledgedRevision("holder", counted)
 		for _, e := range entries {
 			// An entry without a copy believes nothing of the holder.
 			if len(e.known) > 0 && *now-e.asked <= counted && claimed > e.has && hasNews(holder, e.has, claimed) {
@@ -96,10 +96,10 @@
 }
 
 // hasNews returns whether a relayed row changed after a number and not after another one.
-func hasNews(b board.Board, after, upTo uint64) bool {
+func hasNews(b rowtable.Table, after, upTo uint64) bool {
 	rows, _ := b.Since(after)
 	later, _ := b.Since(upTo)
-	count := func(rows []board.Row) int {
+	count := func(rows []rowtable.Row) int {
 		n := 0
 		for _, r := range rows {
 			if relayed(r.Topic) {
@@ -114,16 +114,16 @@
 // Guards against the word of a relay passing for fresher than it is.
 func TestRelayedWordIsAsOldAsItsQuestion(t *testing.T) {
 	x, now := testCopies()
-	x.Asking("holder")
+	x.BeginPoll("holder")
 	*now += time.Second
-	x.Take("holder", Answer{Epoch: 1, Fencing: 1, Number: 1})
+	x.Apply("holder", Answer{Epoch: 1, Fencing: 1, Revision: 1})
 	*now += 2 * time.Second
 	all := x.asks("e", nil)
 	if len(all) != 1 || all[0].Age != 3*time.Second {
 		t.Errorf("got %+v", all)
 	}
-	x.Asking("holder")
-	x.Take("holder", Answer{Epoch: 1, Number: 2})
+	x.BeginPoll("holder")
+	x.Apply("holder", Answer{Epoch: 1, Revision: 2})
 	if all := x.asks("e", nil); all[0].Age != 3*time.Second {
 		t.Errorf("the word of a replica that no longer holds the lease is %s old", all[0].Age)
 	}
@@ -132,15 +132,15 @@
 // Guards against a relay whose poll catches up in pieces passing on what it has as fresh.
 func TestWordThatComesInPiecesIsNotFresh(t *testing.T) {
 	x, now := testCopies()
-	x.Asking("holder")
-	x.Take("holder", Answer{Epoch: 1, Fencing: 1, Number: 1})
+	x.BeginPoll("holder")
+	x.Apply("holder", Answer{Epoch: 1, Fencing: 1, Revision: 1})
 	*now += 3 * time.Second
-	x.Asking("holder")
-	x.Take("holder", Answer{Epoch: 1, Fencing: 1, Number: 2, More: true})
+	x.BeginPoll("holder")
+	x.Apply("holder", Answer{Epoch: 1, Fencing: 1, Revision: 2, More: true})
 	if all := x.asks("e", nil); all[0].Age != 3*time.Second {
 		t.Errorf("a word of which more is to come is %s old", all[0].Age)
 	}
-	x.Take("holder", Answer{Epoch: 1, Fencing: 1, Number: 3})
+	x.Apply("holder", Answer{Epoch: 1, Fencing: 1, Revision: 3})
 	if all := x.asks("e", nil); all[0].Age != 0 {
 		t.Errorf("the whole word is %s old", all[0].Age)
 	}
@@ -150,12 +150,12 @@
 func TestEntriesAreToldOfTheLatestHolders(t *testing.T) {
 	x, _ := testCopies()
 	for i, name := range []string{"b", "c", "a", "never"} {
-		x.Asking(name)
-		a := Answer{Epoch: 1, Fencing: uint64(i + 1), Number: 1, Rows: []board.Row{{Topic: relayedTopic, Key: name, Value: []byte{1}}}}
+		x.BeginPoll(name)
+		a := Answer{Epoch: 1, Fencing: uint64(i + 1), Revision: 1, Rows: []rowtable.Row{{Topic: relayedTopic, Key: name, Value: []byte{1}}}}
 		if name == "never" {
 			a.Fencing = 0
 		}
-		x.Take(name, a)
+		x.Apply(name, a)
 	}
 	all := x.asks("e", nil)
 	if len(all) != 2 || all[0].Address != "a" || all[1].Address != "c" || len(all[0].Rows) != 1 {
@@ -165,14 +165,14 @@
 
 // Guards against a new holder of the lease losing it over what it owes every entry of a large site.
 func TestNewHolderOwesItsListsToRelays(t *testing.T) {
-	b := board.New(1)
+	b := rowtable.New(1)
 	b.Put(directTopic, "server", []byte{1})
 	for i := range 2000 {
 		b.Put(relayedTopic, fmt.Sprintf("%020d", i), []byte{1, 2, 3})
 	}
 	s := &server{
 		watchers: map[string]watcher{}, advanced: make(chan struct{}),
-		Config: Config{Board: b, LeftOut: relayed, Pause: pauseFor, CaughtUp: func() bool { return true }, Holder: func() (uint64, int64) { return 1, 0 }},
+		Config: Config{Table: b, Excluded: relayed, Pause: pauseFor, CaughtUp: func() bool { return true }, Holder: func() (uint64, int64) { return 1, 0 }},
 	}
 	rows := func(p Poll) int {
 		a, err := s.watch(t.Context(), rpc.Peer{}, p)
@@ -187,11 +187,11 @@
 	if n := rows(Poll{Watcher: "relay", Relay: true}); n < 1000 {
 		t.Errorf("a relay gets %d rows", n)
 	}
-	if known := s.Known(counted); known != 0 {
+	if known := s.AcknowledgedRevision(counted); known != 0 {
 		t.Errorf("entries behind a relay that has told nothing of them are said to know %d", known)
 	}
-	rows(Poll{Watcher: "relay", Relay: true, Known: 1500})
-	if known := s.Known(counted); known != 1500 {
+	rows(Poll{Watcher: "relay", Relay: true, Acknowledged: 1500})
+	if known := s.AcknowledgedRevision(counted); known != 1500 {
 		t.Errorf("entries behind the relay are said to know %d", known)
 	}
 }
--- a/internal/site/watch/follower.go
+++ b/internal/site/watch/follower.go
@@ -37,16 +37,16 @@
 	Watcher string
 	// Entry says that this process takes callers' requests.
 	Entry bool
-	// Take gets each answer of the replica at address to a poll that was sent at that time.
-	Take func(address string, a Answer, sent time.Time)
+	// Apply gets each answer of the replica at address to a poll that was sent at that time.
+	Apply func(address string, a Answer, sent time.Time)
 	// Prepare, if any, completes each poll of the replica at address before it is sent.
 	Prepare func(address string, p *Poll)
-	// OneByOne has replicas that weren't polled before asked one after the other, each
+	// Sequential has replicas that weren't polled before asked one after the other, each
 	// once the one before it has answered or is slow, in an order of this process's own.
 	//
 	// A handshake costs a replica a millisecond. When hundreds of entries come back
 	// together and each asks all replicas at once, none gets an answer for seconds.
-	OneByOne bool
+	Sequential bool
 	// Logger takes the events.
 	Logger log.Interface
 }
@@ -55,8 +55,8 @@
 type Follower interface {
 	// Follow sets the addresses that are polled.
 	Follow(ctx context.Context, addresses []string)
-	// Heard returns how long ago the replica at address answered, and false when it never did.
-	Heard(address string) (time.Duration, bool)
+	// SinceAnswer returns how long ago the replica at address answered, and false when it never did.
+	SinceAnswer(address string) (time.Duration, bool)
 	// Wait returns once all polls have ended, after their context has.
 	Wait()
 }
@@ -95,7 +95,7 @@
 		}
 		polling, cancel := context.WithCancel(ctx)
 		f.polls[a] = cancel
-		if f.config.OneByOne {
+		if f.config.Sequential {
 			f.queue = append(f.queue, newcomer{a, polling})
 			continue
 		}
@@ -152,8 +152,8 @@
 	return n, true
 }
 
-// Heard implements Follower.
-func (f *follower) Heard(address string) (time.Duration, bool) {
+// SinceAnswer implements Follower.
+func (f *follower) SinceAnswer(address string) (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at, ok := f.heard[address]
@@ -192,11 +192,11 @@
 		answered()
 		pause = firstPause
 		p.Wait = maxWait
-		p.Epoch, p.Number, p.Catching = a.Epoch, a.Number, a.More
+		p.Epoch, p.Revision, p.CatchingUp = a.Epoch, a.Revision, a.More
 		f.mu.Lock()
 		f.heard[address] = time.Now()
 		f.mu.Unlock()
-		f.config.Take(address, a, sent)
+		f.config.Apply(address, a, sent)
 	}
 }
 
@@ -208,7 +208,7 @@
 	relayed := p.Relayed
 	f.config.Prepare(address, p)
 	if relayed && !p.Relayed {
-		p.Number = 0
+		p.Revision = 0
 	}
 }
 
--- a/internal/site/watch/protocol.go
+++ b/internal/site/watch/protocol.go
@@ -6,8 +6,8 @@
 	"hornbeamwood/internal/node/keys"
 	"hornbeamwood/internal/node/rpc"
 	"hornbeamwood/internal/serve/share"
-	"hornbeamwood/internal/site/board"
 	"hornbeamwood/internal/site/chunk"
+	"hornbeamwood/internal/site/rowtable"
 )
 
 // Poll asks for the rows that changed since the last answer.
@@ -17,27 +17,27 @@
 	// Entry says that the watcher takes callers' requests.
 	Entry bool `cbor:"entry"`
 	// Epoch and Number are those of the last answer; zero at first.
-	Epoch  uint64 `cbor:"epoch"`
-	Number uint64 `cbor:"number"`
-	// Catching says that the last answer left rows out, so that no further changes are waited for.
-	Catching bool `cbor:"catching"`
+	Epoch    uint64 `cbor:"epoch"`
+	Revision uint64 `cbor:"number"`
+	// CatchingUp says that the last answer left rows out, so that no further changes are waited for.
+	CatchingUp bool `cbor:"catching"`
 	// Wait is how long the answer may wait for a change.
 	Wait time.Duration `cbor:"wait"`
 	// Relayed says that the watcher gets the rows on stores and orders from its relay.
 	Relayed bool `cbor:"relayed,omitempty"`
 	// Relay says that the watcher passes those rows on, and Known up to which number all whom it serves have them.
-	Relay bool   `cbor:"relay,omitempty"`
-	Known uint64 `cbor:"known,omitempty"`
+	Relay        bool   `cbor:"relay,omitempty"`
+	Acknowledged uint64 `cbor:"known,omitempty"`
 }
 
 // Answer is what a replica knows beyond the last answer.
 type Answer struct {
 	// Epoch differs after each start of the replica; all rows come then.
 	Epoch uint64 `cbor:"epoch"`
-	// Number is up to which change the rows go.
-	Number uint64 `cbor:"number"`
+	// Revision is up to which change the rows go.
+	Revision uint64 `cbor:"number"`
 	// Rows changed since the last answer.
-	Rows []board.Row `cbor:"rows"`
+	Rows []rowtable.Row `cbor:"rows"`
 	// More says that there are more rows than fit into one answer.
 	More bool `cbor:"more"`
 	// CaughtUp says that the replica hears a leader and has applied what that one had committed.
@@ -73,24 +73,24 @@
 // Position is how far a watcher has a copy of what a replica shows.
 type Position struct {
 	// Epoch is the copy's, Number is up to which of its changes the rows go.
-	Epoch  uint64 `cbor:"epoch"`
-	Number uint64 `cbor:"number"`
+	Epoch    uint64 `cbor:"epoch"`
+	Revision uint64 `cbor:"number"`
 }
 
-// LeadsPoll asks a relay for what holders of the lease show of stores and orders.
-type LeadsPoll struct {
+// HolderStatesPoll asks a relay for what holders of the lease show of stores and orders.
+type HolderStatesPoll struct {
 	// Watcher names the process with its start.
 	Watcher string `cbor:"watcher"`
-	// Known is how far the watcher has each copy, by the holder's address.
-	Known map[string]Position `cbor:"known"`
-	// Catching says that the last answer left rows out, so that no further changes are waited for.
-	Catching bool `cbor:"catching"`
+	// Positions is how far the watcher has each copy, by the holder's address.
+	Positions map[string]Position `cbor:"known"`
+	// CatchingUp says that the last answer left rows out, so that no further changes are waited for.
+	CatchingUp bool `cbor:"catching"`
 	// Wait is how long the answer may wait for a change.
 	Wait time.Duration `cbor:"wait"`
 }
 
-// Lead is what a holder of the lease shows of stores and orders, as a relay knows it.
-type Lead struct {
+// HolderState is what a holder of the lease shows of stores and orders, as a relay knows it.
+type HolderState struct {
 	// Address is the holder's, Epoch its start.
 	Address string `cbor:"address"`
 	Epoch   uint64 `cbor:"epoch"`
@@ -98,16 +98,16 @@
 	Fencing uint64 `cbor:"fencing"`
 	// Age is how long ago the relay asked for the word that this is.
 	Age time.Duration `cbor:"age"`
-	// Copy is how far the rows go. They are all of the copy when its epoch is another one than the watcher's.
-	Copy Position `cbor:"copy"`
+	// Position is how far the rows go. They are all of the copy when its epoch is another one than the watcher's.
+	Position Position `cbor:"copy"`
 	// Rows changed since the watcher's position.
-	Rows []board.Row `cbor:"rows"`
+	Rows []rowtable.Row `cbor:"rows"`
 	// More says that there are more rows than fit into one answer.
 	More bool `cbor:"more"`
 }
 
-// Leads is how an entry on a site of many asks its relay.
-var Leads = rpc.Method[LeadsPoll, []Lead]{
+// HolderStates is how an entry on a site of many asks its relay.
+var HolderStates = rpc.Method[HolderStatesPoll, []HolderState]{
 	Name:  "site-leads",
 	Roles: []keys.Role{keys.Entry},
 }
@@ -118,8 +118,8 @@
 	Roles: []keys.Role{keys.Entry},
 }
 
-// Reading tells that an engine reads a part that was nowhere else.
-type Reading struct {
+// Prefill tells that an engine reads a part that was nowhere else.
+type Prefill struct {
 	// Salt and Part name the part, Tokens is its size.
 	Salt   string `cbor:"salt"`
 	Part   string `cbor:"part"`
@@ -128,20 +128,20 @@
 	Server string `cbor:"server"`
 }
 
-// Readings is how an entry tells its relay, through which all entries hear of it.
-var Readings = rpc.Notice[[]Reading]{
+// Prefills is how an entry tells its relay, through which all entries hear of it.
+var Prefills = rpc.Notice[[]Prefill]{
 	Name:  "site-readings",
 	Roles: []keys.Role{keys.Entry},
 }
 
-// Uses is how an entry tells the replica that holds the lease which parts were asked for, by their hashes.
-var Uses = rpc.Notice[[]uint64]{
+// PartUses is how an entry tells the replica that holds the lease which parts were asked for, by their hashes.
+var PartUses = rpc.Notice[[]uint64]{
 	Name:  "site-uses",
 	Roles: []keys.Role{keys.Entry},
 }
 
 // Loads is how an entry tells its relay what it has at each engine.
-var Loads = rpc.Notice[share.Post]{
+var Loads = rpc.Notice[share.Report]{
 	Name:  "site-loads",
 	Roles: []keys.Role{keys.Entry},
 }
--- a/internal/site/watch/replica_copy.go
+++ b/internal/site/watch/replica_copy.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"hornbeamwood/internal/site/board"
+	"hornbeamwood/internal/site/rowtable"
 )
 
 // mostSteps bounds the numbers that are remembered of a copy: those of some minutes.
@@ -28,7 +28,7 @@
 	// the boot clock: a relay that has stood still must not pass on what it was told
 	// before as if it were fresh.
 	asked   time.Duration
-	board   board.Board
+	board   rowtable.Table
 	last    uint64
 	steps   []step
 	entries map[string]position
@@ -59,13 +59,13 @@
 }
 
 // lead returns what a watcher at the position lacks.
-func (c *replicaCopy) lead(address string, at Position) Lead {
-	number := at.Number
+func (c *replicaCopy) lead(address string, at Position) HolderState {
+	number := at.Revision
 	if at.Epoch != c.board.Epoch() {
 		number = 0
 	}
-	l := Lead{Address: address, Epoch: c.epoch, Fencing: c.fencing, Copy: Position{Epoch: c.board.Epoch()}}
-	l.Rows, l.Copy.Number = c.board.Since(number)
-	l.More = c.board.Behind(l.Copy.Number)
+	l := HolderState{Address: address, Epoch: c.epoch, Fencing: c.fencing, Position: Position{Epoch: c.board.Epoch()}}
+	l.Rows, l.Position.Revision = c.board.Since(number)
+	l.More = c.board.ChangedAfter(l.Position.Revision)
 	return l
 }
--- a/internal/site/watch/server.go
+++ b/internal/site/watch/server.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"hornbeamwood/internal/node/rpc"
-	"hornbeamwood/internal/site/board"
+	"hornbeamwood/internal/site/rowtable"
 )
 
 const (
@@ -30,16 +30,16 @@
 	Method rpc.Method[Poll, Answer]
 	// Zone is the replica's availability zone.
 	Zone string
-	// LeftOut returns whether rows of the topic are left out for watchers that get them from a relay; nil for none.
-	LeftOut func(t board.Topic) bool
+	// Excluded returns whether rows of the topic are left out for watchers that get them from a relay; nil for none.
+	Excluded func(t rowtable.Topic) bool
 	// Pause returns the time between two rounds of answers to so many watchers; nil grows with their square.
 	Pause func(watchers int) time.Duration
 	// Node takes the polls.
 	Node rpc.Node
-	// Board holds the rows.
-	Board board.Board
-	// AllInRounds has replicas answered in rounds too; else what they are told comes at once.
-	AllInRounds bool
+	// Table holds the rows.
+	Table rowtable.Table
+	// BatchReplicas has replicas answered in rounds too; else what they are told comes at once.
+	BatchReplicas bool
 	// CaughtUp says whether the replica is up to date.
 	CaughtUp func() bool
 	// Holder returns the fencing number of the lease that this replica holds, zero for none, and the servers' clock.
@@ -52,8 +52,8 @@
 	AwaitReplicas(ctx context.Context, number uint64, n int) bool
 	// Entries returns how many entries polled lately.
 	Entries() int
-	// Known returns the number up to which all entries have the rows that polled within the given time, here or at a relay.
-	Known(within time.Duration) uint64
+	// AcknowledgedRevision returns the number up to which all entries have the rows that polled within the given time, here or at a relay.
+	AcknowledgedRevision(within time.Duration) uint64
 }
 
 type watcher struct {
@@ -93,32 +93,32 @@
 }
 
 func (s *server) watch(ctx context.Context, _ rpc.Peer, p Poll) (Answer, error) {
-	if p.Epoch != s.Board.Epoch() {
-		p.Number = 0
+	if p.Epoch != s.Table.Epoch() {
+		p.Revision = 0
 	}
 	s.note(p)
 	ctx, cancel := context.WithTimeout(ctx, min(max(p.Wait, 0), maxWait))
 	defer cancel()
 	rows, number := s.await(ctx, p)
-	a := Answer{Epoch: s.Board.Epoch(), Number: number, Rows: rows, More: s.Board.Behind(number), CaughtUp: s.CaughtUp(), Entries: s.Entries(), Zone: s.Zone}
+	a := Answer{Epoch: s.Table.Epoch(), Revision: number, Rows: rows, More: s.Table.ChangedAfter(number), CaughtUp: s.CaughtUp(), Entries: s.Entries(), Zone: s.Zone}
 	a.Fencing, a.Clock = s.Holder()
 	return a, nil
 }
 
 // await returns the rows that the watcher lacks, as soon as there are any or ctx ends,
 // and the number up to which they go.
-func (s *server) await(ctx context.Context, p Poll) ([]board.Row, uint64) {
+func (s *server) await(ctx context.Context, p Poll) ([]rowtable.Row, uint64) {
 	// Who has much to catch up with gets the next piece at once.
-	catching := p.Catching && s.Board.Behind(p.Number)
-	for number := p.Number; ; {
-		s.Board.Wait(ctx, number)
+	catching := p.CatchingUp && s.Table.ChangedAfter(p.Revision)
+	for number := p.Revision; ; {
+		s.Table.Wait(ctx, number)
 		if ctx.Err() == nil && !catching {
 			s.gather(p)
 		}
-		var rows []board.Row
-		rows, number = s.Board.Since(number)
-		if p.Relayed && s.LeftOut != nil {
-			rows = slices.DeleteFunc(rows, func(r board.Row) bool { return s.LeftOut(r.Topic) })
+		var rows []rowtable.Row
+		rows, number = s.Table.Since(number)
+		if p.Relayed && s.Excluded != nil {
+			rows = slices.DeleteFunc(rows, func(r rowtable.Row) bool { return s.Excluded(r.Topic) })
 		}
 		if len(rows) > 0 || ctx.Err() != nil {
 			return rows, number
@@ -129,7 +129,7 @@
 // gather waits for the round in which the poll is answered. Replicas are few, and what
 // they are told they pass on.
 func (s *server) gather(p Poll) {
-	if !p.Entry && !s.AllInRounds {
+	if !p.Entry && !s.BatchReplicas {
 		time.Sleep(batchPause)
 		return
 	}
@@ -157,7 +157,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.watchers[p.Watcher] = watcher{
-		entry: p.Entry, number: p.Number, polled: time.Now(), relayed: p.Relayed, relay: p.Relay, known: p.Known,
+		entry: p.Entry, number: p.Revision, polled: time.Now(), relayed: p.Relayed, relay: p.Relay, known: p.Acknowledged,
 	}
 	close(s.advanced)
 	s.advanced = make(chan struct{})
@@ -201,8 +201,8 @@
 	return n
 }
 
-// Known implements Server.
-func (s *server) Known(within time.Duration) uint64 {
+// AcknowledgedRevision implements Server.
+func (s *server) AcknowledgedRevision(within time.Duration) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known := ^uint64(0)
--- a/internal/site/watch/watch_test.go
+++ b/internal/site/watch/watch_test.go
@@ -10,7 +10,7 @@
 
 	"hornbeamwood/internal/node/keys"
 	"hornbeamwood/internal/node/rpc"
-	"hornbeamwood/internal/site/board"
+	"hornbeamwood/internal/site/rowtable"
 )
 
 func node(t *testing.T, role keys.Role) rpc.Node {
@@ -33,10 +33,10 @@
 	return n
 }
 
-func serving(t *testing.T, b board.Board) (rpc.Node, Server) {
+func serving(t *testing.T, b rowtable.Table) (rpc.Node, Server) {
 	t.Helper()
 	n := node(t, keys.Control)
-	s := NewServer(Config{Method: Watch, Node: n, Board: b, CaughtUp: func() bool { return true }, Holder: func() (uint64, int64) { return 0, 0 }})
+	s := NewServer(Config{Method: Watch, Node: n, Table: b, CaughtUp: func() bool { return true }, Holder: func() (uint64, int64) { return 0, 0 }})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() { _ = n.Serve(ctx) }()
@@ -77,10 +77,10 @@
 		true:  func(n int) bool { return n <= rounds },
 		false: func(n int) bool { return n > rounds },
 	} {
-		b := board.New(1)
+		b := rowtable.New(1)
 		s := &server{
 			watchers: map[string]watcher{}, advanced: make(chan struct{}),
-			Config: Config{Board: b, Pause: func(int) time.Duration { return pause }, AllInRounds: allInRounds, CaughtUp: func() bool { return true }, Holder: func() (uint64, int64) { return 0, 0 }},
+			Config: Config{Table: b, Pause: func(int) time.Duration { return pause }, BatchReplicas: allInRounds, CaughtUp: func() bool { return true }, Holder: func() (uint64, int64) { return 0, 0 }},
 		}
 		go func() {
 			for i := range changes {
@@ -94,7 +94,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p.Epoch, p.Number = a.Epoch, a.Number
+			p.Epoch, p.Revision = a.Epoch, a.Revision
 		}
 		if !enough(answers) {
 			t.Errorf("in rounds %v: %d answers to %d changes", allInRounds, answers, changes)
@@ -107,7 +107,7 @@
 // begin anew, and no entry would learn where any part lies.
 func TestThousandsOfRowsComeInPieces(t *testing.T) {
 	const rows = 8000
-	b := board.New(1)
+	b := rowtable.New(1)
 	for i := range rows {
 		b.Put(5, fmt.Sprintf("172.20.0.1:8000/m/1/%012d", i), []byte{1, 2, 3})
 	}
@@ -115,7 +115,7 @@
 	var mu sync.Mutex
 	got, most := map[string]bool{}, 0
 	done := make(chan struct{})
-	f := NewFollower(FollowerConfig{Method: Watch, Node: node(t, keys.Entry), Watcher: "e", Entry: true, Take: func(_ string, a Answer, _ time.Time) {
+	f := NewFollower(FollowerConfig{Method: Watch, Node: node(t, keys.Entry), Watcher: "e", Entry: true, Apply: func(_ string, a Answer, _ time.Time) {
 		mu.Lock()
 		defer mu.Unlock()
 		bytes := 0
@@ -148,7 +148,7 @@
 
 // A server that leaves is acknowledged only once another replica has the news.
 func TestAwaitReplicas(t *testing.T) {
-	b := board.New(1)
+	b := rowtable.New(1)
 	server, s := serving(t, b)
 	number := b.Put(2, "s", []byte("leaving"))
 	short, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
@@ -157,7 +157,7 @@
 		t.Fatal("nobody can have the news yet")
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	f := NewFollower(FollowerConfig{Method: Watch, Node: node(t, keys.Control), Watcher: "r", Take: func(string, Answer, time.Time) {}})
+	f := NewFollower(FollowerConfig{Method: Watch, Node: node(t, keys.Control), Watcher: "r", Apply: func(string, Answer, time.Time) {}})
 	f.Follow(ctx, []string{server.Address()})
 	long, cancelLong := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancelLong()
@@ -191,7 +191,7 @@
 			}
 		}()
 	}
-	f := NewFollower(FollowerConfig{Method: Watch, OneByOne: true, Node: node(t, keys.Entry), Watcher: "e", Entry: true, Take: func(string, Answer, time.Time) {}})
+	f := NewFollower(FollowerConfig{Method: Watch, Sequential: true, Node: node(t, keys.Entry), Watcher: "e", Entry: true, Apply: func(string, Answer, time.Time) {}})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	f.Follow(ctx, addresses)
--- a/internal/site/weights/client.go
+++ b/internal/site/weights/client.go
@@ -39,8 +39,8 @@
 	Unanswered Outcome = iota
 	// Accepted means that it is being carried out.
 	Accepted
-	// Held means that the engine has those weights already.
-	Held
+	// AlreadyLoaded means that the engine has those weights already.
+	AlreadyLoaded
 	// Conflict means that another order is under way or the sequence differs.
 	Conflict
 	// Fenced means that a higher fencing number has been seen.
--- a/internal/site/weights/drain.go
+++ b/internal/site/weights/drain.go
@@ -14,10 +14,10 @@
 // takes most of the time; the last engines would begin requests on old weights
 // after that. The last ones still have to load once they are drained.
 func (r *rollout) drainTime(model string, engines, most int) time.Duration {
-	if r.Within <= 0 {
+	if r.Deadline <= 0 {
 		return drainMost
 	}
-	left := time.Duration(finishedBy*float64(r.Within)) - time.Since(r.noticed[model].at) - r.learnt()
+	left := time.Duration(finishedBy*float64(r.Deadline)) - time.Since(r.noticed[model].at) - r.learnt()
 	rounds := (engines + most - 1) / most
 	return max(drainLeast, min(drainMost, left/time.Duration(rounds)))
 }
--- a/internal/site/weights/rollout.go
+++ b/internal/site/weights/rollout.go
@@ -47,18 +47,18 @@
 
 // Site is what a Rollout knows and tells.
 type Site interface {
-	// Named returns the named version of each model.
-	Named() map[string]int64
+	// TargetVersions returns the named version of each model.
+	TargetVersions() map[string]int64
 	// Engines returns the ready servers that have models.
 	Engines() []directory.Server
 	// Holder returns the name and the fencing number under which orders are given, and false while none may be.
 	Holder() (name string, fencing uint64, ok bool)
-	// Lost tells that a higher fencing number has been seen.
-	Lost(fencing uint64)
+	// ObserveFencing tells that a higher fencing number has been seen.
+	ObserveFencing(fencing uint64)
 	// SetBusy tells entries whether an engine takes no requests.
 	SetBusy(server string, busy bool)
-	// Loaded tells entries which weights an engine has now.
-	Loaded(s directory.Server, model string, version int64)
+	// ReportLoaded tells entries which weights an engine has now.
+	ReportLoaded(s directory.Server, model string, version int64)
 	// Version returns the newest version of the model that the engine is known to have.
 	Version(s directory.Server, model string) int64
 }
@@ -69,8 +69,8 @@
 	Client Client
 	// Site is what is known.
 	Site Site
-	// Within is how long after they were named all engines must have weights; zero for no bound.
-	Within time.Duration
+	// Deadline is how long after they were named all engines must have weights; zero for no bound.
+	Deadline time.Duration
 	// Logger takes the events.
 	Logger log.Interface
 }
@@ -160,7 +160,7 @@
 
 // notice notes which versions are named and since when, also while another process gives the orders.
 func (r *rollout) notice() {
-	for model, version := range r.Site.Named() {
+	for model, version := range r.Site.TargetVersions() {
 		if r.noticed[model].version != version {
 			r.noticed[model] = notice{version, time.Now()}
 		}
@@ -173,7 +173,7 @@
 // has that one already can wait; the requests of one that is two versions behind
 // have been answered from old weights for longest.
 func (r *rollout) order() []due {
-	named := r.Site.Named()
+	named := r.Site.TargetVersions()
 	var all []due
 	for _, s := range r.Site.Engines() {
 		if d, ok := r.behind(s, named); ok && r.free(s.ID) {
@@ -284,7 +284,7 @@
 			return
 		case p.Versions[model] >= version && !p.Busy:
 			r.learn(time.Since(began))
-			r.Site.Loaded(s, model, p.Versions[model])
+			r.Site.ReportLoaded(s, model, p.Versions[model])
 			return
 		case !p.Busy && !r.give(ctx, s, Order{Model: model, Version: version, Sequence: p.Sequence}):
 			return
@@ -309,7 +309,7 @@
 	}
 	event.WeightsOrdered.Write(r.Logger, f)
 	if got == Fenced {
-		r.Site.Lost(fencing)
+		r.Site.ObserveFencing(fencing)
 	}
-	return got == Accepted || got == Held || got == Conflict || got == Unanswered
+	return got == Accepted || got == AlreadyLoaded || got == Conflict || got == Unanswered
 }
--- a/internal/site/weights/rollout_test.go
+++ b/internal/site/weights/rollout_test.go
@@ -25,12 +25,12 @@
 func newFakeSite(versions ...int64) *fakeSite {
 	s := &fakeSite{named: 2, fencing: 7, loaded: map[string]int64{}, busy: map[string]bool{}}
 	for i, v := range versions {
-		s.engines = append(s.engines, directory.Server{ID: string(rune('a' + i)), Born: 1, Models: []directory.Weights{{Model: "m", Version: v}}})
+		s.engines = append(s.engines, directory.Server{ID: string(rune('a' + i)), StartedAt: 1, Models: []directory.Weights{{Model: "m", Version: v}}})
 	}
 	return s
 }
 
-func (s *fakeSite) Named() map[string]int64 {
+func (s *fakeSite) TargetVersions() map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return map[string]int64{"m": s.named}
@@ -42,7 +42,7 @@
 	return "h", s.fencing, s.fencing > s.lost
 }
 
-func (s *fakeSite) Lost(fencing uint64) {
+func (s *fakeSite) ObserveFencing(fencing uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lost = fencing
@@ -54,7 +54,7 @@
 	s.busy[server] = busy
 }
 
-func (s *fakeSite) Loaded(x directory.Server, _ string, version int64) {
+func (s *fakeSite) ReportLoaded(x directory.Server, _ string, version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loaded[x.ID] = version
@@ -157,7 +157,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), d)
 	defer cancel()
-	New(Config{Client: e, Site: s, Within: within}).Run(ctx)
+	New(Config{Client: e, Site: s, Deadline: within}).Run(ctx)
 }
 
 // New weights are named for nine engines. Each must load them once, never more
