--- a/internal/policy/baseline/round_robin.go
+++ b/internal/policy/baseline/round_robin.go
@@ -27,5 +27,5 @@
 		return outcome(r, c, route.None, false, route.NoCandidate)
 	}
 	i := able[(s.next.Add(1)-1)%uint64(len(able))]
-	return outcome(r, c, i, s.config.Imports, route.Turn)
+	return outcome(r, c, i, s.config.Imports, route.RoundRobin)
 }
--- a/internal/policy/route/bench_test.go
+++ b/internal/policy/route/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkDecide measures one decision for a prompt of ten pieces: 13 servers
-// are a deployment of today, 59 a full cell, 940 what a fleet without cells would weigh.
+// BenchmarkDecide measures one decision for a prompt of ten pieces. 13 servers are a small
+// deployment, 59 a full cell, and 940 a fleet that is not divided into cells.
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{13, 59, 940} {
 		b.Run(fmt.Sprintf("candidates-%d", n), func(b *testing.B) {
--- a/internal/policy/route/candidate.go
+++ b/internal/policy/route/candidate.go
@@ -6,24 +6,28 @@
 	"hornbeamwood/internal/fleet/announcement"
 )
 
-// Candidate is a backend server that can run the request, as this entry knows it.
+// Candidate is a backend server that can run the request, as seen by this entry.
 type Candidate struct {
-	// Identity names the backend server.
+	// Identity is the identity of the backend server.
 	Identity string
-	// Load is the server's last report.
+	// Load is the server's last load report.
 	Load announcement.Load
-	// ReportedAt is when the figures of Load were true: the arrival less Load.AgeMillis.
+	// ReportedAt is when the figures of Load were measured: the arrival time of the report minus
+	// Load.AgeMillis.
 	ReportedAt time.Time
-	// InFlight is the work of this entry and of its peers, as last heard, that has no first token yet.
+	// InFlight is the work in flight without a first token, sent by this entry and, by their last
+	// messages, by its peers.
 	InFlight Work
 	// Since is the part of InFlight that was sent after ReportedAt.
 	Since Work
-	// Suspect says that the server may be lost; it is used only when no other is left.
+	// Suspect reports that the server may be lost; it is used only when no other server is left.
 	Suspect bool
-	// Reserve says that the server is kept free for urgent requests while others can do the work.
+	// Reserve reports that the server is reserved for urgent requests while other servers can do
+	// the work.
 	Reserve bool
-	// PriorityAware says that the engine orders its queue by priority.
+	// PriorityAware reports that the engine orders its queue by priority.
 	PriorityAware bool
-	// RunsAlone says that the server works on one request at a time that it must not share.
-	RunsAlone bool
+	// Exclusive reports that the server runs one request that must not share the server with
+	// others.
+	Exclusive bool
 }
--- a/internal/policy/route/copy.go
+++ b/internal/policy/route/copy.go
@@ -4,6 +4,6 @@
 type Copy struct {
 	// Store is the index in Cell.Stores.
 	Store int
-	// Tier is where the store holds it.
+	// Tier is the tier in which the store holds the copy.
 	Tier Tier
 }
--- a/internal/policy/route/decision.go
+++ b/internal/policy/route/decision.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// None is the Server of a Decision that found no server.
+// None is the value of Decision.Server when no server was found.
 const None = -1
 
-// Decision is the server for a request with the plan for its pieces and the reason.
+// Decision is the server chosen for a request, the plan for its pieces and the reason.
 type Decision struct {
 	// Server is the index in Cell.Candidates, or None.
 	Server int
-	// Identity names the server; it is empty for None.
+	// Identity is the identity of the server; it is empty for None.
 	Identity string
 	// Plan has a step for each piece of the request.
 	Plan []Step
 	// TTFT is the expected time to first token.
 	TTFT time.Duration
-	// Cost is the price of the choice.
+	// Cost is the cost of the chosen server and plan.
 	Cost float64
-	// Reason says why.
+	// Reason is the reason for the choice.
 	Reason Reason
-	// Estimates has one entry for each candidate in order, for the log line.
+	// Estimates holds the estimates of all candidates in order, for the log line.
 	Estimates []Estimate
 }
 
@@ -31,7 +31,7 @@
 	return d.Estimates[d.Server], true
 }
 
-// seconds converts to a time.Duration.
+// seconds converts seconds to a time.Duration.
 func seconds(s float64) time.Duration {
 	return time.Duration(s * float64(time.Second))
 }
--- a/internal/policy/route/element.go
+++ b/internal/policy/route/element.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// Element is one part of the policy; it reads the query and changes the estimate of one candidate.
+// Element is one part of the policy. It reads the query and updates the estimate of one candidate.
 type Element interface {
-	// Name returns the kebab-case name under which the element is switched off for a comparison.
+	// Name returns the kebab-case name by which the element is disabled for an ablation.
 	Name() string
 	// Apply updates e, the estimate of candidate c.
 	Apply(q *Query, c *Candidate, e *Estimate)
 }
 
-// Prioritized is an Element with its place in the order; lower goes first.
+// Prioritized is an Element with its priority; elements with a lower priority are applied first.
 type Prioritized struct {
-	// Element is the part of the policy.
+	// Element is the element.
 	Element Element
-	// Priority is its place.
+	// Priority is its position in the order.
 	Priority int
 }
 
-// ordered returns the elements by priority, without those that are named.
+// ordered returns the elements by priority, except those whose names are in without.
 func ordered(all []Prioritized, without []string) []Element {
 	sorted := slices.Clone(all)
 	slices.SortStableFunc(sorted, func(a, b Prioritized) int { return a.Priority - b.Priority })
--- a/internal/policy/route/estimate.go
+++ b/internal/policy/route/estimate.go
@@ -1,6 +1,6 @@
 package route
 
-// Estimate is what a decision expects of one candidate; times are in seconds.
+// Estimate is the expected outcome of a decision for one candidate; times are in seconds.
 type Estimate struct {
 	// Server is the index in Cell.Candidates.
 	Server int
@@ -8,26 +8,29 @@
 	Wait float64
 	// Import is the time until the imported pieces have arrived.
 	Import float64
-	// Compute is the time that the server computes for the request.
+	// Compute is the time that the server spends computing the prompt.
 	Compute float64
 	// LinkSeconds is the time for which the request occupies store links.
 	LinkSeconds float64
-	// LinkDelay is the sum over imported pieces of their transfer time and the seconds of transfers ahead of them.
+	// LinkDelay is the sum, over the imported pieces, of the transfer time multiplied by the
+	// seconds of transfers queued ahead.
 	LinkDelay float64
-	// Recomputed is the number of prompt tokens in whole pieces that are computed again.
+	// Recomputed is the number of prompt tokens in whole pieces that are recomputed.
 	Recomputed int
-	// Split is the number of leading pieces that are imported where they are missing; later ones are recomputed.
+	// Split is the number of leading pieces that are imported if missing; later missing pieces are
+	// recomputed.
 	Split int
 	// TTFT is the time to first token.
 	TTFT float64
 	// BacklogPrice is the price of LinkDelay.
 	BacklogPrice float64
-	// Penalty is the price of what the choice does to others whatever the plan is.
+	// Penalty is the part of the cost that does not depend on the import plan and stands for the
+	// effect on other requests.
 	Penalty float64
-	// Cost is the price of the choice; the lowest wins.
+	// Cost is the cost of the candidate; the lowest is chosen.
 	Cost float64
-	// Backlog is the work ahead of a request of the lowest priority.
+	// Backlog is the time to compute the work ahead of a request of the lowest priority.
 	Backlog float64
-	// Bar says why the candidate is used only when no better one is left.
-	Bar Bar
+	// Rank is the preference rank of the candidate.
+	Rank Rank
 }
--- a/internal/policy/route/fields.go
+++ b/internal/policy/route/fields.go
@@ -7,8 +7,8 @@
 	"github.com/apex/log"
 )
 
-// Fields returns the fields of the log line for d: the server, the reason, the expected time to
-// first token, the cost, how many pieces come from where, and each candidate's estimate.
+// Fields returns the log fields of d: the server, the reason, the expected time to first token, the
+// cost, the number of pieces by source and the estimate of each candidate.
 func (d *Decision) Fields(c *Cell) log.Fields {
 	var counts [len(sourceNames)]int
 	for _, s := range d.Plan {
@@ -26,7 +26,8 @@
 	}
 }
 
-// estimates returns one word for each candidate: its identity, time to first token and cost.
+// estimates formats each candidate as its identity, time to first token and cost, separated by
+// colons.
 func (d *Decision) estimates(c *Cell) string {
 	var b strings.Builder
 	for i := range d.Estimates {
--- a/internal/policy/route/fixture_test.go
+++ b/internal/policy/route/fixture_test.go
@@ -53,7 +53,7 @@
 	return c
 }
 
-// randomRequest returns a request of up to pieces pieces that are spread over c.
+// randomRequest returns a request with the given number of pieces, whose copies are spread over c.
 func randomRequest(r *rand.Rand, c *Cell, pieces int) *Request {
 	q := &Request{
 		Workspace: "north",
--- a/internal/policy/route/naive_test.go
+++ b/internal/policy/route/naive_test.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// naive states the estimate of one candidate as plainly as it can be said:
-// each split is tried, and everything is computed anew for each.
+// naive computes the estimate of one candidate by brute force: it evaluates each split from
+// scratch.
 func naive(r *Request, c *Cell, s int) Estimate {
 	var best Estimate
 	for split := 0; split <= len(r.Pieces); split++ {
@@ -53,49 +53,50 @@
 	cost += r.Rules.LinkPrice * e.LinkSeconds
 	cost += r.Rules.LinkPrice * e.LinkDelay
 	if x.Reserve && r.Rules.Priority < UrgentBand {
-		cost += naiveGain(c, x) * r.Rules.FirstTokenPrice
+		cost += naiveMinGain(c, x) * r.Rules.FirstTokenPrice
 	}
 	return cost
 }
 
-// naiveBar returns whether x may be lost, or is one of the last half of the reserve without long work.
-func naiveBar(r *Request, c *Cell, x *Candidate) Bar {
-	if x.Suspect || x.RunsAlone {
+// naiveRank returns the rank of x: MaybeLost for a server that may be lost, Reserved for one of the
+// last half of the reserve without long work.
+func naiveRank(r *Request, c *Cell, x *Candidate) Rank {
+	if x.Suspect || x.Exclusive {
 		return MaybeLost
 	}
-	if !x.Reserve || r.Rules.Priority >= UrgentBand || naiveBusy(*x) {
-		return Open
+	if !x.Reserve || r.Rules.Priority >= UrgentBand || naiveHasLongWork(*x) {
+		return Preferred
 	}
 	reserve, free := 0, 0
 	for _, y := range c.Candidates {
 		if y.Reserve {
 			reserve++
 		}
-		if y.Reserve && !naiveBusy(y) {
+		if y.Reserve && !naiveHasLongWork(y) {
 			free++
 		}
 	}
 	if free <= reserve/2 {
-		return KeptFree
+		return Reserved
 	}
-	return Open
+	return Preferred
 }
 
-// naiveGain returns what work must gain on reserve server x.
-func naiveGain(c *Cell, x *Candidate) float64 {
-	taken := 1.0
+// naiveMinGain returns the time in seconds that a request must save to use the reserve server x.
+func naiveMinGain(c *Cell, x *Candidate) float64 {
+	factor := 1.0
 	for _, y := range c.Candidates {
-		if y.Reserve && naiveBusy(y) {
-			taken++
+		if y.Reserve && naiveHasLongWork(y) {
+			factor++
 		}
 	}
-	if naiveBusy(*x) {
-		return reserveDelay
+	if naiveHasLongWork(*x) {
+		return reserveMinGain
 	}
-	return reserveDelay * taken * taken
+	return reserveMinGain * factor * factor
 }
 
-func naiveBusy(x Candidate) bool {
+func naiveHasLongWork(x Candidate) bool {
 	for b := range UrgentBand {
 		if x.InFlight.Requests[b] > 0 {
 			return true
@@ -104,7 +105,8 @@
 	return false
 }
 
-// naiveDelay returns the transfer time of a piece times the seconds that wait before it.
+// naiveDelay returns the transfer time of a piece multiplied by the seconds of transfers queued
+// ahead.
 func naiveDelay(s Store, from Copy, p Piece) float64 {
 	link, ahead := float64(p.Bytes)/s.LinkRate, float64(s.LinkQueued)/s.LinkRate
 	if from.Tier == Memory {
@@ -132,7 +134,7 @@
 	return wait
 }
 
-// naiveCopy returns the copy that would arrive first if it were the only one read.
+// naiveCopy returns the copy that would arrive first if it were the only transfer.
 func naiveCopy(c *Cell, p Piece) (Copy, bool) {
 	var best Copy
 	found, at := false, 0.0
--- a/internal/policy/route/outcome.go
+++ b/internal/policy/route/outcome.go
@@ -20,7 +20,7 @@
 	return d
 }
 
-// plan returns the steps for candidate s with the first split pieces imported where they are missing.
+// plan returns the steps for candidate s: the first split pieces are imported if they are missing.
 func (q *Query) plan(s, split int) []Step {
 	steps := make([]Step, len(q.Request.Pieces))
 	held := q.heldBy(s)
@@ -41,10 +41,10 @@
 }
 
 func reason(d *Decision, e *Estimate) Reason {
-	if e.Bar == MaybeLost {
+	if e.Rank == MaybeLost {
 		return OnlySuspects
 	}
-	if e.Bar == KeptFree {
+	if e.Rank == Reserved {
 		return ReserveTaken
 	}
 	if len(d.Estimates) == 1 {
@@ -66,8 +66,8 @@
 	return why
 }
 
-// FixedPlan returns the steps for server s by the rule of a common cache connector: pieces in the
-// engine's memory are used, missing ones are imported whenever imports is set and a store has them.
+// FixedPlan returns the steps for server s by the rule of common KV cache connectors. Pieces in
+// engine memory are used; missing pieces are imported if imports is set and a store has a copy.
 func FixedPlan(r *Request, c *Cell, s int, imports bool) []Step {
 	steps := make([]Step, len(r.Pieces))
 	for i := range r.Pieces {
--- a/internal/policy/route/piece.go
+++ b/internal/policy/route/piece.go
@@ -1,13 +1,13 @@
 package route
 
-// Piece is one cache piece of a prompt with its known locations, which are hints.
+// Piece is one cache piece of a prompt with its known locations, which are hints and may be stale.
 type Piece struct {
 	// Tokens is the number of prompt tokens in the piece.
 	Tokens int
 	// Bytes is the size of its KV cache.
 	Bytes int64
-	// Engines are the indexes in Cell.Candidates of the servers that hold it in memory.
+	// Engines are the indexes in Cell.Candidates of the servers that hold the piece in memory.
 	Engines []int
-	// Copies are its copies in stores.
+	// Copies are the copies of the piece in stores.
 	Copies []Copy
 }
--- a/internal/policy/route/policy.go
+++ b/internal/policy/route/policy.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// policy is the Strategy that weighs each candidate by its elements.
+// policy is the Strategy that estimates the cost of each candidate with its elements.
 type policy struct {
 	name     string
 	elements []Element
 	queries  sync.Pool
 }
 
-// New returns the cost-based strategy; it may be used by several goroutines at once.
+// New returns the cost-based strategy. It is safe for concurrent use.
 func New(c Config) Strategy {
 	if c.Elements == nil {
 		c.Elements = DefaultElements()
@@ -28,7 +28,7 @@
 
 func (p *policy) Name() string { return p.name }
 
-// Decide returns the cheapest candidate.
+// Decide returns the candidate with the lowest cost.
 func (p *policy) Decide(now time.Time, r *Request, c *Cell, random *rand.Rand) Decision {
 	q := p.queries.Get().(*Query)
 	defer p.queries.Put(q)
@@ -36,43 +36,44 @@
 	all := make([]Estimate, len(c.Candidates))
 	for i := range c.Candidates {
 		all[i].Server = i
-		p.weigh(q, &c.Candidates[i], &all[i])
+		p.estimate(q, &c.Candidates[i], &all[i])
 	}
 	return q.decide(all, choose(all, random))
 }
 
-func (p *policy) weigh(q *Query, c *Candidate, e *Estimate) {
-	for _, x := range p.elements {
-		x.Apply(q, c, e)
+func (p *policy) estimate(q *Query, c *Candidate, e *Estimate) {
+	for _, element := range p.elements {
+		element.Apply(q, c, e)
 	}
 }
 
-// tieShare is the part of the lowest cost within which candidates count as equal.
-const tieShare = 0.01
+// tieTolerance is the fraction of the lowest cost within which candidates count as equal.
+const tieTolerance = 0.01
 
-// choose returns the index of a cheapest estimate, or None.
-// Entries that decide at the same moment on the same figures would all take the
-// first of several equal servers; a random one among them spreads the requests.
+// choose returns the index of an estimate with the lowest cost, or None. Entries that decide at the
+// same moment on the same figures would all take the first of several equal servers; a random
+// choice among them spreads the requests.
 func choose(all []Estimate, random *rand.Rand) int {
 	best := cheapest(all)
 	if best == None {
 		return None
 	}
-	limit := all[best].Cost * (1 + tieShare)
-	seen := 0
+	limit := all[best].Cost * (1 + tieTolerance)
+	ties := 0
 	for i := range all {
-		if all[i].Bar != all[best].Bar || all[i].Cost > limit {
+		if all[i].Rank != all[best].Rank || all[i].Cost > limit {
 			continue
 		}
-		seen++
-		if random.IntN(seen) == 0 {
+		ties++
+		if random.IntN(ties) == 0 {
 			best = i
 		}
 	}
 	return best
 }
 
-// cheapest returns the index of the first cheapest estimate of those with the lowest Bar.
+// cheapest returns the index of the first estimate with the lowest cost among those with the lowest
+// Rank.
 func cheapest(all []Estimate) int {
 	best := None
 	for i := range all {
@@ -84,8 +85,8 @@
 }
 
 func less(a, b *Estimate) bool {
-	if a.Bar != b.Bar {
-		return a.Bar < b.Bar
+	if a.Rank != b.Rank {
+		return a.Rank < b.Rank
 	}
 	return a.Cost < b.Cost
 }
--- a/internal/policy/route/policy_test.go
+++ b/internal/policy/route/policy_test.go
@@ -24,12 +24,12 @@
 	return math.Abs(a-b) <= 1e-9*max(1, math.Abs(a), math.Abs(b))
 }
 
-// The fast decision works with running sums and shared tables. A wrong sum
-// shows as a choice that is slower than another server would have been.
+// Decide keeps running sums and tables shared by all candidates. A wrong sum leads to a server that
+// is slower than another one.
 func TestDecideAgainstNaive(t *testing.T) {
 	s := New(Config{})
 	properties := gopter.NewProperties(parameters())
-	properties.Property("estimates and choice are those of the naive version", prop.ForAll(
+	properties.Property("estimates and choice equal those of the brute-force version", prop.ForAll(
 		func(seed uint64, servers, pieces int) bool {
 			r := rand.New(rand.NewPCG(seed, 1))
 			c := randomCell(r, servers)
@@ -43,7 +43,7 @@
 func agrees(q *Request, c *Cell, d *Decision) bool {
 	lowest := MaybeLost
 	for i := range c.Candidates {
-		lowest = min(lowest, naiveBar(q, c, &c.Candidates[i]))
+		lowest = min(lowest, naiveRank(q, c, &c.Candidates[i]))
 	}
 	least := math.Inf(1)
 	for i := range c.Candidates {
@@ -51,18 +51,18 @@
 		if !near(e.Cost, d.Estimates[i].Cost) || !near(e.TTFT, d.Estimates[i].TTFT) {
 			return false
 		}
-		if naiveBar(q, c, &c.Candidates[i]) == lowest {
+		if naiveRank(q, c, &c.Candidates[i]) == lowest {
 			least = min(least, e.Cost)
 		}
 	}
-	if naiveBar(q, c, &c.Candidates[d.Server]) != lowest {
+	if naiveRank(q, c, &c.Candidates[d.Server]) != lowest {
 		return false
 	}
-	return d.Estimates[d.Server].Cost <= least*(1+tieShare)+1e-9 && len(d.Plan) == len(q.Pieces)
+	return d.Estimates[d.Server].Cost <= least*(1+tieTolerance)+1e-9 && len(d.Plan) == len(q.Pieces)
 }
 
-// A cell can lose all its servers at once; the entry must learn that nothing
-// can run instead of sending the request to a server that is gone.
+// A cell can lose all its servers at once. The decision must then report that no server can run the
+// request instead of choosing a lost one.
 func TestDecideWithoutCandidates(t *testing.T) {
 	d := New(Config{}).Decide(start, &Request{}, &Cell{}, rand.New(rand.NewPCG(1, 1)))
 	if d.Server != None || d.Reason != NoCandidate {
@@ -70,7 +70,7 @@
 	}
 }
 
-// idle returns n equal idle servers that reported age ago.
+// idle returns n equal idle servers whose last report is age old.
 func idle(n int, age time.Duration) *Cell {
 	c := &Cell{}
 	for i := range n {
@@ -84,9 +84,9 @@
 	return c
 }
 
-// Reports come once a second. When an entry looks at them alone, all requests
-// of that second go to the server that was idle first, and callers wait behind
-// each other while other servers stand idle.
+// Load reports arrive once a second. If an entry uses them alone, it sends all requests of that
+// second to the server that was idle first; those requests queue there while other servers are
+// idle.
 func TestWorkInFlightSpreadsBetweenReports(t *testing.T) {
 	c := idle(4, 0)
 	c.Candidates[3].Load.QueuedTokens = 1000
@@ -108,8 +108,8 @@
 	}
 }
 
-// A store's link slows down tenfold. An entry that still imports makes the
-// caller wait longer than the engine would need to compute the piece.
+// The link of a store slows down tenfold. An import over it makes the caller wait longer than
+// recomputing the piece would.
 func TestSlowImportIsRecomputed(t *testing.T) {
 	c := idle(2, 0)
 	c.Stores = []Store{{Identity: "store", LinkRate: 2e9}}
@@ -128,8 +128,8 @@
 	}
 }
 
-// A dossier is asked for by everyone at once. A policy that looks only at who
-// holds it sends all of them to one server, whose queue grows without end.
+// Many requests with the same prefix arrive at once. A policy that considers only which server
+// holds the prefix sends all of them to one server, whose queue grows without bound.
 func TestHotPrefixLeavesItsServer(t *testing.T) {
 	c := idle(3, 0)
 	q := &Request{Tokens: 8100, Rules: rules.Rules{FirstTokenPrice: 1}}
@@ -148,8 +148,8 @@
 	}
 }
 
-// Long drafts fill every queue while a truck waits at the gate. The status
-// read must be expected to pass them, and drafts must stay off the reserve.
+// Long prompts fill every queue when an urgent status read arrives. The estimate must let it
+// overtake them, and long prompts must not use the reserve server.
 func TestUrgentPassesLongWork(t *testing.T) {
 	c := idle(2, 0)
 	c.Candidates[1].Reserve = true
@@ -169,8 +169,8 @@
 	}
 }
 
-// A server has just started and announced itself without figures. It must be
-// usable, and its missing speed must not make the choice between others wrong.
+// A server that has just started announces itself without load figures. It must be usable, and its
+// missing prefill rate must not affect the choice between other servers.
 func TestServerWithoutReportIsUsable(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	s := New(Config{})
--- a/internal/policy/route/price.go
+++ b/internal/policy/route/price.go
@@ -2,21 +2,21 @@
 
 import "hornbeamwood/internal/settings/rules"
 
-// tokensPerPrice is the number of tokens that rules.Rules.RecomputePrice is for.
+// tokensPerPrice is the number of tokens that rules.Rules.RecomputePrice applies to.
 const tokensPerPrice = 1000
 
-// prices are those of a request's rules.
+// prices are the prices set by a request's rules.
 type prices struct {
-	firstToken float64 // of a second
-	token      float64 // of a recomputed token
-	link       float64 // of a second of a store's link
+	firstToken float64 // per second
+	token      float64 // per recomputed token
+	link       float64 // per second of a store's link
 }
 
 func pricesOf(u *rules.Rules) prices {
 	return prices{firstToken: u.FirstTokenPrice, token: u.RecomputePrice / tokensPerPrice, link: u.LinkPrice}
 }
 
-// price sets the time to first token and the cost of e at the prices of the request's rules.
+// price sets the time to first token and the cost of e from the prices of the request.
 func (e *Estimate) price(q *Query) {
 	e.TTFT = max(e.Wait, e.Import) + e.Compute
 	e.Cost = q.price.firstToken*e.TTFT +
--- a/internal/policy/route/priorities.go
+++ b/internal/policy/route/priorities.go
@@ -1,19 +1,20 @@
 package route
 
-// Priorities is the name of the element that lets urgent requests pass long ones in the estimate.
+// Priorities is the name of the element that accounts for urgent requests overtaking long ones.
 const Priorities = "priorities"
 
-// chunkTokens is how much of a long prefill an engine computes before it looks at its queue again.
+// chunkTokens is the number of tokens of a long prefill that an engine computes before it checks
+// its queue again.
 const chunkTokens = 2048
 
-// priorities counts only the work that an engine with a priority queue does first.
-// Without it a short urgent request is sent away from a server whose queue it
-// would pass, or waits in the estimate for drafts that it never waits for.
+// priorities counts only the work that an engine with a priority queue computes first. Without it a
+// short urgent request is sent away from a server whose queue it would overtake, or its estimate
+// includes waiting for long prompts that it overtakes.
 type priorities struct{}
 
 func (priorities) Name() string { return Priorities }
 
-// Apply scales the wait by the share of work in flight that goes before the request.
+// Apply scales the wait by the share of the work in flight that is computed before the request.
 func (priorities) Apply(q *Query, c *Candidate, e *Estimate) {
 	if !c.PriorityAware || e.Wait <= 0 {
 		return
--- a/internal/policy/route/query.go
+++ b/internal/policy/route/query.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Query is a request with what is computed once for all candidates.
+// Query is a request with the values that are computed once for all candidates.
 type Query struct {
 	// Now is the time of the decision.
 	Now time.Time
 	// Request is the request.
 	Request *Request
-	// Cell is the view that the decision uses.
+	// Cell is the view on which the decision is based.
 	Cell *Cell
 	// Band is the request's priority band.
 	Band int
@@ -16,16 +16,16 @@
 	price                prices
 	reserve, busyReserve int
 	tail                 int
-	sources              []Copy // the best copy of each piece; Store is None when there is none
-	held                 []bool // candidate by piece
+	sources              []Copy // the best copy of each piece; Store is None if no copy can be read
+	held                 []bool // indexed by candidate, then piece
 	imports              []importable
-	linkAt               []float64 // backlog of each store's link
-	diskAt               []float64
-	linkUse              []float64 // backlog with the pieces of the plan that is being weighed
-	diskUse              []float64
+	linkBacklog          []float64 // backlog of each store's link, in seconds
+	diskBacklog          []float64
+	linkPlanned          []float64 // linkBacklog plus the transfers of the plan under evaluation
+	diskPlanned          []float64
 }
 
-// prepare computes the parts that are common to all candidates.
+// prepare computes the values that are common to all candidates.
 func (q *Query) prepare(now time.Time, r *Request, c *Cell) {
 	q.Now, q.Request, q.Cell = now, r, c
 	q.Band = Band(r.Rules.Priority)
@@ -48,15 +48,16 @@
 	}
 }
 
-// prepareStores picks the copy of each piece that arrives first at the links' present backlog.
+// prepareStores chooses for each piece the copy that arrives first at the current backlog of the
+// links.
 func (q *Query) prepareStores() {
 	stores := q.Cell.Stores
-	q.linkAt = resize(q.linkAt, len(stores))
-	q.diskAt = resize(q.diskAt, len(stores))
-	q.linkUse = resize(q.linkUse, len(stores))
-	q.diskUse = resize(q.diskUse, len(stores))
+	q.linkBacklog = resize(q.linkBacklog, len(stores))
+	q.diskBacklog = resize(q.diskBacklog, len(stores))
+	q.linkPlanned = resize(q.linkPlanned, len(stores))
+	q.diskPlanned = resize(q.diskPlanned, len(stores))
 	for i := range stores {
-		q.linkAt[i], q.diskAt[i] = backlog(&stores[i])
+		q.linkBacklog[i], q.diskBacklog[i] = backlog(&stores[i])
 	}
 	q.sources = resize(q.sources, len(q.Request.Pieces))
 	for i := range q.Request.Pieces {
@@ -72,12 +73,12 @@
 		if s.LinkRate <= 0 {
 			continue
 		}
-		t := q.linkAt[c.Store] + float64(p.Bytes)/s.LinkRate
+		t := q.linkBacklog[c.Store] + float64(p.Bytes)/s.LinkRate
 		if c.Tier == Disk && s.DiskRate <= 0 {
 			continue
 		}
 		if c.Tier == Disk {
-			t = max(t, q.diskAt[c.Store]+float64(p.Bytes)/s.DiskRate)
+			t = max(t, q.diskBacklog[c.Store]+float64(p.Bytes)/s.DiskRate)
 		}
 		if best.Store == None || t < at {
 			best, at = c, t
@@ -86,19 +87,19 @@
 	return best
 }
 
-// heldBy returns which pieces candidate s has in memory.
+// heldBy returns, by piece, whether candidate s holds it in memory.
 func (q *Query) heldBy(s int) []bool {
 	n := len(q.Request.Pieces)
 	return q.held[s*n : (s+1)*n]
 }
 
-// resetUse starts a new plan.
-func (q *Query) resetUse() {
-	copy(q.linkUse, q.linkAt)
-	copy(q.diskUse, q.diskAt)
+// resetTransfers starts the evaluation of a new plan.
+func (q *Query) resetTransfers() {
+	copy(q.linkPlanned, q.linkBacklog)
+	copy(q.diskPlanned, q.diskBacklog)
 }
 
-// backlog returns the seconds until the link and the disk of s are free.
+// backlog returns the time in seconds until the link and the disk of s are idle.
 func backlog(s *Store) (link, disk float64) {
 	if s.LinkRate > 0 {
 		link = float64(s.LinkQueued) / s.LinkRate
--- a/internal/policy/route/request.go
+++ b/internal/policy/route/request.go
@@ -2,7 +2,7 @@
 
 import "hornbeamwood/internal/settings/rules"
 
-// Request is what a routing decision needs to know of a prompt.
+// Request is the input of a routing decision for one prompt.
 type Request struct {
 	// Workspace is the workspace's name.
 	Workspace string
@@ -10,11 +10,13 @@
 	Model string
 	// Rules are the effective rules of the workspace for the model.
 	Rules rules.Rules
-	// Key is a hash of workspace, model and the first piece; requests with a common prefix have a common key.
+	// Key is a hash of workspace, model and the first piece; requests with a common prefix have the
+	// same key.
 	Key uint64
 	// Tokens is the length of the prompt.
 	Tokens int
-	// Pieces are the whole pieces of the prompt in order; the tokens after them are always computed.
+	// Pieces are the whole pieces of the prompt in order; the tokens after them are always
+	// computed.
 	Pieces []Piece
 }
 
--- a/internal/policy/route/source.go
+++ b/internal/policy/route/source.go
@@ -1,12 +1,12 @@
 package route
 
-// Source is where a piece of the prompt comes from.
+// Source is the origin of a piece of the prompt.
 type Source uint8
 
 const (
-	// InMemory means that the engine holds the piece.
+	// InMemory means that the engine holds the piece in memory.
 	InMemory Source = iota
-	// Import means that the engine reads the piece from a store.
+	// Import means that the engine imports the piece from a store.
 	Import
 	// Recompute means that the engine computes the piece.
 	Recompute
@@ -14,7 +14,7 @@
 
 var sourceNames = [...]string{InMemory: "in-memory", Import: "import", Recompute: "recompute"}
 
-// String returns the name of s as it stands in logs.
+// String returns the name of s that is used in logs.
 func (s Source) String() string {
 	return sourceNames[s]
 }
--- a/internal/policy/route/step.go
+++ b/internal/policy/route/step.go
@@ -2,8 +2,8 @@
 
 // Step is the plan for one piece.
 type Step struct {
-	// Source is where the piece comes from.
+	// Source is the origin of the piece.
 	Source Source
-	// Copy is the copy to import when Source is Import.
+	// Copy is the copy to import if Source is Import.
 	Copy Copy
 }
--- a/internal/policy/route/store.go
+++ b/internal/policy/route/store.go
@@ -1,15 +1,17 @@
 package route
 
-// Store is a store VM's link and disk as this entry knows them.
+// Store is the state of the link and disk of a store VM, as seen by this entry.
 type Store struct {
-	// Identity names the store.
+	// Identity is the identity of the store.
 	Identity string
-	// LinkRate is the link's measured speed in bytes a second; zero means that the store can't be read.
+	// LinkRate is the measured rate of the link in bytes per second; zero means that the store
+	// cannot be read.
 	LinkRate float64
-	// LinkQueued is the number of bytes that wait for the link: reported, and sent since by this entry and its peers.
+	// LinkQueued is the number of bytes queued for the link: those reported, and those sent since
+	// the report by this entry and its peers.
 	LinkQueued int64
-	// DiskRate is the disk's speed in bytes a second.
+	// DiskRate is the rate of the disk in bytes per second.
 	DiskRate float64
-	// DiskQueued is the number of bytes that wait for the disk.
+	// DiskQueued is the number of bytes queued for the disk.
 	DiskQueued int64
 }
--- a/internal/policy/route/suspects.go
+++ b/internal/policy/route/suspects.go
@@ -7,9 +7,9 @@
 
 func (suspects) Name() string { return Suspects }
 
-// Apply bars a suspect and a server that must run its request alone.
+// Apply ranks a suspect server and a server that runs an exclusive request last.
 func (suspects) Apply(_ *Query, c *Candidate, e *Estimate) {
-	if c.Suspect || c.RunsAlone {
-		e.Bar = MaybeLost
+	if c.Suspect || c.Exclusive {
+		e.Rank = MaybeLost
 	}
 }
--- a/internal/policy/route/work.go
+++ b/internal/policy/route/work.go
@@ -1,6 +1,6 @@
 package route
 
-// Work is an amount of prefill by priority band.
+// Work is an amount of prefill work by priority band.
 type Work struct {
 	// Requests is the number of requests in each band.
 	Requests [Bands]int32
@@ -33,7 +33,7 @@
 	return sum
 }
 
-// From returns the tokens of band and all bands above it.
+// From returns the tokens of band and of all higher bands.
 func (w *Work) From(band int) int64 {
 	var sum int64
 	for _, n := range w.Tokens[band:] {
@@ -42,7 +42,7 @@
 	return sum
 }
 
-// Below returns the number of requests in bands under band.
+// Below returns the number of requests in bands lower than band.
 func (w *Work) Below(band int) int32 {
 	var sum int32
 	for _, n := range w.Requests[:band] {
