--- a/internal/policy/admission/calibration.go
+++ b/internal/policy/admission/calibration.go
@@ -7,22 +7,22 @@
 	"hornbeamwood/internal/policy/route"
 )
 
-// calibration learns by how much estimates fall short in each priority band.
-// An estimate knows the work ahead but not the urgent requests that will come
-// and pass; without a correction long waits end just after the deadline, and
-// one sees prompts that were half computed for callers who have gone.
+// calibration measures by how much estimates fall short in each priority band. An estimate includes
+// the queued work but not the urgent requests that will arrive and overtake it. Without a
+// correction long waits end just after the deadline, and prompts are half computed for callers that
+// have already disconnected.
 type calibration struct {
 	mutex   sync.Mutex
 	factors [route.Bands]float64
 }
 
 const (
-	// weight is the part of one observation.
-	weight = 0.05
-	// worthLearning is the shortest expected time that is learnt from.
-	worthLearning = time.Second
-	// largest bounds the factor, so that one wild estimate doesn't refuse everything.
-	largest = 3.0
+	// observationWeight is the weight of one observation in the moving average.
+	observationWeight = 0.05
+	// minObserved is the shortest expected time that is used as an observation.
+	minObserved = time.Second
+	// maxFactor bounds the factor, so that one outlier does not cause every request to be refused.
+	maxFactor = 3.0
 )
 
 func newCalibration() *calibration {
@@ -34,17 +34,17 @@
 }
 
 func (c *calibration) observe(priority int, expected, actual time.Duration) {
-	if expected < worthLearning {
+	if expected < minObserved {
 		return
 	}
-	ratio := min(max(float64(actual)/float64(expected), 1/largest), largest)
+	ratio := min(max(float64(actual)/float64(expected), 1/maxFactor), maxFactor)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	f := &c.factors[route.Band(priority)]
-	*f += weight * (ratio - *f)
+	*f += observationWeight * (ratio - *f)
 }
 
-// apply returns what expected is likely to become; it never shortens it.
+// apply returns expected corrected by the factor of the band; it never shortens it.
 func (c *calibration) apply(priority int, expected time.Duration) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/policy/admission/config.go
+++ b/internal/policy/admission/config.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Config says how strict admission is; zero values mean the defaults.
+// Config configures admission; zero values mean the defaults.
 type Config struct {
-	// Margin is the part of the deadline that the expected time to first token may take.
+	// Margin is the fraction of the deadline that the expected time to first token may take.
 	Margin float64
-	// MinRetryAfter is the shortest wait that a refusal names.
+	// MinRetryAfter is the shortest RetryAfter of a refusal.
 	MinRetryAfter time.Duration
-	// MaxRetryAfter is the longest wait that a refusal names.
+	// MaxRetryAfter is the longest RetryAfter of a refusal.
 	MaxRetryAfter time.Duration
-	// Spread is the part of the wait that is drawn at random and added.
+	// Spread is the largest random addition to the wait, as a fraction of it.
 	Spread float64
 }
 
--- a/internal/policy/admission/decision.go
+++ b/internal/policy/admission/decision.go
@@ -7,13 +7,14 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-// Decision says whether a request is taken, why, and when a refused one may come back.
+// Decision is the result of admission: whether the request is admitted, the reason, and when a
+// refused caller may resend it.
 type Decision struct {
-	// Admit says whether the request is taken.
+	// Admit reports whether the request is admitted.
 	Admit bool
-	// Reason says why.
+	// Reason is the reason for the decision.
 	Reason Reason
-	// RetryAfter is how long a refused caller waits, in whole seconds.
+	// RetryAfter is how long a refused caller should wait, in whole seconds.
 	RetryAfter time.Duration
 }
 
@@ -31,7 +32,7 @@
 	NoServer:        "no backend server can run the request now",
 }
 
-// Err returns the refusal for the caller with verdict not-run, or nil when the request is admitted.
+// Err returns the error for the caller, with verdict not-run, or nil if the request is admitted.
 func (d Decision) Err() error {
 	if d.Admit {
 		return nil
--- a/internal/policy/admission/doc.go
+++ b/internal/policy/admission/doc.go
@@ -1,5 +1,5 @@
-// Package admission decides whether a request is taken or refused at once.
+// Package admission decides whether a request is admitted or refused at once.
 //
-// A refusal is final and true: nothing of the request has run. It names the
-// time after which the same request would be taken if the backlog drains.
+// A refusal is final: no part of the request has run. It states the time after
+// which the same request would be admitted if the backlog drains.
 package admission
--- a/internal/policy/admission/policy.go
+++ b/internal/policy/admission/policy.go
@@ -5,14 +5,16 @@
 	"time"
 )
 
-// Policy admits requests.
+// Policy decides on the admission of requests.
 type Policy interface {
-	// Decide returns whether the request is taken; random spreads the waits of refused callers.
+	// Decide returns whether the request is admitted; random spreads the RetryAfter of refused
+	// callers.
 	Decide(in Input, random *rand.Rand) Decision
-	// Observe tells how long a first token took that was expected after expected, or
-	// when its caller gave up.
+	// Observe records the actual time to a first token that was expected after expected, or the
+	// time until its caller disconnected.
 	Observe(priority int, expected, actual time.Duration)
-	// Refuse returns the refusal for reason to one who should come back after about wait.
+	// Refuse returns the refusal for reason to a caller that should resend its request after about
+	// wait.
 	Refuse(why Reason, wait time.Duration, random *rand.Rand) Decision
 }
 
@@ -22,12 +24,13 @@
 	valuation   *valuation
 }
 
-// New returns the policy that admits what is expected to make its deadline.
+// New returns the policy that admits requests that are expected to meet their deadlines.
 func New(c Config) Policy {
 	return policy{config: c.withDefaults(), calibration: newCalibration(), valuation: &valuation{}}
 }
 
-// Decide returns a refusal when there is no server, no room in flight or not enough time.
+// Decide refuses a request if no server can run it, its workspace is at its limit of requests in
+// flight, or its deadline would be missed.
 func (p policy) Decide(in Input, random *rand.Rand) Decision {
 	if !in.Server {
 		return p.Refuse(NoServer, 0, random)
@@ -35,9 +38,9 @@
 	if in.MaxInFlight > 0 && in.InFlight >= in.MaxInFlight {
 		return p.Refuse(TooManyInFlight, in.TTFT, random)
 	}
-	late := in.Waited + p.calibration.apply(in.Priority, in.TTFT) - p.allowed(in)
-	if in.Deadline > 0 && late > 0 {
-		return p.Refuse(DeadlineMissed, late, random)
+	excess := in.Waited + p.calibration.apply(in.Priority, in.TTFT) - p.allowed(in)
+	if in.Deadline > 0 && excess > 0 {
+		return p.Refuse(DeadlineMissed, excess, random)
 	}
 	return Decision{Admit: true, Reason: Fits}
 }
@@ -46,15 +49,16 @@
 	p.calibration.observe(priority, expected, actual)
 }
 
-// allowed returns how long the request may wait; what is worth less for the time it takes, less long.
+// allowed returns how long the request may wait. Requests with less worth per second of compute
+// time may wait for a shorter time.
 func (p policy) allowed(in Input) time.Duration {
 	value := p.valuation.factor(in.Priority, in.Worth, in.Compute.Seconds())
 	return time.Duration(float64(in.Deadline) * min(p.config.Margin*value, 1))
 }
 
 // Refuse returns a refusal whose wait is at least wait, spread at random and rounded up to seconds.
-// Callers that were refused together and come back together would be refused
-// together again; the spread parts them.
+// Callers that were refused at the same time and resend at the same time would all be refused
+// again; the spread separates them.
 func (p policy) Refuse(why Reason, wait time.Duration, random *rand.Rand) Decision {
 	wait = max(wait, p.config.MinRetryAfter)
 	wait += time.Duration(float64(wait) * p.config.Spread * random.Float64())
@@ -62,7 +66,7 @@
 	return Decision{Reason: why, RetryAfter: roundUp(wait)}
 }
 
-// roundUp returns d in whole seconds, because the header Retry-After has no fractions.
+// roundUp rounds d up to whole seconds, because the header Retry-After has no fractions.
 func roundUp(d time.Duration) time.Duration {
 	return (d + time.Second - 1).Truncate(time.Second)
 }
--- a/internal/policy/admission/policy_test.go
+++ b/internal/policy/admission/policy_test.go
@@ -12,14 +12,14 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-// During an overload most callers can't be served in time. Each must hear so at
-// once, truthfully and with a time to come back; a caller that is held until
-// its deadline has waited for nothing.
+// During an overload most callers cannot be served in time. Each must be refused at once, with the
+// correct verdict and a time to resend. A caller that is held until its deadline has waited in
+// vain.
 func TestRefusalsAreFinalAndTimed(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20261203)
 	properties := gopter.NewProperties(parameters)
 	p := New(Config{Margin: 0.9})
-	properties.Property("refused exactly when late, with verdict and whole seconds", prop.ForAll(
+	properties.Property("refused exactly when the deadline would be missed, with verdict and whole seconds", prop.ForAll(
 		func(ttft, deadline int64, seed uint64) bool {
 			in := Input{Server: true, TTFT: time.Duration(ttft) * time.Millisecond, Deadline: time.Duration(deadline) * time.Millisecond}
 			d := p.Decide(in, rand.New(rand.NewPCG(seed, 0)))
--- a/internal/policy/admission/valuation.go
+++ b/internal/policy/admission/valuation.go
@@ -6,29 +6,30 @@
 	"hornbeamwood/internal/policy/route"
 )
 
-// valuation compares a request's worth for each second of the servers with what
-// its priority band has asked for lately. When not all can be served, the time
-// that one long prompt takes could answer several others.
+// valuation compares a request's worth per second of compute time with the recent average of its
+// priority band. If not all requests can be served, the time that one long prompt takes could serve
+// several others.
 type valuation struct {
 	mutex sync.Mutex
-	bands [route.Bands]valued
+	bands [route.Bands]bandAverages
 }
 
-// valued holds the decayed sums of a band.
-type valued struct {
+// bandAverages holds the exponentially decayed averages of a band.
+type bandAverages struct {
 	worth   float64
 	compute float64
 }
 
 const (
-	// fade is the part that one request takes of the sums.
-	fade = 0.01
-	// leastValue and mostValue bound how much less or more of its deadline a request may wait.
-	leastValue = 0.6
-	mostValue  = 1.25
+	// decay is the weight of one request in the averages.
+	decay = 0.01
+	// minValue and maxValue bound the factor by which the time that a request may wait is scaled.
+	minValue = 0.6
+	maxValue = 1.25
 )
 
-// factor counts a request and returns the bounded ratio of its value to that of its band.
+// factor adds a request to the averages of its band and returns the bounded ratio of its worth per
+// second to that average.
 func (v *valuation) factor(priority int, worth, compute float64) float64 {
 	if worth <= 0 || compute <= 0 {
 		return 1
@@ -37,10 +38,10 @@
 	defer v.mutex.Unlock()
 	b := &v.bands[route.Band(priority)]
 	if b.compute == 0 {
-		*b = valued{worth: worth, compute: compute}
+		*b = bandAverages{worth: worth, compute: compute}
 	}
-	b.worth += fade * (worth - b.worth)
-	b.compute += fade * (compute - b.compute)
+	b.worth += decay * (worth - b.worth)
+	b.compute += decay * (compute - b.compute)
 	ratio := worth / compute * b.compute / b.worth
-	return min(max(ratio, leastValue), mostValue)
+	return min(max(ratio, minValue), maxValue)
 }
--- a/internal/policy/admission/valuation_test.go
+++ b/internal/policy/admission/valuation_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// More long prompts come than can be served. One that takes four times as long
-// as the others for the same worth would push several of them past their
-// deadlines; it is refused while a short one still gets in.
+// More long prompts arrive than can be served. One that takes four times as long as the others for
+// the same worth would make several of them miss their deadlines. It is refused while a short one
+// is still admitted.
 func TestWorthDecidesWhenTimeIsShort(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	p := New(Config{})
