--- a/internal/policy/retry/bucket.go
+++ b/internal/policy/retry/bucket.go
@@ -1,18 +1,18 @@
 package retry
 
-// bucket holds the repeats that are left.
+// bucket is a token bucket of retries.
 type bucket struct {
-	left float64
+	tokens float64
 }
 
-func (b *bucket) fill(share, limit float64) {
-	b.left = min(b.left+share, limit)
+func (b *bucket) refill(share, limit float64) {
+	b.tokens = min(b.tokens+share, limit)
 }
 
 func (b *bucket) empty() bool {
-	return b.left < 1
+	return b.tokens < 1
 }
 
 func (b *bucket) take() {
-	b.left--
+	b.tokens--
 }
--- a/internal/policy/retry/config.go
+++ b/internal/policy/retry/config.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Config says how attempts are repeated; zero values mean the defaults.
+// Config configures retries; zero values mean the defaults.
 type Config struct {
-	// Burst is the number of repeats that a quiet workspace may have at once.
+	// Burst is the largest number of retries that an idle workspace can accumulate.
 	Burst float64
-	// FleetBurst is the number of repeats that all workspaces together may have at once.
+	// FleetBurst is the largest number of retries that all workspaces together can accumulate.
 	FleetBurst float64
-	// BaseWait is the upper bound of the first wait; each later one is twice as long.
+	// BaseWait is the upper bound of the first wait; the bound doubles with each further attempt.
 	BaseWait time.Duration
-	// MaxWait bounds the waits.
+	// MaxWait is the largest upper bound of a wait.
 	MaxWait time.Duration
 }
 
--- a/internal/policy/retry/decision.go
+++ b/internal/policy/retry/decision.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Decision says whether to try again, after which wait, and why.
+// Decision is whether to retry, the wait before the next attempt and the reason.
 type Decision struct {
-	// Retry says whether there is another attempt.
+	// Retry reports whether there is another attempt.
 	Retry bool
-	// Wait is how long to wait before it.
+	// Wait is the time to wait before the next attempt.
 	Wait time.Duration
-	// Reason says why.
+	// Reason is the reason for the decision.
 	Reason Reason
 }
--- a/internal/policy/retry/doc.go
+++ b/internal/policy/retry/doc.go
@@ -1,6 +1,6 @@
 // Package retry decides whether a failed attempt is followed by another.
 //
-// Budgets are shares of the first tries, for each workspace and for all of
-// them: when most attempts fail, retries add at most that share to the load,
-// so that they can't turn an overload into a larger one.
+// Budgets are fractions of the first attempts, for each workspace and for all
+// of them together. When most attempts fail, retries add at most that fraction
+// to the load, so that they cannot amplify an overload.
 package retry
--- a/internal/policy/retry/policy.go
+++ b/internal/policy/retry/policy.go
@@ -10,15 +10,17 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-// Policy holds the budgets of one entry; it may be used by several goroutines at once.
-// Each entry fills its budgets from its own first tries, so that the sum over the entries
-// stays within the share of all.
+// Policy holds the retry budgets of one entry. It is safe for concurrent use. Each entry fills its
+// budgets from its own first attempts, so that the sum over all entries stays within the configured
+// share of the requests.
 type Policy interface {
-	// First counts a first try of a workspace whose rules allow share of its requests, and of all requests fleetShare, to be repeated.
+	// First counts a first attempt of a workspace. The rules allow share of the requests of the
+	// workspace, and fleetShare of all requests, to be retried.
 	First(workspace string, share, fleetShare float64)
-	// Decide returns whether the failed attempt is followed by another and takes it from the budgets.
+	// Decide returns whether the failed attempt is followed by another and, if so, takes it from
+	// the budgets.
 	Decide(f Failure, random *rand.Rand) Decision
-	// Forget drops the budget of a workspace that no longer exists.
+	// Forget deletes the budget of a workspace that no longer exists.
 	Forget(workspace string)
 }
 
@@ -36,10 +38,10 @@
 	shards [shards]shard
 }
 
-// New returns a Policy with a full budget for all workspaces together and none for each.
+// New returns a Policy with a full budget for all workspaces together and none for each workspace.
 func New(c Config) Policy {
 	p := &policy{config: c.withDefaults()}
-	p.fleet.left = p.config.FleetBurst
+	p.fleet.tokens = p.config.FleetBurst
 	for i := range p.shards {
 		p.shards[i].buckets = map[string]*bucket{}
 	}
@@ -55,13 +57,13 @@
 	s.mutex.Lock()
 	b, ok := s.buckets[workspace]
 	if !ok {
-		b = &bucket{left: min(1, p.config.Burst)}
+		b = &bucket{tokens: min(1, p.config.Burst)}
 		s.buckets[workspace] = b
 	}
-	b.fill(share, p.config.Burst)
+	b.refill(share, p.config.Burst)
 	s.mutex.Unlock()
 	p.mutex.Lock()
-	p.fleet.fill(fleetShare, p.config.FleetBurst)
+	p.fleet.refill(fleetShare, p.config.FleetBurst)
 	p.mutex.Unlock()
 }
 
@@ -72,9 +74,9 @@
 	delete(s.buckets, workspace)
 }
 
-// Decide asks first what forbids another attempt at any price, then the budgets.
+// Decide checks first what forbids another attempt regardless of the budgets, then the budgets.
 func (p *policy) Decide(f Failure, random *rand.Rand) Decision {
-	if why := forbidden(f); why != "" {
+	if why := forbiddenReason(f); why != "" {
 		return Decision{Reason: why}
 	}
 	wait := p.wait(f, random)
@@ -87,40 +89,40 @@
 	return Decision{Retry: true, Wait: wait, Reason: Budgeted}
 }
 
-func forbidden(f Failure) Reason {
+func forbiddenReason(f Failure) Reason {
 	if f.Answered {
 		return PartAnswered
 	}
 	if !f.Idempotent && f.Verdict != verdict.NotRun {
-		return MayRepeat
+		return MayHaveRun
 	}
 	if f.Servers <= 0 {
-		return NoOther
+		return NoOtherServer
 	}
 	return ""
 }
 
-// take uses one repeat of the workspace and of the fleet, or neither.
+// take takes one retry from the budgets of the workspace and of the fleet, or from neither.
 func (p *policy) take(workspace string) Reason {
 	s := p.shard(workspace)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	b, ok := s.buckets[workspace]
 	if !ok || b.empty() {
-		return WorkspaceSpent
+		return WorkspaceBudgetSpent
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.fleet.empty() {
-		return FleetSpent
+		return FleetBudgetSpent
 	}
 	b.take()
 	p.fleet.take()
 	return Budgeted
 }
 
-// wait returns a wait between zero and a bound that doubles with each attempt.
-// A fixed wait would bring all requests of a lost server to the next one at the same moment.
+// wait returns a random wait between zero and a bound that doubles with each attempt. A fixed wait
+// would send all requests of a lost server to the next one at the same moment.
 func (p *policy) wait(f Failure, random *rand.Rand) time.Duration {
 	bound := p.config.BaseWait
 	for range f.Attempt - 1 {
--- a/internal/policy/retry/policy_test.go
+++ b/internal/policy/retry/policy_test.go
@@ -19,24 +19,24 @@
 	}
 }
 
-// Servers refuse everything during an overload and each failed attempt asks
-// for another. Without a bound the load doubles just when it can't be carried.
+// During an overload servers refuse every request and each failed attempt requests a retry. Without
+// a bound the load doubles while the servers are already overloaded.
 func TestRetriesStayWithinTheirShare(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20261203)
 	properties := gopter.NewProperties(parameters)
-	properties.Property("retries never exceed the share of first tries and the burst", prop.ForAll(
+	properties.Property("retries never exceed the share of first attempts and the burst", prop.ForAll(
 		func(seed uint64, first, workspaces int, share float64) bool {
 			random := rand.New(rand.NewPCG(seed, 0))
 			const fleetShare = 0.1
 			c := Config{}.withDefaults()
 			p := New(c)
-			tries := map[string]float64{}
+			firstAttempts := map[string]float64{}
 			retries := map[string]float64{}
 			var all float64
 			for range first {
 				w := string(rune('a' + random.IntN(workspaces)))
 				p.First(w, share, fleetShare)
-				tries[w]++
+				firstAttempts[w]++
 				for a := 1; ; a++ {
 					f := failure(w)
 					f.Attempt = a
@@ -47,8 +47,8 @@
 					all++
 				}
 			}
-			for w := range tries {
-				if retries[w] > share*tries[w]+1+1e-9 {
+			for w := range firstAttempts {
+				if retries[w] > share*firstAttempts[w]+1+1e-9 {
 					return false
 				}
 			}
@@ -57,18 +57,18 @@
 	properties.TestingRun(t)
 }
 
-// An issue stamp whose answer was lost may have been issued. Sending it again
-// would put two certificate numbers on one batch.
-func TestWhatIsNeverRepeated(t *testing.T) {
+// A call without idempotence whose answer was lost may have run; sending it again would run it
+// twice, for example issue two certificate numbers for one batch.
+func TestForbiddenRetries(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	p := New(Config{})
 	p.First("a", 1, 1)
 	cases := map[Reason]func(f *Failure){
-		MayRepeat:      func(f *Failure) { f.Idempotent, f.Verdict = false, verdict.MayHaveRun },
-		PartAnswered:   func(f *Failure) { f.Answered = true },
-		NoOther:        func(f *Failure) { f.Servers = 0 },
-		NoTime:         func(f *Failure) { f.Remaining = 0 },
-		WorkspaceSpent: func(f *Failure) { f.Workspace = "unknown" },
+		MayHaveRun:           func(f *Failure) { f.Idempotent, f.Verdict = false, verdict.MayHaveRun },
+		PartAnswered:         func(f *Failure) { f.Answered = true },
+		NoOtherServer:        func(f *Failure) { f.Servers = 0 },
+		NoTime:               func(f *Failure) { f.Remaining = 0 },
+		WorkspaceBudgetSpent: func(f *Failure) { f.Workspace = "unknown" },
 	}
 	for want, change := range cases {
 		f := failure("a")
@@ -80,6 +80,6 @@
 	f := failure("a")
 	f.Idempotent = false
 	if d := p.Decide(f, random); !d.Retry {
-		t.Errorf("a call that did not run may be sent elsewhere: %+v", d)
+		t.Errorf("a call that did not run may be retried on another server: %+v", d)
 	}
 }
