--- a/internal/policy/fairness/backlog.go
+++ b/internal/policy/fairness/backlog.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Window is the work ahead at the chosen server over which a request waits at its entry.
-// It is longer than what long work must gain to use the first two servers of a
-// reserve, so that these are used before requests wait.
-const Window = 10 * time.Second
+// BacklogThreshold is the backlog at the chosen server above which a request waits at its entry. It
+// is longer than the time that long work must save to use the first two reserve servers, so that
+// these are used before requests wait.
+const BacklogThreshold = 10 * time.Second
 
-// Hold returns whether a request waits at its entry: ahead is the work ahead at the chosen
-// server, and others says whether a request of its band already waits.
+// Hold returns whether a request waits at its entry. ahead is the backlog at the chosen server, and
+// others reports whether another request of its band is already waiting.
 func Hold(ahead time.Duration, others bool) bool {
-	return others || ahead > Window
+	return others || ahead > BacklogThreshold
 }
 
-// Wait returns how long a request is expected to wait for its turn behind cost seconds of work at
-// its own entry, when each of the entries holds as much for the servers.
+// Wait returns how long a request is expected to wait behind cost seconds of work queued at its
+// entry, assuming that every entry holds as much work for the servers.
 func Wait(cost float64, entries, servers int) time.Duration {
 	if servers <= 0 {
 		return 0
--- a/internal/policy/fairness/config.go
+++ b/internal/policy/fairness/config.go
@@ -1,17 +1,17 @@
 package fairness
 
-// Config bounds a queue; zero values mean the defaults.
+// Config configures a Queue; zero values mean the defaults.
 type Config struct {
-	// Quantum is the cost that a workspace with share 1 gets in each round.
+	// Quantum is the cost that a workspace with share 1 may use in each round.
 	Quantum float64
-	// MaxWaiting is the largest number of requests that wait for one workspace.
+	// MaxWaiting is the largest number of waiting requests of one workspace.
 	MaxWaiting int
 }
 
 const (
 	defaultQuantum    = 2
 	defaultMaxWaiting = 256
-	// minShare keeps a workspace whose share is zero from waiting for ever.
+	// minShare prevents a workspace whose share is zero from waiting forever.
 	minShare = 0.01
 )
 
--- a/internal/policy/fairness/item.go
+++ b/internal/policy/fairness/item.go
@@ -6,7 +6,7 @@
 	Workspace string
 	// Share is the workspace's weight.
 	Share float64
-	// Cost is the estimated cost, for example seconds of prefill.
+	// Cost is the estimated cost, for example in seconds of prefill.
 	Cost float64
 	// Value is the request.
 	Value T
--- a/internal/policy/fairness/queue.go
+++ b/internal/policy/fairness/queue.go
@@ -2,13 +2,14 @@
 
 import "math"
 
-// Queue holds waiting requests; its user locks it.
+// Queue holds waiting requests. It is not safe for concurrent use.
 type Queue[T any] interface {
-	// Push adds an item and returns false when its workspace's queue is full.
+	// Push adds an item and returns false if the queue of its workspace is full.
 	Push(i Item[T]) bool
 	// Pop returns the next item by deficit round robin and whether there is one.
 	Pop() (Item[T], bool)
-	// Ahead returns the cost that is popped before a new item of the given workspace, share and cost.
+	// Ahead returns the cost that would be popped before a new item of the given workspace, share
+	// and cost.
 	Ahead(workspace string, share, cost float64) float64
 	// Len returns the number of waiting items.
 	Len() int
@@ -17,24 +18,25 @@
 }
 
 type queue[T any] struct {
-	config Config
-	flows  map[string]*flow[T]
-	active []*flow[T] // flows with items, in the order of their turns
-	fresh  bool       // the first active flow has not had its quantum in this turn
-	count  int
-	cost   float64
+	config     Config
+	flows      map[string]*flow[T]
+	active     []*flow[T] // flows with items, in round-robin order
+	quantumDue bool       // the first active flow has not been granted its quantum in this round
+	count      int
+	cost       float64
 }
 
 // New returns an empty Queue.
 func New[T any](c Config) Queue[T] {
-	return &queue[T]{config: c.withDefaults(), flows: map[string]*flow[T]{}, fresh: true}
+	return &queue[T]{config: c.withDefaults(), flows: map[string]*flow[T]{}, quantumDue: true}
 }
 
 func (q *queue[T]) Len() int { return q.count }
 
 func (q *queue[T]) Cost() float64 { return q.cost }
 
-// Ahead counts of each other workspace at most what it gets in the rounds that this one's items take.
+// Ahead counts for each other workspace at most the cost that it may use in the rounds that the
+// items of this workspace take.
 func (q *queue[T]) Ahead(workspace string, share, cost float64) float64 {
 	var own float64
 	if f, ok := q.flows[workspace]; ok {
@@ -75,33 +77,33 @@
 	}
 	q.skipRounds()
 	for !q.ready() {
-		q.turn()
+		q.rotate()
 	}
-	return q.take(), true
+	return q.popFirst(), true
 }
 
-// ready gives the first flow its quantum once in its turn and returns whether its first item is covered.
+// ready grants the first flow its quantum once per round and returns whether its deficit covers its
+// first item.
 func (q *queue[T]) ready() bool {
 	f := q.active[0]
-	if q.fresh {
+	if q.quantumDue {
 		f.deficit += q.config.Quantum * f.share
-		q.fresh = false
+		q.quantumDue = false
 	}
 	return f.deficit >= f.items[0].Cost
 }
 
-// turn moves the first flow to the end.
-func (q *queue[T]) turn() {
+// rotate moves the first flow to the end.
+func (q *queue[T]) rotate() {
 	f := q.active[0]
 	copy(q.active, q.active[1:])
 	q.active[len(q.active)-1] = f
-	q.fresh = true
+	q.quantumDue = true
 }
 
-// take pops the first flow's item and forgets the flow when it has no other.
-// A workspace that keeps its deficit while it has nothing to send would later
-// send a burst ahead of all others.
-func (q *queue[T]) take() Item[T] {
+// popFirst pops the first item of the first flow and deletes the flow if it is empty. A workspace
+// that kept its deficit while it had nothing queued could later send a burst ahead of all others.
+func (q *queue[T]) popFirst() Item[T] {
 	f := q.active[0]
 	i := f.pop()
 	q.count--
@@ -109,7 +111,7 @@
 	if len(f.items) == 0 {
 		delete(q.flows, f.workspace)
 		q.active = q.active[1:]
-		q.fresh = true
+		q.quantumDue = true
 	}
 	if q.count == 0 {
 		q.cost = 0
@@ -117,8 +119,8 @@
 	return i
 }
 
-// skipRounds gives all flows at once the rounds that none of them could use, so that
-// one item of great cost doesn't make Pop turn thousands of times.
+// skipRounds grants all flows at once the quanta of the rounds in which none of them could pop an
+// item, so that Pop does not iterate thousands of times for one item of high cost.
 func (q *queue[T]) skipRounds() {
 	rounds := math.Inf(1)
 	for _, f := range q.active {
--- a/internal/policy/fairness/queue_test.go
+++ b/internal/policy/fairness/queue_test.go
@@ -9,12 +9,12 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// naiveQueue gives each workspace its quantum one turn at a time.
+// naiveQueue is a brute-force deficit round robin, which grants one quantum at a time.
 type naiveQueue struct {
 	order   []string
 	items   map[string][]Item[int]
 	deficit map[string]float64
-	given   bool
+	granted bool
 }
 
 func (n *naiveQueue) push(i Item[int]) {
@@ -28,18 +28,18 @@
 	for {
 		w := n.order[0]
 		first := n.items[w][0]
-		if !n.given {
+		if !n.granted {
 			n.deficit[w] += quantum * first.Share
-			n.given = true
+			n.granted = true
 		}
 		if n.deficit[w] < first.Cost {
-			n.order, n.given = append(n.order[1:], w), false
+			n.order, n.granted = append(n.order[1:], w), false
 			continue
 		}
 		n.deficit[w] -= first.Cost
 		n.items[w] = n.items[w][1:]
 		if len(n.items[w]) == 0 {
-			n.order, n.given = n.order[1:], false
+			n.order, n.granted = n.order[1:], false
 			delete(n.deficit, w)
 		}
 		return first
@@ -48,7 +48,7 @@
 
 func TestQueueAgainstNaive(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(20261203))
-	properties.Property("same order as turn by turn", prop.ForAll(
+	properties.Property("same order as the brute-force queue", prop.ForAll(
 		func(seed uint64, steps int) bool {
 			r := rand.New(rand.NewPCG(seed, 0))
 			q := New[int](Config{Quantum: 1, MaxWaiting: 1000})
@@ -74,8 +74,8 @@
 	properties.TestingRun(t)
 }
 
-// One large workspace sends a flood. The small ones must still get their share
-// of what the servers do, and the flood must not take all memory.
+// One large workspace sends far more requests than its share. Small workspaces must still get their
+// shares of the servers, and the queue of the large one must stay bounded.
 func TestLargeWorkspaceDoesNotStarveSmallOnes(t *testing.T) {
 	q := New[int](Config{MaxWaiting: 100})
 	refused := 0
@@ -108,9 +108,9 @@
 		q.Push(Item[int]{Workspace: "large", Share: 1, Cost: 2, Value: i})
 	}
 	if n := q.Ahead("small", 1, 2); n != 4 {
-		t.Errorf("one round of the large workspace is ahead, got %v", n)
+		t.Errorf("want the cost of one round of the large workspace, got %v", n)
 	}
 	if n := q.Ahead("large", 1, 2); n != 12 {
-		t.Errorf("its own items are ahead, got %v", n)
+		t.Errorf("want the cost of its own items, got %v", n)
 	}
 }
