--- a/internal/policy/placement/change.go
+++ b/internal/policy/placement/change.go
@@ -1,42 +1,42 @@
 package placement
 
-// Change is something that was lost or came back.
+// Change is the loss or return of a process.
 type Change uint8
 
 const (
-	// StoreLost means that a store no longer answers.
+	// StoreLost means that a store no longer responds.
 	StoreLost Change = iota
-	// StoreBack means that a store answers again under a new incarnation.
+	// StoreBack means that a store responds again with a new incarnation.
 	StoreBack
-	// ServerLost means that a backend server no longer answers.
+	// ServerLost means that a backend server no longer responds.
 	ServerLost
-	// ServerBack means that a backend server answers again under a new incarnation.
+	// ServerBack means that a backend server responds again with a new incarnation.
 	ServerBack
-	// EntryLost means that a peer of this entry has been silent.
+	// EntryLost means that no message has arrived from a peer of this entry.
 	EntryLost
 )
 
-// Reaction says what an entry forgets after a Change; what it does not name stays.
+// Reaction lists the state that an entry discards after a Change; all other state is kept.
 type Reaction struct {
-	// ForgetCopies drops all locations in that store.
+	// ForgetCopies discards all locations in that store.
 	ForgetCopies bool
-	// ForgetMemory drops all locations in that server's memory.
+	// ForgetMemory discards all locations in that server's memory.
 	ForgetMemory bool
-	// DropWork drops the peer's work in flight.
+	// DropWork discards the work in flight of that peer.
 	DropWork bool
-	// Reason says why.
+	// Reason is the reason for the reaction.
 	Reason string
 }
 
 var reactions = [...]Reaction{
-	StoreLost:  {ForgetCopies: true, Reason: "an import from a lost store waits for its timeout"},
-	StoreBack:  {ForgetCopies: true, Reason: "a store comes back without its memory, and what its disk holds it announces anew"},
-	ServerLost: {ForgetMemory: true, Reason: "the memory of a lost server is gone"},
-	ServerBack: {ForgetMemory: true, Reason: "a server comes back cold; what it holds it announces anew"},
-	EntryLost:  {DropWork: true, Reason: "work that nobody ends would count as load for ever"},
+	StoreLost:  {ForgetCopies: true, Reason: "an import from a lost store waits until it times out"},
+	StoreBack:  {ForgetCopies: true, Reason: "a restarted store has lost its memory and announces the content of its disk again"},
+	ServerLost: {ForgetMemory: true, Reason: "the cache in the memory of a lost server is lost"},
+	ServerBack: {ForgetMemory: true, Reason: "a restarted server has an empty cache and announces its content again"},
+	EntryLost:  {DropWork: true, Reason: "work in flight of a lost entry would otherwise count as load forever"},
 }
 
-// React returns what an entry does after c.
+// React returns the reaction of an entry to c.
 func React(c Change) Reaction {
 	return reactions[c]
 }
--- a/internal/policy/placement/change_test.go
+++ b/internal/policy/placement/change_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A machine is lost and its locations or its load stay in an entry's view. The
-// entry then plans imports that never arrive, or avoids servers that are idle.
-func TestEachChangeForgetsSomething(t *testing.T) {
+// If the locations or the load of a lost machine stay in the view of an entry, the entry plans
+// imports that never arrive or avoids servers that are idle.
+func TestEachChangeDiscardsState(t *testing.T) {
 	for c := StoreLost; c <= EntryLost; c++ {
 		r := React(c)
 		if r.Reason == "" || (!r.ForgetCopies && !r.ForgetMemory && !r.DropWork) {
--- a/internal/policy/placement/decision.go
+++ b/internal/policy/placement/decision.go
@@ -1,9 +1,9 @@
 package placement
 
-// Decision lists what is exported and says why.
+// Decision lists the exports and the reason.
 type Decision struct {
 	// Exports are the pieces to write, in prompt order.
 	Exports []Export
-	// Reason says why there are or are none.
+	// Reason is the reason why there are exports or none.
 	Reason Reason
 }
--- a/internal/policy/placement/doc.go
+++ b/internal/policy/placement/doc.go
@@ -1,6 +1,7 @@
-// Package placement decides which cache pieces are written to stores after a
-// run, to which store and tier, and what is forgotten when a machine is lost.
+// Package placement decides which cache pieces are exported to stores after a
+// run, to which store and tier, and what state is discarded when a machine is
+// lost.
 //
-// A piece is written when the work that its return is expected to save is
-// worth more than the link time for the export and the later import.
+// A piece is exported if the work that its expected reuse saves is worth more
+// than the link time for the export and the later import.
 package placement
--- a/internal/policy/placement/input.go
+++ b/internal/policy/placement/input.go
@@ -2,13 +2,14 @@
 
 import "hornbeamwood/internal/settings/rules"
 
-// Input is what is known after a run.
+// Input is the input of an export decision after a run.
 type Input struct {
 	// Rules are the effective rules of the request.
 	Rules rules.Rules
-	// Return is the probability that the prompt comes back after it left engine memory, 0 to 1.
+	// Return is the probability, from 0 to 1, that the prompt is sent again after its pieces were
+	// evicted from engine memory.
 	Return float64
-	// PrefillRate is the engine's prefill speed in tokens a second.
+	// PrefillRate is the engine's prefill rate in tokens per second.
 	PrefillRate float64
 	// Pieces are the prompt's pieces in order.
 	Pieces []Piece
--- a/internal/policy/placement/piece.go
+++ b/internal/policy/placement/piece.go
@@ -8,6 +8,6 @@
 	Tokens int
 	// Bytes is the size of its KV cache.
 	Bytes int64
-	// Stored says that a live store is known to hold it.
+	// Stored reports that a live store is known to hold the piece.
 	Stored bool
 }
--- a/internal/policy/placement/policy.go
+++ b/internal/policy/placement/policy.go
@@ -9,12 +9,12 @@
 	"hornbeamwood/internal/policy/route"
 )
 
-// tokensPerPrice is the number of tokens that rules.Rules.RecomputePrice is for.
+// tokensPerPrice is the number of tokens that rules.Rules.RecomputePrice applies to.
 const tokensPerPrice = 1000
 
-// onDiskBelow is the probability of return under which a piece goes to disk, so
-// that prompts that seldom come back don't push out those that often do.
-const onDiskBelow = 0.3
+// diskReuseThreshold is the reuse probability below which a piece goes to disk, so that rarely
+// reused prompts do not evict frequently reused ones.
+const diskReuseThreshold = 0.3
 
 // Decide returns the exports for in.
 func Decide(in Input) Decision {
@@ -29,11 +29,11 @@
 		if in.Pieces[i].Stored {
 			continue
 		}
-		e := export(&in, i)
+		e := newExport(&in, i)
 		if e.Worth > 0 {
 			d.Exports = append(d.Exports, e)
 		}
-		d.Reason = NotWorth
+		d.Reason = NotWorthTheLink
 	}
 	if len(d.Exports) > 0 {
 		d.Reason = WorthTheLink
@@ -54,8 +54,8 @@
 	return !s.Lost && s.LinkRate > 0
 }
 
-// export returns where piece i would go and what it is worth there.
-func export(in *Input, i int) Export {
+// newExport returns the export of piece i with its store, tier and worth.
+func newExport(in *Input, i int) Export {
 	p := &in.Pieces[i]
 	e := Export{Piece: i, Store: Place(p.Key, in.Stores)}
 	e.Tier = tier(in.Return, p, &in.Stores[e.Store])
@@ -63,8 +63,9 @@
 	return e
 }
 
-// worth returns the gain for each link second: what the return saves less what both transfers cost.
-// The price of the link grows with its backlog, because each transfer delays those behind it.
+// worth returns the net gain per link second: the saving by the expected reuse minus the cost of
+// both transfers. The price of the link grows with its backlog, because each transfer delays those
+// behind it.
 func worth(in *Input, p *Piece, s *Store) float64 {
 	link := float64(p.Bytes) / s.LinkRate
 	saved := in.Rules.RecomputePrice*float64(p.Tokens)/tokensPerPrice +
@@ -73,16 +74,16 @@
 	return (in.Return*saved - price) / link
 }
 
-func tier(returns float64, p *Piece, s *Store) route.Tier {
-	if returns < onDiskBelow && s.Disk >= p.Bytes && s.FreeMemory < p.Bytes {
+func tier(reuse float64, p *Piece, s *Store) route.Tier {
+	if reuse < diskReuseThreshold && s.Disk >= p.Bytes && s.FreeMemory < p.Bytes {
 		return route.Disk
 	}
 	return route.Memory
 }
 
-// Place returns the index of the store for a key: rendezvous hashing weighted by room.
-// When a store is lost, only its own keys move; when it comes back cold, it
-// gets its part again and no key moves between the others.
+// Place returns the index of the store for a key by rendezvous hashing, weighted by the size of the
+// stores. When a store is lost, only its own keys move. When it returns with an empty cache, it
+// gets its share back and no key moves between the other stores.
 func Place(key uint64, stores []Store) int {
 	best, highest := route.None, math.Inf(-1)
 	for i := range stores {
@@ -102,10 +103,11 @@
 	binary.LittleEndian.PutUint64(b, key)
 	h := xxhash.Sum64(append(b, s.Identity...))
 	unit := (float64(h>>11) + 0.5) / (1 << 53)
-	return -room(s) / math.Log(unit)
+	return -sizeWeight(s) / math.Log(unit)
 }
 
-// room returns the weight of a store: its size, because a full store makes room by eviction.
-func room(s *Store) float64 {
+// sizeWeight returns the weight of a store: its total size rather than its free space, because a
+// full store evicts pieces.
+func sizeWeight(s *Store) float64 {
 	return max(float64(s.Memory+s.Disk), 1)
 }
--- a/internal/policy/placement/policy_test.go
+++ b/internal/policy/placement/policy_test.go
@@ -21,9 +21,9 @@
 	return all
 }
 
-// A store dies and later comes back cold. If keys moved between the stores that
-// stayed, their copies would no longer be found and be computed again.
-func TestOnlyKeysOfALostStoreMove(t *testing.T) {
+// A store is lost and later returns with an empty cache. If keys moved between the remaining
+// stores, their copies would no longer be found and would be recomputed.
+func TestOnlyKeysOfLostStoreMove(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(20261203))
 	properties.Property("a key moves only when its own store is lost, and back when it returns", prop.ForAll(
 		func(key uint64, n, lost int) bool {
@@ -40,7 +40,7 @@
 	properties.TestingRun(t)
 }
 
-func TestPlaceFollowsRoom(t *testing.T) {
+func TestPlaceIsWeightedBySize(t *testing.T) {
 	all := stores(2)
 	all[1].Memory, all[1].Disk = 3*all[0].Memory, 3*all[0].Disk
 	r := rand.New(rand.NewPCG(1, 1))
@@ -49,11 +49,11 @@
 		larger += Place(r.Uint64(), all)
 	}
 	if math.Abs(float64(larger)-7500) > 200 {
-		t.Errorf("the store with three times the room got %d of 10000", larger)
+		t.Errorf("the store of three times the size got %d of 10000", larger)
 	}
 }
 
-func TestExportsFollowTheirWorth(t *testing.T) {
+func TestExportsDependOnWorth(t *testing.T) {
 	in := Input{
 		Rules:  rules.Rules{CacheExport: true, RecomputePrice: 1, LinkPrice: 1},
 		Return: 0.8, PrefillRate: 10000,
@@ -65,7 +65,7 @@
 	}
 	never := in
 	never.Return = 0
-	if d := Decide(never); d.Reason != NotWorth || len(d.Exports) != 0 {
+	if d := Decide(never); d.Reason != NotWorthTheLink || len(d.Exports) != 0 {
 		t.Errorf("no return: got %+v", d)
 	}
 	forbidden := in
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestReturnsAreLearnt(t *testing.T) {
+func TestReuseProbabilityIsLearned(t *testing.T) {
 	r := NewReturns(0.5)
 	for i := range 1000 {
 		r.Seen("large", 1)
@@ -89,12 +89,12 @@
 		}
 	}
 	if p := r.Probability("large", 1); p > 0.15 {
-		t.Errorf("one in ten comes back, expected %.2f", p)
+		t.Errorf("one in ten prompts is sent again, got probability %.2f", p)
 	}
 	if p := r.Probability("large", 2); p < 0.8 {
-		t.Errorf("each second visit is followed by a third, expected %.2f", p)
+		t.Errorf("each second visit is followed by a third, got probability %.2f", p)
 	}
 	if p := r.Probability("other", 1); p != 0.5 {
-		t.Errorf("unknown workspace: %.2f", p)
+		t.Errorf("unknown workspace: got probability %.2f", p)
 	}
 }
--- a/internal/policy/placement/reason.go
+++ b/internal/policy/placement/reason.go
@@ -1,6 +1,6 @@
 package placement
 
-// Reason says why pieces are exported or not.
+// Reason is the reason why pieces are exported or not.
 type Reason string
 
 const (
@@ -8,10 +8,10 @@
 	WorthTheLink Reason = "worth-the-link"
 	// NotAllowed means that the rules forbid exports.
 	NotAllowed Reason = "not-allowed"
-	// NoStore means that no store can be reached.
+	// NoStore means that no store is reachable.
 	NoStore Reason = "no-store"
-	// Stored means that every piece is in a store already.
+	// Stored means that every piece is already in a store.
 	Stored Reason = "stored"
-	// NotWorth means that no piece is worth its link time.
-	NotWorth Reason = "not-worth-the-link"
+	// NotWorthTheLink means that no piece is worth its link time.
+	NotWorthTheLink Reason = "not-worth-the-link"
 )
--- a/internal/policy/placement/reuse.go
+++ b/internal/policy/placement/reuse.go
@@ -2,84 +2,87 @@
 
 import "sync"
 
-// Returns learns how often the prompts of each workspace come back.
+// Returns estimates from observations how often the prompts of each workspace are sent again.
 type Returns interface {
-	// Seen counts a prompt that comes for the given time; 1 means that it is new.
+	// Seen counts a prompt at its given visit; visit 1 is the first time that it is sent.
 	Seen(workspace string, visit int)
-	// Probability returns the expected probability, 0 to 1, that such a prompt comes back.
+	// Probability returns the estimated probability, from 0 to 1, that a prompt at the given visit
+	// is sent again.
 	Probability(workspace string, visit int) float64
-	// Forget drops what is known of a workspace.
+	// Forget deletes the counts of a workspace.
 	Forget(workspace string)
 }
 
-// visits is the number of visits that are told apart; later ones count as the last.
-const visits = 4
+// maxVisits is the number of visits that are counted separately; later visits count as the last
+// one.
+const maxVisits = 4
 
-// history counts the prompts of a workspace by visit.
-type history [visits]float64
+// visitCounts counts the prompts of a workspace by visit.
+type visitCounts [maxVisits]float64
 
-type returns struct {
-	mutex     sync.Mutex
-	prior     float64
-	histories map[string]*history
+type reuseEstimator struct {
+	mutex  sync.Mutex
+	prior  float64
+	counts map[string]*visitCounts
 }
 
-// priorWeight is the number of prompts that the prior counts for.
+// priorWeight is the weight of the prior, as a number of prompts.
 const priorWeight = 20
 
-// halfAt is the count at which all counts of a workspace are halved, so that old habits fade.
-const halfAt = 2000
+// halveAt is the count at which all counts of a workspace are halved, so that old observations lose
+// weight.
+const halveAt = 2000
 
-// NewReturns returns a Returns that expects prior until it has seen enough prompts.
+// NewReturns returns a Returns that estimates prior until it has seen enough prompts.
 func NewReturns(prior float64) Returns {
-	return &returns{prior: prior, histories: map[string]*history{}}
+	return &reuseEstimator{prior: prior, counts: map[string]*visitCounts{}}
 }
 
-func (r *returns) Seen(workspace string, visit int) {
+func (r *reuseEstimator) Seen(workspace string, visit int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	h, ok := r.histories[workspace]
+	h, ok := r.counts[workspace]
 	if !ok {
-		h = &history{}
-		r.histories[workspace] = h
+		h = &visitCounts{}
+		r.counts[workspace] = h
 	}
-	h[bucket(visit)]++
-	if h[0]+h[1] >= halfAt {
+	h[visitIndex(visit)]++
+	if h[0]+h[1] >= halveAt {
 		h.halve()
 	}
 }
 
-func (r *returns) Probability(workspace string, visit int) float64 {
+func (r *reuseEstimator) Probability(workspace string, visit int) float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	h, ok := r.histories[workspace]
+	h, ok := r.counts[workspace]
 	if !ok {
 		return r.prior
 	}
-	seen, back := h.after(bucket(visit))
-	return min((back+r.prior*priorWeight)/(seen+priorWeight), 1)
+	seen, reused := h.reuse(visitIndex(visit))
+	return min((reused+r.prior*priorWeight)/(seen+priorWeight), 1)
 }
 
-// after returns how many prompts were at visit v and how many of them came back;
-// the last two visits are counted together, because the last holds all later ones.
-func (h *history) after(v int) (seen, back float64) {
-	if v < visits-2 {
+// reuse returns how many prompts were at visit v and how many of them were sent again. The last two
+// visits are counted together, because the last one includes all later visits.
+func (h *visitCounts) reuse(v int) (seen, reused float64) {
+	if v < maxVisits-2 {
 		return h[v], h[v+1]
 	}
-	return h[visits-2] + h[visits-1], h[visits-1]
+	return h[maxVisits-2] + h[maxVisits-1], h[maxVisits-1]
 }
 
-func (r *returns) Forget(workspace string) {
+func (r *reuseEstimator) Forget(workspace string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	delete(r.histories, workspace)
+	delete(r.counts, workspace)
 }
 
-func bucket(visit int) int {
-	return min(max(visit, 1), visits) - 1
+func visitIndex(visit int) int {
+	return min(max(visit, 1), maxVisits) - 1
 }
 
-func (h *history) halve() {
+func (h *visitCounts) halve() {
 	for i := range h {
 		h[i] /= 2
 	}
--- a/internal/policy/placement/store.go
+++ b/internal/policy/placement/store.go
@@ -1,14 +1,14 @@
 package placement
 
-// Store is a store VM as this entry knows it.
+// Store is the state of a store VM, as seen by this entry.
 type Store struct {
-	// Identity names the store.
+	// Identity is the identity of the store.
 	Identity string
-	// Lost says that the store is not reachable.
+	// Lost reports that the store is not reachable.
 	Lost bool
-	// LinkRate is the link's measured speed in bytes a second.
+	// LinkRate is the measured rate of the link in bytes per second.
 	LinkRate float64
-	// Backlog is the time until the link is free, in seconds.
+	// Backlog is the time until the link is idle, in seconds.
 	Backlog float64
 	// Memory is the size of the memory tier in bytes.
 	Memory int64
