--- a/internal/policy/suspicion/doc.go
+++ b/internal/policy/suspicion/doc.go
@@ -1,6 +1,8 @@
-// Package suspicion decides which requests crash the servers that run them.
+// Package suspicion identifies the requests that crash the servers that run
+// them.
 //
-// A loss of a server is counted for each fingerprint that ran there. Only
-// losses of different servers count, and a loss that a condemned fingerprint
-// explains better no longer counts against those that ran beside it.
+// The loss of a server is counted for each fingerprint that was running there.
+// Only losses of different servers count. A loss that is better explained by a
+// quarantined fingerprint no longer counts against the other fingerprints that
+// were running on that server.
 package suspicion
--- a/internal/policy/suspicion/fingerprint.go
+++ b/internal/policy/suspicion/fingerprint.go
@@ -9,7 +9,8 @@
 // Fingerprint identifies a prompt within one workspace and model.
 type Fingerprint [sha256.Size]byte
 
-// Of returns the fingerprint; equal prompts of two workspaces or models have different ones.
+// Of returns the fingerprint of a prompt; equal prompts of different workspaces or models have
+// different fingerprints.
 func Of(workspace, model string, prompt []byte) Fingerprint {
 	h := sha256.New()
 	var length [8]byte
@@ -25,12 +26,12 @@
 	return f
 }
 
-// String returns f in hexadecimal digits.
+// String returns f in hexadecimal.
 func (f Fingerprint) String() string {
 	return hex.EncodeToString(f[:])
 }
 
-// Parse returns the fingerprint with the given hexadecimal digits, and false for any other text.
+// Parse returns the fingerprint with the given hexadecimal form, and false for any other text.
 func Parse(s string) (Fingerprint, bool) {
 	var f Fingerprint
 	if hex.DecodedLen(len(s)) != len(f) {
--- a/internal/policy/suspicion/judge.go
+++ b/internal/policy/suspicion/judge.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Case is one fingerprint with the losses that it had a part in.
+// Case is one fingerprint and the server losses attributed to it.
 type Case struct {
 	// Losses are the losses, oldest first.
 	Losses []Loss
@@ -15,46 +15,46 @@
 
 // Judge sets the standing of each case.
 //
-// A case is quarantined when different servers in the number of limit were
-// lost under it. One server that is lost again and again counts once: it may
-// be the server that is broken. All who ran on a lost server share its loss;
-// when one of them is condemned by another loss as well, the shared one no
-// longer counts against the rest. Losses aren't given away for good: an
-// innocent that was beside two culprits looks like the one culprit until the
-// other two are known by further losses, and must get free then. A case whose
-// losses are all explained stays a suspect, because the condemned one may be
-// the innocent; its next whole answer clears it.
+// A case is quarantined if at least limit different servers were lost while they ran it. Repeated
+// losses of one server count once, because that server may be faulty itself. A loss is attributed
+// to all fingerprints that were running on the lost server. If one of them is also quarantined
+// because of another loss, the shared loss no longer counts against the others.
+//
+// The attribution is recomputed from all losses each time. An innocent fingerprint that was running
+// next to two faulty ones looks like the only faulty one until further losses of the other two are
+// known, and must then be released. A case whose losses are all explained by others stays a
+// suspect, because the quarantined one may be the innocent one; its next complete answer clears it.
 func Judge(cases []*Case, limit int) {
 	limit = max(limit, 1)
-	condemned := candidates(cases, limit)
-	for _, c := range slices.Clone(condemned) {
-		if servers(unexplained(c, condemned)) < limit {
-			condemned = slices.DeleteFunc(condemned, func(d *Case) bool { return d == c })
+	quarantined := quarantineCandidates(cases, limit)
+	for _, c := range slices.Clone(quarantined) {
+		if countServers(unexplainedLosses(c, quarantined)) < limit {
+			quarantined = slices.DeleteFunc(quarantined, func(d *Case) bool { return d == c })
 		}
 	}
 	for _, c := range cases {
-		c.Standing = stand(c, condemned)
+		c.Standing = standingOf(c, quarantined)
 	}
 }
 
-// candidates returns the cases that can be condemned, the weakest first: few
-// servers before many, long past losses before new ones.
-func candidates(cases []*Case, limit int) []*Case {
+// quarantineCandidates returns the cases that can be quarantined, those with the least evidence
+// first: fewer servers before more, older latest losses before newer ones.
+func quarantineCandidates(cases []*Case, limit int) []*Case {
 	var list []*Case
 	for _, c := range cases {
-		if servers(c.Losses) >= limit {
+		if countServers(c.Losses) >= limit {
 			list = append(list, c)
 		}
 	}
 	slices.SortStableFunc(list, func(a, b *Case) int {
-		return cmp.Or(cmp.Compare(servers(a.Losses), servers(b.Losses)), cmp.Compare(latest(a), latest(b)))
+		return cmp.Or(cmp.Compare(countServers(a.Losses), countServers(b.Losses)), cmp.Compare(latestLoss(a), latestLoss(b)))
 	})
 	return list
 }
 
-func stand(c *Case, condemned []*Case) Standing {
+func standingOf(c *Case, quarantined []*Case) Standing {
 	switch {
-	case slices.Contains(condemned, c):
+	case slices.Contains(quarantined, c):
 		return Quarantined
 	case len(c.Losses) == 0:
 		return Clear
@@ -63,25 +63,26 @@
 	}
 }
 
-// unexplained returns the losses of c that no other condemned case with a further loss shares.
-func unexplained(c *Case, condemned []*Case) []Loss {
+// unexplainedLosses returns the losses of c that are not shared with another quarantined case that
+// has a further loss.
+func unexplainedLosses(c *Case, quarantined []*Case) []Loss {
 	var rest []Loss
 	for _, l := range c.Losses {
-		shared := func(d *Case) bool { return d != c && Has(d.Losses, l) && more(d.Losses, c.Losses) }
-		if !slices.ContainsFunc(condemned, shared) {
+		shared := func(d *Case) bool { return d != c && Has(d.Losses, l) && hasFurtherLoss(d.Losses, c.Losses) }
+		if !slices.ContainsFunc(quarantined, shared) {
 			rest = append(rest, l)
 		}
 	}
 	return rest
 }
 
-// more reports whether a has a loss that b has not.
-func more(a, b []Loss) bool {
+// hasFurtherLoss reports whether a contains a loss that b does not.
+func hasFurtherLoss(a, b []Loss) bool {
 	return slices.ContainsFunc(a, func(l Loss) bool { return !Has(b, l) })
 }
 
-// servers returns the number of different servers.
-func servers(losses []Loss) int {
+// countServers returns the number of different servers among losses.
+func countServers(losses []Loss) int {
 	n := 0
 	for i, l := range losses {
 		if !slices.ContainsFunc(losses[:i], func(m Loss) bool { return m.Server == l.Server }) {
@@ -91,7 +92,7 @@
 	return n
 }
 
-func latest(c *Case) int64 {
+func latestLoss(c *Case) int64 {
 	var at int64
 	for _, l := range c.Losses {
 		at = max(at, l.At)
--- a/internal/policy/suspicion/judge_test.go
+++ b/internal/policy/suspicion/judge_test.go
@@ -8,18 +8,19 @@
 
 func TestFingerprintsOfWorkspacesDiffer(t *testing.T) {
 	if Of("a", "bc", nil) == Of("ab", "c", nil) || Of("a", "m", []byte("x")) == Of("b", "m", []byte("x")) {
-		t.Error("two workspaces share a fingerprint")
+		t.Error("different workspaces or models share a fingerprint")
 	}
 	f := Of("a", "m", []byte("x"))
 	if got, ok := Parse(f.String()); !ok || got != f {
-		t.Error("a fingerprint doesn't survive its text")
+		t.Error("a fingerprint differs after formatting and parsing")
 	}
 	if _, ok := Parse("zz"); ok {
-		t.Error("nonsense was parsed")
+		t.Error("an invalid fingerprint was parsed")
 	}
 }
 
-// judge returns the standings of cases with the given servers; losses come in the order of their letters.
+// judge returns the standings of cases, each given by the letters of its lost servers; the losses
+// happened in alphabetical order.
 func judge(limit int, cases ...string) []Standing {
 	var list []*Case
 	for _, servers := range cases {
@@ -37,8 +38,8 @@
 	return got
 }
 
-// Requests share the losses of the servers that they ran on. Each case names
-// the servers lost under each request, and what is thought of it then.
+// A loss is attributed to every request that was running on the lost server. Each case lists the
+// servers lost under each request and the expected standings.
 func TestJudge(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -46,12 +47,12 @@
 		want   []Standing
 	}{
 		{"one server", []string{"a", "a"}, []Standing{Suspect, Suspect}},
-		{"companions of a culprit", []string{"ab", "a", "b"}, []Standing{Quarantined, Suspect, Suspect}},
-		{"another loss of a companion", []string{"ab", "ac"}, []Standing{Suspect, Quarantined}},
-		{"always together", []string{"ab", "ab"}, []Standing{Quarantined, Quarantined}},
-		{"beside two culprits", []string{"ab", "ac", "bd"}, []Standing{Suspect, Quarantined, Quarantined}},
-		{"apart", []string{"ab", "c"}, []Standing{Quarantined, Suspect}},
-		{"none", []string{""}, []Standing{Clear}},
+		{"requests next to a faulty one", []string{"ab", "a", "b"}, []Standing{Quarantined, Suspect, Suspect}},
+		{"another loss of one of two", []string{"ab", "ac"}, []Standing{Suspect, Quarantined}},
+		{"always on the same servers", []string{"ab", "ab"}, []Standing{Quarantined, Quarantined}},
+		{"next to two faulty requests", []string{"ab", "ac", "bd"}, []Standing{Suspect, Quarantined, Quarantined}},
+		{"no common server", []string{"ab", "c"}, []Standing{Quarantined, Suspect}},
+		{"no loss", []string{""}, []Standing{Clear}},
 	}
 	for _, c := range cases {
 		if got := judge(2, c.losses...); !slices.Equal(got, c.want) {
--- a/internal/policy/suspicion/loss.go
+++ b/internal/policy/suspicion/loss.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Loss is one server lost while it ran a fingerprint.
+// Loss is the loss of one server while it ran a fingerprint.
 type Loss struct {
 	// Server is the lost server's identity.
 	Server string `cbor:"s"`
-	// Incarnation is that of the lost server.
+	// Incarnation is the incarnation of the lost server.
 	Incarnation uint64 `cbor:"i"`
 	// At is when the loss was recorded, in nanoseconds since 1970.
 	At int64 `cbor:"a"`
 }
 
-// same reports whether l and m are one event.
+// same reports whether l and m are the same event.
 func (l Loss) same(m Loss) bool {
 	return l.Server == m.Server && l.Incarnation == m.Incarnation
 }
 
-// Has reports whether the event l is among losses.
+// Has reports whether losses contains the event l.
 func Has(losses []Loss, l Loss) bool {
 	for _, m := range losses {
 		if l.same(m) {
@@ -27,7 +27,7 @@
 	return false
 }
 
-// Recent returns the losses that are younger than window.
+// Recent returns the losses that are younger than window at the time at.
 func Recent(losses []Loss, at time.Time, window time.Duration) []Loss {
 	oldest := at.Add(-window).UnixNano()
 	var recent []Loss
--- a/internal/policy/suspicion/standing.go
+++ b/internal/policy/suspicion/standing.go
@@ -1,13 +1,14 @@
 package suspicion
 
-// Standing is what is thought of a fingerprint.
+// Standing is the quarantine status of a fingerprint.
 type Standing string
 
 const (
-	// Clear means that nothing speaks against it.
+	// Clear means that no recent loss is attributed to it.
 	Clear Standing = "clear"
-	// Suspect means that fewer servers than the limit were lost under it; it runs alone among suspects.
+	// Suspect means that fewer servers than the limit were lost while they ran it; a server runs at
+	// most one suspect at a time.
 	Suspect Standing = "suspect"
-	// Quarantined means that it isn't run until an operator clears it.
+	// Quarantined means that it is not run until an operator clears it.
 	Quarantined Standing = "quarantined"
 )
--- a/internal/policy/suspicion/view.go
+++ b/internal/policy/suspicion/view.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// quarantineRetry is when a caller of a quarantined request may ask again; an operator looks at it meanwhile.
+// quarantineRetry is the RetryAfter of a quarantined request; it leaves time for an operator to
+// examine the request.
 const quarantineRetry = 10 * time.Minute
 
-// View is what an entry knows of the fleet's suspicions at one version.
+// View is an entry's copy of the standings of the fleet at one version.
 type View struct {
 	version   uint64
 	standings map[Fingerprint]Standing
@@ -16,18 +17,18 @@
 
 // Change is the new standing of one fingerprint.
 type Change struct {
-	// Fingerprint is whose standing it is.
+	// Fingerprint is the fingerprint.
 	Fingerprint Fingerprint `cbor:"f"`
-	// Standing is the new one.
+	// Standing is its new standing.
 	Standing Standing `cbor:"s"`
 }
 
-// Version returns the version of the fleet's suspicions that v shows.
+// Version returns the version of the fleet's standings that v contains.
 func (v View) Version() uint64 {
 	return v.version
 }
 
-// With returns a copy of v at a newer version; whole means that changes list all there is.
+// With returns a copy of v at a newer version; whole means that changes lists all standings.
 func (v View) With(version uint64, changes []Change, whole bool) View {
 	next := View{version: version, standings: map[Fingerprint]Standing{}}
 	if !whole {
@@ -42,7 +43,7 @@
 	return next
 }
 
-// WithSuspect returns a copy of v, at the same version, in which f is a suspect at least.
+// WithSuspect returns a copy of v, at the same version, in which f is at least a suspect.
 func (v View) WithSuspect(f Fingerprint) View {
 	if v.standings[f] == Quarantined {
 		return v
@@ -61,13 +62,14 @@
 	return n
 }
 
-// Decision says how a request may run.
+// Decision is how a request may run.
 type Decision struct {
-	// Standing is Clear for a request that runs as any other, Suspect for one that needs a probe slot, Quarantined for one that is refused.
+	// Standing is Clear for a request without restrictions, Suspect for one that needs a probe
+	// slot, and Quarantined for one that is refused.
 	Standing Standing
 	// RetryAfter is set for a refusal.
 	RetryAfter time.Duration
-	// Reason is one clause for the log.
+	// Reason is a clause for the log.
 	Reason string
 }
 
@@ -79,6 +81,6 @@
 	case Suspect:
 		return Decision{Standing: Suspect, Reason: "a server was lost while it ran this request"}
 	default:
-		return Decision{Standing: Clear, Reason: "nothing speaks against the request"}
+		return Decision{Standing: Clear, Reason: "no server loss is attributed to the request"}
 	}
 }
