--- a/internal/policy/baseline/baseline_test.go
+++ b/internal/policy/baseline/baseline_test.go
@@ -23,8 +23,8 @@
 	return c
 }
 
-// A lost server must get nothing from a baseline either, or the comparison
-// would charge the baseline with failures that any proxy avoids.
+// Baselines must not use a lost server either; otherwise the comparison would count failures
+// against them that any proxy avoids.
 func TestBaselinesSkipSuspects(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for _, s := range []route.Strategy{NewRoundRobin(Config{}), NewLeastLoaded(Config{}), NewPrefixHash(Config{})} {
@@ -45,10 +45,10 @@
 func TestBaselineChoices(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	c := cell(4)
-	turns := NewRoundRobin(Config{})
+	rotation := NewRoundRobin(Config{})
 	for i := range 8 {
-		if d := turns.Decide(start, &route.Request{}, c, random); d.Server != i%4 {
-			t.Errorf("turn %d went to %d", i, d.Server)
+		if d := rotation.Decide(start, &route.Request{}, c, random); d.Server != i%4 {
+			t.Errorf("request %d went to %d", i, d.Server)
 		}
 	}
 	if d := NewLeastLoaded(Config{}).Decide(start, &route.Request{}, c, random); d.Server != 3 {
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestByRoleDividesTheServers(t *testing.T) {
+func TestByRolePartitionsServers(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	c := cell(4)
 	c.Candidates[0].Reserve = true
--- a/internal/policy/baseline/config.go
+++ b/internal/policy/baseline/config.go
@@ -1,10 +1,11 @@
 package baseline
 
-// Config says what a baseline may use.
+// Config configures a baseline.
 type Config struct {
-	// Imports reads each missing piece from a store that has it, whatever the link's backlog.
+	// Imports imports each missing piece from a store that has it, regardless of the backlog of the
+	// link.
 	Imports bool
-	// Name is the strategy's name; empty means the baseline's own.
+	// Name is the name of the strategy; empty means the default name of the baseline.
 	Name string
 }
 
--- a/internal/policy/baseline/doc.go
+++ b/internal/policy/baseline/doc.go
@@ -1,7 +1,7 @@
-// Package baseline holds the naive strategies that the policy is measured
-// against: round robin, least loaded and prefix hash.
+// Package baseline holds the simple strategies that the policy is compared
+// with: round robin, least loaded and prefix hash.
 //
 // They choose only the server. Engines use their own prefix caches and honour
-// priorities as under the policy, and with Imports set a piece that a store
-// holds is always read from there.
+// priorities as they do with the policy. With Imports set, a piece that a store
+// holds is always imported.
 package baseline
--- a/internal/policy/baseline/least_loaded.go
+++ b/internal/policy/baseline/least_loaded.go
@@ -11,35 +11,35 @@
 	config Config
 }
 
-// NewLeastLoaded returns the strategy that takes the server with the fewest prompt tokens queued:
-// those of its report and those that this entry and its peers sent since.
+// NewLeastLoaded returns the strategy that chooses the server with the fewest queued prompt tokens:
+// those in its report and those that this entry and its peers sent since.
 func NewLeastLoaded(c Config) route.Strategy {
 	return &leastLoaded{config: c}
 }
 
 func (s *leastLoaded) Name() string { return s.config.named("least-loaded") }
 
-// Decide returns the server with the least work; a random one among equals.
+// Decide returns the server with the least work, a random one among equals.
 func (s *leastLoaded) Decide(now time.Time, r *route.Request, c *route.Cell, random *rand.Rand) route.Decision {
-	best, least, seen := route.None, 0.0, 0
+	best, least, ties := route.None, 0.0, 0
 	for _, i := range usable(c) {
 		n := queued(now, &c.Candidates[i])
 		if best != route.None && n > least {
 			continue
 		}
 		if best == route.None || n < least {
-			best, least, seen = i, n, 1
+			best, least, ties = i, n, 1
 			continue
 		}
-		seen++
-		if random.IntN(seen) == 0 {
+		ties++
+		if random.IntN(ties) == 0 {
 			best = i
 		}
 	}
 	return outcome(r, c, best, s.config.Imports, route.LeastLoaded)
 }
 
-// queued returns the seconds of prefill at a server.
+// queued returns the seconds of prefill queued at a server.
 func queued(now time.Time, c *route.Candidate) float64 {
 	drained := c.Load.PrefillRate * now.Sub(c.ReportedAt).Seconds()
 	left := max(float64(c.Load.QueuedTokens)-drained, 0) + float64(c.Since.Total())
--- a/internal/policy/baseline/outcome.go
+++ b/internal/policy/baseline/outcome.go
@@ -15,7 +15,8 @@
 	}
 }
 
-// usable returns the indexes of the candidates that are not suspect, or of all when each is.
+// usable returns the indexes of the candidates that are not suspect, or of all candidates if every
+// one is suspect.
 func usable(c *route.Cell) []int {
 	kept := make([]int, 0, len(c.Candidates))
 	for i := range c.Candidates {
--- a/internal/policy/baseline/prefix_hash.go
+++ b/internal/policy/baseline/prefix_hash.go
@@ -14,7 +14,8 @@
 	config Config
 }
 
-// NewPrefixHash returns the strategy that sends each prefix to the server with the highest rendezvous hash.
+// NewPrefixHash returns the strategy that sends each prefix to the server with the highest
+// rendezvous hash.
 func NewPrefixHash(c Config) route.Strategy {
 	return &prefixHash{config: c}
 }
--- a/internal/policy/baseline/round_robin.go
+++ b/internal/policy/baseline/round_robin.go
@@ -13,19 +13,19 @@
 	next   atomic.Uint64
 }
 
-// NewRoundRobin returns the strategy that takes the servers in turn.
+// NewRoundRobin returns the strategy that uses the servers in rotation.
 func NewRoundRobin(c Config) route.Strategy {
 	return &roundRobin{config: c}
 }
 
 func (s *roundRobin) Name() string { return s.config.named("round-robin") }
 
-// Decide returns the next server in turn.
+// Decide returns the next server in the rotation.
 func (s *roundRobin) Decide(_ time.Time, r *route.Request, c *route.Cell, _ *rand.Rand) route.Decision {
-	able := usable(c)
-	if len(able) == 0 {
+	indexes := usable(c)
+	if len(indexes) == 0 {
 		return outcome(r, c, route.None, false, route.NoCandidate)
 	}
-	i := able[(s.next.Add(1)-1)%uint64(len(able))]
+	i := indexes[(s.next.Add(1)-1)%uint64(len(indexes))]
 	return outcome(r, c, i, s.config.Imports, route.RoundRobin)
 }
