--- a/internal/fleet/cell/cell.go
+++ b/internal/fleet/cell/cell.go
@@ -1,8 +1,8 @@
 package cell
 
-// Cell is one cell as the settings name it.
+// Cell is one cell as configured in the settings.
 type Cell struct {
-	// Name names the cell.
+	// Name is the name of the cell.
 	Name string
 	// Zone is the availability zone of its VMs.
 	Zone string
--- a/internal/fleet/cell/cell_test.go
+++ b/internal/fleet/cell/cell_test.go
@@ -32,9 +32,9 @@
 	return block.Scope{Workspace: "w", PieceTokens: 1}.Tokens(tokens)
 }
 
-// A cell is set up while prompts keep coming back. Only the prompts that move
-// to it may lose their cache; were all of them spread anew, every dossier of
-// the region would be computed again at once.
+// A cell is added while prompts keep being sent. Only the prompts that move to it may lose their
+// cache. If all prompts were redistributed, every cached prefix of the region would be recomputed
+// at once.
 func TestOnlyThePromptsOfANewCellMove(t *testing.T) {
 	before, after := layout(t, 15), layout(t, 16)
 	moved, count := 0, map[string]int{}
@@ -55,7 +55,7 @@
 	}
 	for name, n := range count {
 		if n < 800 || n > 1200 {
-			t.Errorf("%s is home of %d of %d prompts", name, n, len(all))
+			t.Errorf("%s is the home of %d of %d prompts", name, n, len(all))
 		}
 	}
 }
@@ -76,7 +76,7 @@
 		t.Errorf("got %v", c)
 	}
 	if l.Home(keys(1)[0]).Name != "cell-00" {
-		t.Error("one cell is home of everything")
+		t.Error("the only cell is not the home of a prompt")
 	}
 }
 
@@ -86,13 +86,13 @@
 
 func TestDecide(t *testing.T) {
 	in := Input{
-		Here:          "a",
-		Home:          "b",
+		LocalCell:     "a",
+		HomeCell:      "b",
 		Model:         "m",
 		WeightVersion: "v",
 		PromptTokens:  32_000,
-		HitShare:      0.8,
-		Hop:           4 * time.Millisecond,
+		HitRatio:      0.8,
+		RoundTrip:     4 * time.Millisecond,
 		Local:         digest("a", 4, 32_000, 1000),
 		Remote:        digest("b", 4, 32_000, 8000),
 		RemoteAge:     time.Second,
@@ -108,8 +108,8 @@
 		want Decision
 	}{
 		{in, Decision{HandOver: true, Reason: CacheAtHome}},
-		{change(func(x *Input) { x.Home = "a" }), Decision{Reason: AtHome}},
-		{change(func(x *Input) { x.Home = "" }), Decision{Reason: NoHome}},
+		{change(func(x *Input) { x.HomeCell = "a" }), Decision{Reason: AtHome}},
+		{change(func(x *Input) { x.HomeCell = "" }), Decision{Reason: NoHome}},
 		{change(func(x *Input) { x.HandedOver = true }), Decision{Reason: HandedOver}},
 		{change(func(x *Input) { x.RemoteKnown = false }), Decision{Reason: HomeUnknown}},
 		{change(func(x *Input) { x.RemoteAge = 11 * time.Second }), Decision{Reason: HomeUnknown}},
@@ -125,18 +125,18 @@
 	}
 }
 
-// Answers from another cell cross on their way. The older one must not put an
-// old queue in the place of a newer one.
-func TestNewestDigestStays(t *testing.T) {
+// Responses from another cell can arrive out of order. The older one must not replace the queue
+// length of a newer one.
+func TestOlderDigestIsIgnored(t *testing.T) {
 	d, at := NewDigests(), time.Unix(100, 0)
-	d.Learn(at.Add(time.Second), digest("b", 1, 1, 2))
-	d.Learn(at, digest("b", 1, 1, 1))
+	d.Update(at.Add(time.Second), digest("b", 1, 1, 2))
+	d.Update(at, digest("b", 1, 1, 1))
 	got, age, ok := d.Get(at.Add(3*time.Second), "b")
 	if !ok || age != 2*time.Second || got.Models[0].QueuedTokens != 2 {
 		t.Errorf("got %+v, %v, %v", got, age, ok)
 	}
 	if _, _, ok := d.Get(at, "c"); ok {
-		t.Error("a cell that told nothing has a digest")
+		t.Error("got a digest of an unknown cell")
 	}
 }
 
@@ -165,11 +165,12 @@
 		t.Errorf("got %+v", d)
 	}
 	if d := Summarize(time.Unix(110, 0), "a", 1, cellView(8), 0); len(d.Models) != 0 {
-		t.Errorf("silent engines count: %+v", d)
+		t.Errorf("engines without recent reports are counted: %+v", d)
 	}
 }
 
-// BenchmarkDigest reports the bytes of one digest of a cell with 60 servers and 4 models, and of those of 16 cells.
+// BenchmarkDigest reports the encoded size of the digest of a cell with 60 servers and 4 models,
+// and of 16 such digests.
 func BenchmarkDigest(b *testing.B) {
 	v := cellView(60)
 	size := 0
--- a/internal/fleet/cell/digest.go
+++ b/internal/fleet/cell/digest.go
@@ -9,18 +9,18 @@
 	"hornbeamwood/internal/fleet/membership"
 )
 
-// Digest is what the other cells know of one cell.
+// Digest is a summary of the load of one cell for the other cells.
 type Digest struct {
 	_ struct{} `cbor:",toarray"`
-	// Cell names the cell.
+	// Cell is the name of the cell.
 	Cell string
-	// Version is a larger number with each Digest of one entry.
+	// Version increases with each Digest of one entry.
 	Version uint64
-	// Models hold one row for each model and weight version that the cell serves.
+	// Models has one row for each model and weight version that the cell serves.
 	Models []ModelDigest
 }
 
-// ModelDigest is the room of one cell for one model and weight version.
+// ModelDigest is the capacity of one cell for one model and weight version.
 type ModelDigest struct {
 	_             struct{} `cbor:",toarray"`
 	Model         string
@@ -29,13 +29,13 @@
 	Engines int
 	// PrefillRate is the sum of their prefill rates in tokens a second.
 	PrefillRate int64
-	// QueuedTokens is the sum of their waiting prompt tokens.
+	// QueuedTokens is the sum of their queued prompt tokens.
 	QueuedTokens int64
-	// FreeSlots is the number of requests that can start at once.
+	// FreeSlots is the number of requests that can start without waiting.
 	FreeSlots int
 }
 
-// Wait returns how long the mean engine takes for its queue.
+// Wait returns the mean time that an engine takes to work off its queue.
 func (m ModelDigest) Wait() time.Duration {
 	if m.PrefillRate <= 0 {
 		return 0
@@ -43,7 +43,8 @@
 	return time.Duration(float64(m.QueuedTokens) / float64(m.PrefillRate) * float64(time.Second))
 }
 
-// Summarize returns the Digest of this cell's engines as they are known at now; age is the largest age up to which an engine gets work.
+// Summarize returns the Digest of this cell's engines in view at the time now. age is the largest
+// age of a report with which an engine is still given work.
 func Summarize(now time.Time, cell string, version uint64, view membership.View, age time.Duration) Digest {
 	rows := map[announcement.Holding]*ModelDigest{}
 	for s := range view.All() {
@@ -57,7 +58,7 @@
 				Age:           age,
 			}
 			if h.Adapter == "" && s.Eligible(now, need) == membership.Eligible {
-				add(rows, h, s)
+				addEngine(rows, h, s)
 			}
 		}
 	}
@@ -71,7 +72,7 @@
 	return d
 }
 
-func add(rows map[announcement.Holding]*ModelDigest, h announcement.Holding, s *membership.Server) {
+func addEngine(rows map[announcement.Holding]*ModelDigest, h announcement.Holding, s *membership.Server) {
 	m := rows[h]
 	if m == nil {
 		m = &ModelDigest{Model: h.Model, WeightVersion: h.WeightVersion}
@@ -84,7 +85,7 @@
 	m.FreeSlots += max(0, l.MaxRunning-l.Running)
 }
 
-// model returns the row of a model and weight version and false when the cell does not serve it.
+// model returns the row of a model and weight version, and false if the cell does not serve it.
 func (d Digest) model(name, version string) (ModelDigest, bool) {
 	for _, m := range d.Models {
 		if m.Model == name && m.WeightVersion == version {
--- a/internal/fleet/cell/digests.go
+++ b/internal/fleet/cell/digests.go
@@ -7,42 +7,42 @@
 
 // Digests holds the newest digest of each other cell.
 //
-// A digest is fetched by asking, and its age counts from when it was asked
-// for; it says nothing of leaving servers, which only the home cell decides on.
+// Digests are fetched on request, and the age of a digest counts from when it was requested. A
+// digest does not include leaving servers; only the home cell handles those.
 type Digests interface {
-	// Learn takes in a digest that was asked for at the given time, unless a later one is known.
-	Learn(asked time.Time, d Digest)
-	// Get returns the newest digest of a cell with its age, and false when there is none.
+	// Update stores a digest that was requested at the given time, unless a newer one is known.
+	Update(requested time.Time, d Digest)
+	// Get returns the newest digest of a cell and its age, and false if there is none.
 	Get(now time.Time, cell string) (Digest, time.Duration, bool)
 }
 
-type aged struct {
-	digest Digest
-	asked  time.Time
+type agedDigest struct {
+	digest    Digest
+	requested time.Time
 }
 
 type digests struct {
 	mu  sync.RWMutex
-	all map[string]aged
+	all map[string]agedDigest
 }
 
-// maxCells bounds the digests that are kept.
+// maxCells bounds the number of stored digests.
 const maxCells = 256
 
 // NewDigests returns empty Digests.
 func NewDigests() Digests {
-	return &digests{all: map[string]aged{}}
+	return &digests{all: map[string]agedDigest{}}
 }
 
-// Learn implements Digests.
-func (d *digests) Learn(asked time.Time, x Digest) {
+// Update implements Digests.
+func (d *digests) Update(requested time.Time, x Digest) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	known, ok := d.all[x.Cell]
-	if (ok && !asked.After(known.asked)) || (!ok && len(d.all) >= maxCells) {
+	if (ok && !requested.After(known.requested)) || (!ok && len(d.all) >= maxCells) {
 		return
 	}
-	d.all[x.Cell] = aged{digest: x, asked: asked}
+	d.all[x.Cell] = agedDigest{digest: x, requested: requested}
 }
 
 // Get implements Digests.
@@ -50,5 +50,5 @@
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	a, ok := d.all[cell]
-	return a.digest, now.Sub(a.asked), ok
+	return a.digest, now.Sub(a.requested), ok
 }
--- a/internal/fleet/cell/doc.go
+++ b/internal/fleet/cell/doc.go
@@ -1,7 +1,8 @@
 // Package cell decides which cell of a region serves a prompt.
 //
-// A cell is some twenty entries with some sixty backend servers. An entry
-// knows the load of its own cell's servers and a digest of every other cell,
-// so that what it keeps, sends and computes does not grow with the fleet. A
-// prompt that returns has a home cell, where its cache is.
+// A cell consists of about twenty entries with about sixty backend servers. An
+// entry knows the load of the servers of its own cell and a digest of every
+// other cell, so that its state, traffic and computation do not grow with the
+// size of the fleet. A prompt that is sent again has a home cell, which holds
+// its cache.
 package cell
--- a/internal/fleet/cell/layout.go
+++ b/internal/fleet/cell/layout.go
@@ -8,16 +8,17 @@
 	"hornbeamwood/internal/cache/block"
 )
 
-// Layout tells which entry is in which cell and which cell is a prompt's home; it is never changed after it was built.
+// Layout maps entries to cells and prompts to their home cells; it is immutable.
 type Layout struct {
-	cells []Cell
-	seeds []uint64
-	of    map[string]int
+	cells  []Cell
+	seeds  []uint64
+	cellOf map[string]int
 }
 
-// NewLayout returns the Layout of the given cells; a cell without a name or entries, and an entry in two cells, are errors.
+// NewLayout returns the Layout of the given cells. A cell without a name or entries, two cells of
+// one name, and an entry in two cells are errors.
 func NewLayout(cells []Cell) (Layout, error) {
-	l := Layout{cells: cells, of: map[string]int{}}
+	l := Layout{cells: cells, cellOf: map[string]int{}}
 	names := map[string]bool{}
 	for i, c := range cells {
 		if c.Name == "" || len(c.Entries) == 0 {
@@ -28,25 +29,26 @@
 		}
 		names[c.Name] = true
 		for _, e := range c.Entries {
-			if j, ok := l.of[e]; ok {
+			if j, ok := l.cellOf[e]; ok {
 				return Layout{}, fmt.Errorf("cell: entry %q is in %q and in %q", e, cells[j].Name, c.Name)
 			}
-			l.of[e] = i
+			l.cellOf[e] = i
 		}
 		l.seeds = append(l.seeds, seed(c.Name))
 	}
 	return l, nil
 }
 
-// seed returns a number of a cell's name; callers choose prompts, so the digest is one that nobody can steer.
+// seed returns a hash of a name. Callers choose the prompts, so the hash is a cryptographic one
+// whose values nobody can choose.
 func seed(name string) uint64 {
 	d := sha256.Sum256([]byte(name))
 	return binary.BigEndian.Uint64(d[:8])
 }
 
-// Of returns the cell of an entry and false when no cell has it.
+// Of returns the cell of an entry, and false if no cell contains it.
 func (l Layout) Of(entry string) (Cell, bool) {
-	i, ok := l.of[entry]
+	i, ok := l.cellOf[entry]
 	if !ok {
 		return Cell{}, false
 	}
@@ -68,14 +70,16 @@
 	return all
 }
 
-// Home returns the home cell of a prompt by the key of its first piece, which holds the workspace.
+// Home returns the home cell of a prompt by the key of its first piece, which includes the
+// workspace.
 //
-// By rendezvous hashing a cell that comes or goes moves only its own prompts.
+// It uses rendezvous hashing, so that adding or removing a cell moves only the prompts of that
+// cell.
 func (l Layout) Home(first block.Key) Cell {
 	best, score := 0, uint64(0)
 	head := binary.BigEndian.Uint64(first[:8])
 	for i, s := range l.seeds {
-		if x := mix(s ^ head); i == 0 || x > score {
+		if x := mix64(s ^ head); i == 0 || x > score {
 			best, score = i, x
 		}
 	}
@@ -85,7 +89,8 @@
 	return l.cells[best]
 }
 
-// Entry returns the entry of the cell to which a prompt is handed over, so that one prompt goes to one entry while all are there; skip passes over those that do not answer.
+// Entry returns the entry of the cell to which a prompt is handed over; skip reports the entries
+// that do not respond. The same prompt goes to the same entry as long as all entries respond.
 func (c Cell) Entry(first block.Key, skip func(entry string) bool) (string, bool) {
 	best, score, found := "", uint64(0), false
 	head := binary.BigEndian.Uint64(first[8:16])
@@ -93,15 +98,15 @@
 		if skip(e) {
 			continue
 		}
-		if x := mix(seed(e) ^ head); !found || x > score {
+		if x := mix64(seed(e) ^ head); !found || x > score {
 			best, score, found = e, x, true
 		}
 	}
 	return best, found
 }
 
-// mix spreads the bits of x evenly.
-func mix(x uint64) uint64 {
+// mix64 is the 64-bit finalizer of MurmurHash3, which spreads the bits of x evenly.
+func mix64(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
