--- a/internal/load/model/clock.go
+++ b/internal/load/model/clock.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// origin is the time that virtual time counts from.
+// origin is the start of virtual time.
 var origin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// clock runs functions in the order of their virtual times.
+// clock is a discrete-event scheduler: it runs functions in the order of their virtual times.
 type clock struct {
 	now    time.Duration
 	count  uint64
@@ -44,7 +44,7 @@
 	return x
 }
 
-// time returns the virtual time as decisions take it.
+// time returns the virtual time as a time.Time, as the decisions expect it.
 func (c *clock) time() time.Time {
 	return origin.Add(c.now)
 }
@@ -59,7 +59,7 @@
 	heap.Push(&c.timers, timer{at: t, order: c.count, run: f})
 }
 
-// every runs f each d until end.
+// every runs f at intervals of d until end.
 func (c *clock) every(d, end time.Duration, f func()) {
 	var next func()
 	next = func() {
@@ -71,7 +71,7 @@
 	c.after(d, next)
 }
 
-// runUntil runs everything that is due by end.
+// runUntil runs everything that is due by end and advances the clock to end.
 func (c *clock) runUntil(end time.Duration) {
 	for len(c.timers) > 0 && c.timers[0].at <= end {
 		t := heap.Pop(&c.timers).(timer)
@@ -81,7 +81,7 @@
 	c.now = end
 }
 
-// span converts seconds.
-func span(seconds float64) time.Duration {
+// fromSeconds converts seconds to a time.Duration.
+func fromSeconds(seconds float64) time.Duration {
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/internal/load/model/config.go
+++ b/internal/load/model/config.go
@@ -6,24 +6,24 @@
 	"hornbeamwood/internal/load/workload"
 )
 
-// Config is one run.
+// Config describes one run.
 type Config struct {
-	// Deployment gives sizes and classes.
+	// Deployment is the deployment with its sizes and request classes.
 	Deployment workload.Deployment
-	// Profile gives the figures of the fakes.
+	// Profile holds the parameters of the simulated engines, stores and links.
 	Profile Profile
-	// Contender is what is measured.
+	// Contender is the strategy to measure.
 	Contender Contender
-	// Rate is the number of requests a second.
+	// Rate is the number of requests per second.
 	Rate float64
-	// Warmup is the time before requests count.
+	// Warmup is the time before requests are counted.
 	Warmup time.Duration
-	// Measured is the time in which arrivals count.
+	// Measured is the time during which arrivals are counted.
 	Measured time.Duration
-	// Seed gives the same run for the same Config.
+	// Seed is the seed of all random numbers; the same Config gives the same run.
 	Seed uint64
-	// Flooder is a workspace that Result.LeastServed leaves out; empty for none.
+	// Flooder is a workspace that is excluded from Result.LeastServed; empty for none.
 	Flooder string
-	// Failures happen during the run.
+	// Failures are the failures injected during the run.
 	Failures []Failure
 }
--- a/internal/load/model/contender.go
+++ b/internal/load/model/contender.go
@@ -2,31 +2,31 @@
 
 import "hornbeamwood/internal/policy/route"
 
-// Contender is a strategy with what goes with it in a comparison.
+// Contender is a strategy under comparison with its settings.
 type Contender struct {
-	// Name is the row's name.
+	// Name is the name of its row in the comparison.
 	Name string
 	// Strategy returns a new strategy for one entry.
 	Strategy func() route.Strategy
-	// Exports is what is written to stores after a run.
+	// Exports is the rule for exports to stores after a run.
 	Exports ExportRule
-	// Admission says whether what cannot make its deadline is refused at once.
+	// Admission reports whether requests that cannot meet their deadlines are refused at once.
 	Admission bool
-	// Worthless says that admission doesn't compare requests by their worth.
+	// Worthless reports that admission does not compare requests by worth.
 	Worthless bool
-	// Fair says whether requests that are not urgent wait at the entry for their workspace's turn
-	// while each server has more than the window of work.
+	// Fair reports whether requests that are not urgent wait in a fair queue at the entry while the
+	// backlog of each server exceeds fairness.BacklogThreshold.
 	Fair bool
 }
 
-// ExportRule says what is written to stores.
+// ExportRule is a rule for exports to stores.
 type ExportRule uint8
 
 const (
-	// ExportNone writes nothing.
+	// ExportNone exports nothing.
 	ExportNone ExportRule = iota
-	// ExportAll writes each piece that no store holds, to the store that its hash names.
+	// ExportAll exports each piece that no store holds to the store selected by its hash.
 	ExportAll
-	// ExportWorth asks the placement policy.
+	// ExportWorth exports the pieces that the placement policy selects.
 	ExportWorth
 )
--- a/internal/load/model/directory.go
+++ b/internal/load/model/directory.go
@@ -7,7 +7,8 @@
 	"hornbeamwood/internal/policy/route"
 )
 
-// directory holds what cache events say of locations; it is late and has gaps.
+// directory holds the piece locations known from cache events; it lags behind and misses lost
+// events.
 type directory struct {
 	clock   *clock
 	profile Profile
@@ -23,7 +24,7 @@
 	}
 }
 
-// engineChanged publishes a cache event of an engine, unless it gets lost.
+// engineChanged publishes a cache event of an engine, unless the event is lost.
 func (d *directory) engineChanged(engine int, key uint64, held bool) {
 	if d.random.Float64() < d.profile.EventLoss {
 		return
@@ -46,7 +47,7 @@
 	}
 }
 
-// list replaces what is known of an engine by its whole listing.
+// list replaces the known locations of an engine by its full listing.
 func (d *directory) list(engine int, keys []uint64) {
 	d.forgetEngine(engine)
 	for _, key := range keys {
@@ -62,7 +63,7 @@
 	}
 }
 
-// storeChanged publishes where a store holds a piece, or that it no longer does.
+// storeChanged publishes that a store holds a piece in a tier, or no longer holds it.
 func (d *directory) storeChanged(store int, key uint64, held bool, tier route.Tier) {
 	d.clock.after(d.profile.EventLag, func() { d.setStore(store, key, held, tier) })
 }
--- a/internal/load/model/engine.go
+++ b/internal/load/model/engine.go
@@ -8,48 +8,49 @@
 	"hornbeamwood/internal/policy/route"
 )
 
-// engine is the fake of a model engine.
+// engine simulates a model engine.
 type engine struct {
-	index    int
-	identity string
-	clock    *clock
-	profile  Profile
-	tokens   int // of a piece
-	stores   []*store
-	memory   *lru
-	jobs     []*job // those without a first token, in the order in which they are computed
-	decoding map[*job]bool
-	stepping bool
-	dead     bool
-	count    uint64
-	reports  uint64
-	// unaware engines take requests in the order of arrival
-	unaware  bool
-	changed  func(key uint64, held bool)
-	computed func(key uint64) bool // returns whether some engine had computed it before
-	wrong    func()
+	index       int
+	identity    string
+	clock       *clock
+	profile     Profile
+	tokens      int // per piece
+	stores      []*store
+	memory      *lru
+	jobs        []*job // jobs without a first token, in the order in which they are computed
+	decoding    map[*job]bool
+	stepRunning bool
+	down        bool
+	count       uint64
+	reports     uint64
+	// fifo engines ignore priorities and compute requests in order of arrival
+	fifo         bool
+	changed      func(key uint64, held bool)
+	computed     func(key uint64) bool // marks the piece as computed and returns whether some engine had computed it before
+	missingPiece func()
 }
 
-// submit takes a request; its pieces come from memory, from the stores of its plan or are computed.
+// submit accepts a job. Its pieces come from memory, are imported from the stores of its plan or
+// are computed.
 func (e *engine) submit(j *job) {
-	if j.gone {
+	if j.cancelled {
 		return
 	}
-	if e.dead {
+	if e.down {
 		j.failed()
 		return
 	}
 	e.count++
 	j.order = e.count
-	j.left = j.extra
+	j.remaining = j.extraTokens
 	e.enqueue(j)
 	for i, key := range j.pieces {
-		e.obtain(j, i, key)
+		e.preparePiece(j, i, key)
 	}
 	e.step()
 }
 
-func (e *engine) obtain(j *job, i int, key uint64) {
+func (e *engine) preparePiece(j *job, i int, key uint64) {
 	if e.memory.touch(key) {
 		e.hold(j, key)
 		return
@@ -68,13 +69,13 @@
 }
 
 func (e *engine) compute(j *job, key uint64) {
-	j.left += e.tokens
+	j.remaining += e.tokens
 	j.missing = append(j.missing, key)
 }
 
 func (e *engine) arrived(j *job, key uint64, ok bool) {
 	j.imports--
-	if j.gone || e.dead {
+	if j.cancelled || e.down {
 		return
 	}
 	if ok {
@@ -92,25 +93,25 @@
 	}
 }
 
-// share is the part of a step that goes to a job.
+// share is the part of a step that is assigned to a job.
 type share struct {
 	job    *job
 	tokens int
 }
 
-// step computes one chunk, filled from the jobs in their order.
+// step computes one chunk, filled from the ready jobs in order.
 func (e *engine) step() {
-	if e.stepping || e.dead {
+	if e.stepRunning || e.down {
 		return
 	}
 	batch, sum := e.batch()
 	if len(batch) == 0 {
 		return
 	}
-	e.stepping = true
+	e.stepRunning = true
 	e.clock.after(e.duration(sum), func() {
-		e.stepping = false
-		if e.dead {
+		e.stepRunning = false
+		if e.down {
 			return
 		}
 		for _, s := range batch {
@@ -121,8 +122,8 @@
 }
 
 func (e *engine) duration(tokens int) time.Duration {
-	slow := 1 + e.profile.DecodeSlowdown*float64(len(e.decoding))/float64(e.profile.MaxRunning)
-	return e.profile.StepTime + span(float64(tokens)/e.profile.PrefillRate*slow)
+	factor := 1 + e.profile.DecodeSlowdown*float64(len(e.decoding))/float64(e.profile.MaxRunning)
+	return e.profile.StepTime + fromSeconds(float64(tokens)/e.profile.PrefillRate*factor)
 }
 
 func (e *engine) batch() ([]share, int) {
@@ -143,7 +144,7 @@
 			running++
 			j.started = true
 		}
-		n := min(j.left, e.profile.ChunkTokens-sum)
+		n := min(j.remaining, e.profile.ChunkTokens-sum)
 		batch = append(batch, share{job: j, tokens: n})
 		sum += n
 		if sum >= e.profile.ChunkTokens {
@@ -164,10 +165,10 @@
 	return ready
 }
 
-// enqueue puts a job behind those that are computed before it.
+// enqueue inserts a job behind those that are computed before it.
 func (e *engine) enqueue(j *job) {
 	at := len(e.jobs)
-	for at > 0 && !e.unaware && e.jobs[at-1].priority < j.priority {
+	for at > 0 && !e.fifo && e.jobs[at-1].priority < j.priority {
 		at--
 	}
 	e.jobs = slices.Insert(e.jobs, at, j)
@@ -175,8 +176,8 @@
 
 func (e *engine) progress(s share) {
 	j := s.job
-	j.left -= s.tokens
-	if j.gone || j.left > 0 {
+	j.remaining -= s.tokens
+	if j.cancelled || j.remaining > 0 {
 		return
 	}
 	e.remove(j)
@@ -190,21 +191,21 @@
 	e.check(j)
 	e.decoding[j] = true
 	j.firstToken()
-	e.clock.after(span(float64(j.answer)/e.profile.DecodeRate), func() { e.finish(j) })
+	e.clock.after(fromSeconds(float64(j.answerTokens)/e.profile.DecodeRate), func() { e.finish(j) })
 }
 
-// check counts an answer that would be made without all of its prompt's pieces.
+// check counts an answer that is generated without all pieces of its prompt in memory.
 func (e *engine) check(j *job) {
 	for _, key := range j.pieces {
 		if !e.memory.has(key) {
-			e.wrong()
+			e.missingPiece()
 			return
 		}
 	}
 }
 
 func (e *engine) finish(j *job) {
-	if e.dead || j.gone {
+	if e.down || j.cancelled {
 		return
 	}
 	delete(e.decoding, j)
@@ -226,21 +227,21 @@
 	}
 }
 
-// cancel ends a job whose caller has gone.
+// cancel ends a job whose caller has disconnected.
 func (e *engine) cancel(j *job) {
-	if j.gone || e.dead {
+	if j.cancelled || e.down {
 		return
 	}
-	j.gone = true
+	j.cancelled = true
 	e.remove(j)
 	delete(e.decoding, j)
 	e.release(j)
 }
 
-// die loses the memory and fails all jobs.
-func (e *engine) die() {
-	e.dead = true
-	e.memory.drop()
+// crash clears the memory and fails all jobs.
+func (e *engine) crash() {
+	e.down = true
+	e.memory.reset()
 	lost := slices.Clone(e.jobs)
 	for j := range e.decoding {
 		lost = append(lost, j)
@@ -249,17 +250,17 @@
 	e.jobs = nil
 	clear(e.decoding)
 	for _, j := range lost {
-		j.gone = true
+		j.cancelled = true
 		j.failed()
 	}
 }
 
-// report returns the load as the engine sees it now.
+// report returns the engine's current load.
 func (e *engine) report() announcement.Load {
 	e.reports++
 	queued := 0
 	for _, j := range e.jobs {
-		queued += j.left
+		queued += j.remaining
 	}
 	return announcement.Load{
 		Sequence:     e.reports,
--- a/internal/load/model/engine_test.go
+++ b/internal/load/model/engine_test.go
@@ -12,25 +12,25 @@
 	p.PrefillRate, p.ChunkTokens, p.StepTime, p.EnginePieces = 1000, 100, 0, pieces
 	e := &engine{
 		clock: c, profile: p, tokens: 100, decoding: map[*job]bool{},
-		changed:  func(uint64, bool) {},
-		computed: func(uint64) bool { return false },
-		wrong:    func() {},
+		changed:      func(uint64, bool) {},
+		computed:     func(uint64) bool { return false },
+		missingPiece: func() {},
 	}
 	e.memory = newLRU(pieces, func(uint64) {})
 	return e
 }
 
-// run submits a job and returns where the time of its first token will stand.
+// run submits a job and returns a pointer to the time of its first token, which is set later.
 func (e *engine) run(priority, tokens int, pieces ...uint64) *time.Duration {
 	at := new(time.Duration)
 	e.submit(&job{
-		priority: priority, extra: tokens, pieces: pieces, plan: make([]route.Step, len(pieces)), answer: 1,
+		priority: priority, extraTokens: tokens, pieces: pieces, plan: make([]route.Step, len(pieces)), answerTokens: 1,
 		firstToken: func() { *at = e.clock.now }, finished: func() {}, failed: func() { *at = -1 },
 	})
 	return at
 }
 
-func TestUrgentPassesAtTheNextChunk(t *testing.T) {
+func TestUrgentOvertakesAtNextChunk(t *testing.T) {
 	c := &clock{}
 	e := newTestEngine(c, 4)
 	draft := e.run(1, 1000)
@@ -54,13 +54,13 @@
 	}
 }
 
-// A server is lost with requests queued and running. Each must fail at once,
-// so that its entry can try elsewhere while there is time.
+// An engine is lost with jobs queued and running. Each job must fail at once, so that its entry can
+// retry on another server while there is time.
 func TestLostEngineFailsItsJobs(t *testing.T) {
 	c := &clock{}
 	e := newTestEngine(c, 4)
 	a, b := e.run(1, 1000), e.run(1, 1000)
-	c.after(50*time.Millisecond, e.die)
+	c.after(50*time.Millisecond, e.crash)
 	c.runUntil(time.Minute)
 	if *a != -1 || *b != -1 {
 		t.Errorf("first tokens at %v and %v", *a, *b)
--- a/internal/load/model/entry.go
+++ b/internal/load/model/entry.go
@@ -13,22 +13,22 @@
 	"hornbeamwood/internal/policy/route"
 )
 
-// entry is the fake of an entry: its own late view and the decisions under test.
+// entry simulates an entry: its own delayed view and the decisions under test.
 type entry struct {
-	index     int
-	run       *run
-	random    *rand.Rand
-	strategy  route.Strategy
-	admission admission.Policy
-	retries   retry.Policy
-	returns   placement.Returns
-	servers   []serverView
-	stores    []storeView
-	own       map[*record]bool
-	peers     []message // the last of each peer
-	carried   map[*request]bool
-	lines     [route.Bands]line
-	dead      bool
+	index      int
+	run        *run
+	random     *rand.Rand
+	strategy   route.Strategy
+	admission  admission.Policy
+	retries    retry.Policy
+	reuse      placement.Returns
+	servers    []serverView
+	stores     []storeView
+	own        map[*record]bool
+	peers      []workMessage // the last message of each peer
+	active     map[*request]bool
+	waitQueues [route.Bands]waitQueue
+	down       bool
 }
 
 func newEntry(index int, r *run) *entry {
@@ -38,15 +38,15 @@
 		strategy:  r.config.Contender.Strategy(),
 		admission: admission.New(admission.Config{}),
 		retries:   retry.New(retry.Config{}),
-		returns:   placement.NewReturns(0.5),
+		reuse:     placement.NewReturns(0.5),
 		servers:   make([]serverView, len(r.engines)),
 		stores:    make([]storeView, len(r.stores)),
 		own:       map[*record]bool{},
-		peers:     make([]message, r.config.Deployment.Entries),
-		carried:   map[*request]bool{},
+		peers:     make([]workMessage, r.config.Deployment.Entries),
+		active:    map[*request]bool{},
 	}
-	for b := range e.lines {
-		e.lines[b].waiting = fairness.New[*request](fairness.Config{})
+	for b := range e.waitQueues {
+		e.waitQueues[b].waiting = fairness.New[*request](fairness.Config{})
 	}
 	for i, g := range r.engines {
 		e.servers[i].load = g.report()
@@ -54,31 +54,32 @@
 	return e
 }
 
-// arrive takes a request from its caller.
+// arrive accepts a request from its caller.
 func (e *entry) arrive(q *request) {
 	q.entry = e
 	e.retries.First(q.arrival.Workspace, retryShare, retryShare)
 	if q.arrival.Document != 0 {
-		e.returns.Seen(q.arrival.Workspace, q.arrival.Visit)
+		e.reuse.Seen(q.arrival.Workspace, q.arrival.Visit)
 	}
 	e.attempt(q)
 }
 
-// retryShare is the part of a workspace's requests, and of all, that may be repeated.
+// retryShare is the fraction of the requests of a workspace, and of all requests, that may be
+// retried.
 const retryShare = 0.1
 
-// attempt decides and sends.
+// attempt decides on a request and sends, queues or refuses it.
 func (e *entry) attempt(q *request) {
 	if q.outcome != open {
 		return
 	}
-	if e.dead {
+	if e.down {
 		e.run.deliver(q)
 		return
 	}
 	q.attempt++
-	ask, cell, servers := e.question(q)
-	d := e.strategy.Decide(e.run.clock.time(), ask, cell, e.random)
+	query, cell, servers := e.routeQuery(q)
+	d := e.strategy.Decide(e.run.clock.time(), query, cell, e.random)
 	queueing := e.queueing(q, &d)
 	q.expected, q.sent = d.TTFT+queueing, e.run.clock.now
 	if !e.admitted(q, &d, queueing) {
@@ -86,14 +87,15 @@
 		return
 	}
 	if e.mustWait(q, &d) {
-		e.wait(q, &d)
+		e.enqueue(q, &d)
 		return
 	}
 	q.server = servers[d.Server]
-	e.send(q, ask, d)
+	e.send(q, query, d)
 }
 
-// admitted asks admission where the contender has it; a request without any server is refused by all.
+// admitted applies admission if the strategy under comparison uses it. A request without any server
+// is always refused.
 func (e *entry) admitted(q *request, d *route.Decision, queueing time.Duration) bool {
 	if d.Server == route.None {
 		return false
@@ -112,7 +114,7 @@
 	}, e.random).Admit
 }
 
-// worth returns the request's worth where admission compares it.
+// worth returns the worth of the request, or 0 if admission does not compare requests by worth.
 func (e *entry) worth(q *request) float64 {
 	if e.run.config.Contender.Worthless {
 		return 0
@@ -120,31 +122,31 @@
 	return q.arrival.Rules.Worth
 }
 
-// compute returns the time that the chosen server would compute.
+// compute returns the expected compute time at the chosen server.
 func compute(d *route.Decision) time.Duration {
 	chosen, _ := d.Chosen()
-	return span(chosen.Compute)
+	return fromSeconds(chosen.Compute)
 }
 
-func (e *entry) send(q *request, ask *route.Request, d route.Decision) {
-	q.record = e.recordOf(q, ask, d)
+func (e *entry) send(q *request, query *route.Request, d route.Decision) {
+	q.record = e.newRecord(q, query, d)
 	e.own[q.record] = true
-	e.carried[q] = true
-	q.job = e.run.jobOf(q, d)
+	e.active[q] = true
+	q.job = e.run.newJob(q, d)
 	job, server := q.job, e.run.engines[q.server]
-	job.firstToken = func() { e.run.backTo(e, func() { e.firstToken(q, job) }) }
-	job.finished = func() { e.run.backTo(e, func() { e.finished(q, job) }) }
-	job.failed = func() { e.run.backTo(e, func() { e.failed(q, job) }) }
+	job.firstToken = func() { e.run.reply(e, func() { e.firstToken(q, job) }) }
+	job.finished = func() { e.run.reply(e, func() { e.finished(q, job) }) }
+	job.failed = func() { e.run.reply(e, func() { e.failed(q, job) }) }
 	e.run.clock.after(e.run.config.Deployment.ZoneDelay, func() { server.submit(job) })
 }
 
-// recordOf returns the work that peers hear of.
-func (e *entry) recordOf(q *request, ask *route.Request, d route.Decision) *record {
+// newRecord returns the work in flight of a request that is sent to the peers.
+func (e *entry) newRecord(q *request, query *route.Request, d route.Decision) *record {
 	r := &record{server: q.server, band: route.Band(q.arrival.Rules.Priority), sent: e.run.clock.now}
-	r.tokens = int64(ask.Tail())
+	r.tokens = int64(query.Tail())
 	for i, s := range d.Plan {
 		if s.Source == route.Recompute {
-			r.tokens += int64(ask.Pieces[i].Tokens)
+			r.tokens += int64(query.Pieces[i].Tokens)
 		}
 		if s.Source != route.Import {
 			continue
@@ -152,9 +154,9 @@
 		if r.link == nil {
 			r.link, r.disk = make([]int64, len(e.stores)), make([]int64, len(e.stores))
 		}
-		r.link[s.Copy.Store] += ask.Pieces[i].Bytes
+		r.link[s.Copy.Store] += query.Pieces[i].Bytes
 		if s.Copy.Tier == route.Disk {
-			r.disk[s.Copy.Store] += ask.Pieces[i].Bytes
+			r.disk[s.Copy.Store] += query.Pieces[i].Bytes
 		}
 	}
 	return r
@@ -169,22 +171,22 @@
 	q.outcome = answered
 	q.ttft = e.run.clock.now + d.ClientDelay - q.arrival.At
 	e.admission.Observe(q.arrival.Rules.Priority, q.expected, e.run.clock.now-q.sent)
-	e.run.count(q, j)
+	e.run.countTokens(q, j)
 	e.export(q)
 }
 
 func (e *entry) finished(q *request, j *job) {
 	if q.job == j {
-		delete(e.carried, q)
+		delete(e.active, q)
 	}
 }
 
-// failed asks for another attempt elsewhere.
+// failed retries a failed request on another server if the retry policy allows it.
 func (e *entry) failed(q *request, j *job) {
 	delete(e.own, q.record)
-	delete(e.carried, q)
+	delete(e.active, q)
 	e.suspect(q.server)
-	if q.job != j || q.outcome == late {
+	if q.job != j || q.outcome == expired {
 		return
 	}
 	remaining := q.arrival.At + q.arrival.Rules.Deadline - e.run.clock.now
@@ -204,41 +206,41 @@
 	e.run.clock.after(d.Wait, func() { e.attempt(q) })
 }
 
-// suspect marks a server whose connection broke.
+// suspect marks a server as suspect after its connection failed.
 func (e *entry) suspect(server int) {
 	e.servers[server].suspect = true
-	e.servers[server].suspected = e.run.clock.now
+	e.servers[server].suspectedAt = e.run.clock.now
 }
 
-// giveUp ends a request whose caller has gone at the deadline.
-func (e *entry) giveUp(q *request) {
+// cancel ends a request whose deadline has expired.
+func (e *entry) cancel(q *request) {
 	delete(e.own, q.record)
-	delete(e.carried, q)
+	delete(e.active, q)
 	e.admission.Observe(q.arrival.Rules.Priority, q.expected, e.run.clock.now-q.sent)
 	if q.job != nil {
 		e.run.engines[q.server].cancel(q.job)
 	}
 }
 
-// die loses the entry with all that it carries; callers come again through another one.
-func (e *entry) die() {
-	e.dead = true
-	carried := make([]*request, 0, len(e.carried))
-	for q := range e.carried {
-		carried = append(carried, q)
+// crash loses the entry with all its requests; their callers resend them through another entry.
+func (e *entry) crash() {
+	e.down = true
+	active := make([]*request, 0, len(e.active))
+	for q := range e.active {
+		active = append(active, q)
 	}
-	slices.SortFunc(carried, func(a, b *request) int { return a.arrival.Number - b.arrival.Number })
-	clear(e.carried)
+	slices.SortFunc(active, func(a, b *request) int { return a.arrival.Number - b.arrival.Number })
+	clear(e.active)
 	clear(e.own)
-	e.abandon()
-	for _, q := range carried {
+	e.resendWaiting()
+	for _, q := range active {
 		e.run.engines[q.server].cancel(q.job)
 		e.resend(q)
 	}
 }
 
-// comeBack is how long a caller waits before it sends again after its connection broke.
-const comeBack = time.Second
+// resendDelay is how long a caller waits before it resends a request after its connection failed.
+const resendDelay = time.Second
 
 func (e *entry) resend(q *request) {
 	q.job = nil
@@ -246,5 +248,5 @@
 		q.outcome = lost
 		return
 	}
-	e.run.clock.after(comeBack, func() { e.run.deliver(q) })
+	e.run.clock.after(resendDelay, func() { e.run.deliver(q) })
 }
--- a/internal/load/model/exports.go
+++ b/internal/load/model/exports.go
@@ -5,7 +5,7 @@
 	"hornbeamwood/internal/policy/route"
 )
 
-// export writes pieces of an answered request to stores as the contender's rule says.
+// export exports pieces of an answered request by the export rule of the strategy under comparison.
 func (e *entry) export(q *request) {
 	rule := e.run.config.Contender.Exports
 	if rule == ExportNone || q.arrival.Document == 0 {
@@ -37,7 +37,7 @@
 	p := e.run.config.Profile
 	in := placement.Input{
 		Rules:       q.arrival.Rules,
-		Return:      e.returns.Probability(q.arrival.Workspace, q.arrival.Visit),
+		Return:      e.reuse.Probability(q.arrival.Workspace, q.arrival.Visit),
 		PrefillRate: p.PrefillRate,
 	}
 	for _, key := range q.arrival.Pieces {
--- a/internal/load/model/failure.go
+++ b/internal/load/model/failure.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Failure is something that fails during a run.
+// Failure is a failure injected during a run.
 type Failure struct {
-	// At is when, from the start of the measured time.
+	// At is when it begins, from the start of the measured time.
 	At time.Duration
-	// Until is when it is over; zero means never.
+	// Until is when it ends; zero means never.
 	Until time.Duration
-	// Kind is what happens.
+	// Kind is the kind of failure.
 	Kind FailureKind
-	// Index is the store, entry or first server to which it happens.
+	// Index is the index of the affected store or entry, or of the first affected server.
 	Index int
-	// Count is the number of servers.
+	// Count is the number of affected servers.
 	Count int
 }
 
@@ -20,13 +20,13 @@
 type FailureKind uint8
 
 const (
-	// StoreDies loses a store's content; it comes back cold.
+	// StoreDies crashes a store, which loses its content and restarts empty.
 	StoreDies FailureKind = iota
-	// LinkSlows divides a store's link speed by ten.
+	// LinkSlows divides the rate of a store's link by ten.
 	LinkSlows
-	// ServersDie loses Count servers.
+	// ServersDie crashes Count servers.
 	ServersDie
-	// EntryDies loses an entry with the requests that it carries.
+	// EntryDies crashes an entry with its requests in flight.
 	EntryDies
 )
 
@@ -35,24 +35,24 @@
 	end   func(r *run, f Failure)
 }
 
-// slowdown is the factor of LinkSlows.
+// slowdown is the factor by which LinkSlows divides the rate of a link.
 const slowdown = 10
 
 var failureActions = map[FailureKind]failureAction{
 	StoreDies: {
-		begin: func(r *run, f Failure) { r.killStore(f.Index) },
-		end:   func(r *run, f Failure) { r.stores[f.Index].revive() },
+		begin: func(r *run, f Failure) { r.crashStore(f.Index) },
+		end:   func(r *run, f Failure) { r.stores[f.Index].restart() },
 	},
 	LinkSlows: {
 		begin: func(r *run, f Failure) { r.stores[f.Index].link.rate /= slowdown },
 		end:   func(r *run, f Failure) { r.stores[f.Index].link.rate *= slowdown },
 	},
 	ServersDie: {
-		begin: func(r *run, f Failure) { r.killServers(f) },
-		end:   func(r *run, f Failure) { r.reviveServers(f) },
+		begin: func(r *run, f Failure) { r.crashServers(f) },
+		end:   func(r *run, f Failure) { r.restartServers(f) },
 	},
 	EntryDies: {
-		begin: func(r *run, f Failure) { r.entries[f.Index].die() },
-		end:   func(r *run, f Failure) { r.entries[f.Index].dead = false },
+		begin: func(r *run, f Failure) { r.entries[f.Index].crash() },
+		end:   func(r *run, f Failure) { r.entries[f.Index].down = false },
 	},
 }
--- a/internal/load/model/fair.go
+++ b/internal/load/model/fair.go
@@ -7,44 +7,45 @@
 	"hornbeamwood/internal/policy/route"
 )
 
-// turnEvery is how often an entry looks whether the next request can go.
-const turnEvery = 50 * time.Millisecond
+// dispatchInterval is the interval at which an entry checks whether the next waiting request can be
+// sent.
+const dispatchInterval = 50 * time.Millisecond
 
-// patient says whether a request takes part in fair queueing.
-func (e *entry) patient(q *request) bool {
+// usesFairQueue reports whether a request is subject to fair queueing.
+func (e *entry) usesFairQueue(q *request) bool {
 	return e.run.config.Contender.Fair && route.Band(q.arrival.Rules.Priority) < route.UrgentBand
 }
 
-// ahead returns the work ahead at the chosen server.
+// ahead returns the backlog at the chosen server.
 func ahead(d *route.Decision) time.Duration {
 	chosen, _ := d.Chosen()
-	return span(chosen.Wait)
+	return fromSeconds(chosen.Wait)
 }
 
-func (e *entry) line(q *request) *line {
-	return &e.lines[route.Band(q.arrival.Rules.Priority)]
+func (e *entry) waitQueue(q *request) *waitQueue {
+	return &e.waitQueues[route.Band(q.arrival.Rules.Priority)]
 }
 
 func (e *entry) mustWait(q *request, d *route.Decision) bool {
-	return e.patient(q) && fairness.Hold(ahead(d), e.line(q).head != nil)
+	return e.usesFairQueue(q) && fairness.Hold(ahead(d), e.waitQueue(q).head != nil)
 }
 
-// queueing returns how long the request is expected to wait for its turn; other
-// entries are taken to hold as much as this one.
+// queueing returns the expected time that the request waits in the queue of this entry, assuming
+// that the other entries hold as much work.
 func (e *entry) queueing(q *request, d *route.Decision) time.Duration {
 	chosen, ok := d.Chosen()
-	if !ok || !e.patient(q) {
+	if !ok || !e.usesFairQueue(q) {
 		return 0
 	}
-	cost := e.line(q).waiting.Ahead(q.arrival.Workspace, q.arrival.Rules.Share, chosen.Compute)
+	cost := e.waitQueue(q).waiting.Ahead(q.arrival.Workspace, q.arrival.Rules.Share, chosen.Compute)
 	return fairness.Wait(cost, len(e.run.entries), len(d.Estimates))
 }
 
-// wait queues a request; a full queue refuses it.
-func (e *entry) wait(q *request, d *route.Decision) {
+// enqueue adds a request to its wait queue, or refuses it if the queue is full.
+func (e *entry) enqueue(q *request, d *route.Decision) {
 	chosen, _ := d.Chosen()
 	q.attempt--
-	l := e.line(q)
+	l := e.waitQueue(q)
 	ok := l.waiting.Push(fairness.Item[*request]{
 		Workspace: q.arrival.Workspace, Share: q.arrival.Rules.Share, Cost: chosen.Compute, Value: q,
 	})
@@ -53,41 +54,41 @@
 		return
 	}
 	if l.head == nil {
-		e.turn(l)
+		e.dispatch(l)
 	}
 }
 
-// turns looks at all lines, the most urgent first.
-func (e *entry) turns() {
-	for b := range e.lines {
-		e.turn(&e.lines[len(e.lines)-1-b])
+// dispatchAll dispatches from all wait queues, the most urgent first.
+func (e *entry) dispatchAll() {
+	for b := range e.waitQueues {
+		e.dispatch(&e.waitQueues[len(e.waitQueues)-1-b])
 	}
 }
 
-// turn sends the waiting requests of a line while the best server has room.
-func (e *entry) turn(l *line) {
-	for !e.dead && l.next() {
+// dispatch sends the waiting requests of a queue while the backlog of the best server permits.
+func (e *entry) dispatch(l *waitQueue) {
+	for !e.down && l.next() {
 		q := l.head
-		ask, cell, servers := e.question(q)
-		d := e.strategy.Decide(e.run.clock.time(), ask, cell, e.random)
+		query, cell, servers := e.routeQuery(q)
+		d := e.strategy.Decide(e.run.clock.time(), query, cell, e.random)
 		if d.Server == route.None || fairness.Hold(ahead(&d), false) {
 			return
 		}
 		l.head = nil
 		q.attempt++
 		q.server = servers[d.Server]
-		e.send(q, ask, d)
+		e.send(q, query, d)
 	}
 }
 
-// abandon gives the waiting requests of a dead entry back to their callers.
-func (e *entry) abandon() {
-	for b := range e.lines {
-		l := &e.lines[b]
+// resendWaiting makes the callers of the waiting requests of a crashed entry resend them.
+func (e *entry) resendWaiting() {
+	for b := range e.waitQueues {
+		l := &e.waitQueues[b]
 		for l.next() {
 			q := l.head
 			l.head = nil
-			e.run.clock.after(comeBack, func() { e.run.deliver(q) })
+			e.run.clock.after(resendDelay, func() { e.run.deliver(q) })
 		}
 	}
 }
--- a/internal/load/model/lru.go
+++ b/internal/load/model/lru.go
@@ -2,12 +2,12 @@
 
 import "container/list"
 
-// lru holds piece keys up to a number; the least recently used that is not pinned leaves first.
+// lru is an LRU cache of piece keys with a capacity; pinned keys are not evicted.
 type lru struct {
-	room    int
-	order   *list.List // of *slot, most recently used first
-	slots   map[uint64]*list.Element
-	evicted func(key uint64)
+	capacity int
+	order    *list.List // of *slot, most recently used first
+	slots    map[uint64]*list.Element
+	evicted  func(key uint64)
 }
 
 type slot struct {
@@ -15,8 +15,8 @@
 	pins int
 }
 
-func newLRU(room int, evicted func(uint64)) *lru {
-	return &lru{room: room, order: list.New(), slots: map[uint64]*list.Element{}, evicted: evicted}
+func newLRU(capacity int, evicted func(uint64)) *lru {
+	return &lru{capacity: capacity, order: list.New(), slots: map[uint64]*list.Element{}, evicted: evicted}
 }
 
 func (l *lru) has(key uint64) bool {
@@ -24,7 +24,7 @@
 	return ok
 }
 
-// touch marks key as used and returns whether it is held.
+// touch marks key as used and returns whether it is present.
 func (l *lru) touch(key uint64) bool {
 	e, ok := l.slots[key]
 	if ok {
@@ -33,17 +33,17 @@
 	return ok
 }
 
-// add holds key and returns whether it is new.
+// add inserts key and returns whether it is new.
 func (l *lru) add(key uint64) bool {
 	if l.touch(key) {
 		return false
 	}
 	l.slots[key] = l.order.PushFront(&slot{key: key})
-	l.shrink()
+	l.evict()
 	return true
 }
 
-// pin keeps a held key from leaving; unpin ends that.
+// pin prevents the eviction of a key; unpin reverts that.
 func (l *lru) pin(key uint64) {
 	l.slots[key].Value.(*slot).pins++
 }
@@ -54,9 +54,9 @@
 	}
 }
 
-func (l *lru) shrink() {
+func (l *lru) evict() {
 	e := l.order.Back()
-	for len(l.slots) > l.room && e != nil {
+	for len(l.slots) > l.capacity && e != nil {
 		previous := e.Prev()
 		if s := e.Value.(*slot); s.pins == 0 && previous != nil {
 			l.order.Remove(e)
@@ -67,13 +67,13 @@
 	}
 }
 
-// drop forgets everything without telling anyone.
-func (l *lru) drop() {
+// reset removes all keys without calling evicted.
+func (l *lru) reset() {
 	l.order.Init()
 	clear(l.slots)
 }
 
-// keys returns what is held, most recently used first.
+// keys returns all keys, most recently used first.
 func (l *lru) keys() []uint64 {
 	all := make([]uint64, 0, len(l.slots))
 	for e := l.order.Front(); e != nil; e = e.Next() {
--- a/internal/load/model/lru_test.go
+++ b/internal/load/model/lru_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// A piece that a running answer uses must stay, whatever else comes in.
-func TestPinnedStays(t *testing.T) {
+// A piece that is used by a running answer must not be evicted, whatever is inserted.
+func TestPinnedKeyIsNotEvicted(t *testing.T) {
 	l := newLRU(2, func(uint64) {})
 	l.add(1)
 	l.pin(1)
@@ -33,12 +33,12 @@
 		l.add(key + 2)
 	}
 	if !l.has(1) {
-		t.Error("a pinned piece left")
+		t.Error("a pinned piece was evicted")
 	}
 	l.unpin(1)
 	l.add(100)
 	l.add(101)
 	if l.has(1) {
-		t.Error("an unpinned piece stayed")
+		t.Error("an unpinned piece was not evicted")
 	}
 }
--- a/internal/load/model/profile.go
+++ b/internal/load/model/profile.go
@@ -2,49 +2,49 @@
 
 import "time"
 
-// Profile holds the figures of the fakes.
+// Profile holds the parameters of the simulated engines, stores and links.
 type Profile struct {
-	// PrefillRate is an engine's prefill speed in tokens a second.
+	// PrefillRate is the prefill rate of an engine in tokens per second.
 	PrefillRate float64
-	// DecodeRate is the decode speed of one request in tokens a second.
+	// DecodeRate is the decode rate of one request in tokens per second.
 	DecodeRate float64
-	// MaxRunning is an engine's largest batch.
+	// MaxRunning is the largest batch of an engine.
 	MaxRunning int
 	// ChunkTokens is the number of prompt tokens that an engine computes in one step.
 	ChunkTokens int
-	// StepTime is the fixed time of a step.
+	// StepTime is the fixed overhead of a step.
 	StepTime time.Duration
-	// DecodeSlowdown is the part by which a full batch of answers slows prefill.
+	// DecodeSlowdown is the fraction by which a full batch of decoding requests slows prefill.
 	DecodeSlowdown float64
-	// EnginePieces is the number of cache pieces in engine memory.
+	// EnginePieces is the capacity of engine memory in cache pieces.
 	EnginePieces int
 	// PieceBytes is the size of a cache piece.
 	PieceBytes int64
-	// LinkRate is the speed of a store's link in bytes a second, both directions together.
+	// LinkRate is the rate of a store's link in bytes per second, both directions together.
 	LinkRate float64
-	// DiskRate is the speed of a store's disk in bytes a second.
+	// DiskRate is the rate of a store's disk in bytes per second.
 	DiskRate float64
-	// MemoryPieces is the number of pieces in a store's memory.
+	// MemoryPieces is the capacity of a store's memory in pieces.
 	MemoryPieces int
-	// DiskPieces is the number of pieces on a store's disk.
+	// DiskPieces is the capacity of a store's disk in pieces.
 	DiskPieces int
-	// ReportEvery is the time between load reports.
+	// ReportEvery is the interval between load reports.
 	ReportEvery time.Duration
-	// ReportLag is how long a report takes to each entry, from shortest to longest.
+	// ReportLag is the range of the delay of a report to each entry, from shortest to longest.
 	ReportLag [2]time.Duration
-	// GossipEvery is the time between two messages of an entry on its work in flight.
+	// GossipEvery is the interval between the messages of an entry about its work in flight.
 	GossipEvery time.Duration
-	// EventLag is how late a cache event is.
+	// EventLag is the delay of a cache event.
 	EventLag time.Duration
-	// EventLoss is the part of cache events that are lost.
+	// EventLoss is the fraction of cache events that are lost.
 	EventLoss float64
-	// ListEvery is the time between listings that close gaps.
+	// ListEvery is the interval between full listings, which repair lost events.
 	ListEvery time.Duration
 	// SilentAfter is the age of a report after which a server is suspect.
 	SilentAfter time.Duration
 }
 
-// DefaultProfile returns the figures that docs/MEASUREMENTS.md is measured with.
+// DefaultProfile returns the parameters with which docs/MEASUREMENTS.md was measured.
 func DefaultProfile() Profile {
 	return Profile{
 		PrefillRate:    10000,
--- a/internal/load/model/request.go
+++ b/internal/load/model/request.go
@@ -6,18 +6,18 @@
 	"hornbeamwood/internal/load/workload"
 )
 
-// outcome says how a request ended.
+// outcome is how a request ended; open is one that has not ended.
 type outcome uint8
 
 const (
 	open outcome = iota
 	answered
 	refused
-	late
+	expired
 	lost
 )
 
-// request is one arrival on its way.
+// request is the state of one arrival.
 type request struct {
 	arrival  workload.Arrival
 	class    *workload.Class
@@ -30,7 +30,8 @@
 	ttft     time.Duration
 	expected time.Duration
 	sent     time.Duration
-	// computed counts the tokens of pieces that had been computed before, and all prompt tokens.
+	// recomputed is the number of tokens in pieces that had been computed before; prompt is the
+	// number of all prompt tokens.
 	recomputed int
 	prompt     int
 }
--- a/internal/load/model/question.go
+++ b/internal/load/model/route_query.go
@@ -7,9 +7,9 @@
 	"hornbeamwood/internal/policy/route"
 )
 
-// question returns what the strategy is asked, with the index of the engine behind each candidate.
-func (e *entry) question(q *request) (*route.Request, *route.Cell, []int) {
-	servers := e.run.able(q)
+// routeQuery returns the input of the strategy, with the index of the engine of each candidate.
+func (e *entry) routeQuery(q *request) (*route.Request, *route.Cell, []int) {
+	servers := e.run.eligible(q)
 	cell := &route.Cell{Candidates: make([]route.Candidate, len(servers)), Stores: make([]route.Store, len(e.stores))}
 	at := make([]int, len(e.servers))
 	for i := range at {
@@ -23,22 +23,22 @@
 		e.fillStore(&cell.Stores[i], i)
 	}
 	e.addWork(cell, at)
-	return e.ask(q, at), cell, servers
+	return e.routeRequest(q, at), cell, servers
 }
 
 func (e *entry) fill(c *route.Candidate, s int) {
 	v := &e.servers[s]
 	c.Identity = e.run.engines[s].identity
 	c.Load = v.load
-	c.ReportedAt = origin.Add(v.reported)
-	c.Suspect = v.suspect || e.run.clock.now-v.heard > e.run.config.Profile.SilentAfter
+	c.ReportedAt = origin.Add(v.reportedAt)
+	c.Suspect = v.suspect || e.run.clock.now-v.receivedAt > e.run.config.Profile.SilentAfter
 	c.Reserve = s >= e.run.config.Deployment.Servers
-	c.PriorityAware = !e.run.engines[s].unaware
+	c.PriorityAware = !e.run.engines[s].fifo
 }
 
 func (e *entry) fillStore(s *route.Store, i int) {
 	v := &e.stores[i]
-	age := (e.run.clock.now - v.reported).Seconds()
+	age := (e.run.clock.now - v.reportedAt).Seconds()
 	s.LinkRate = v.rate
 	if v.lost {
 		s.LinkRate = 0
@@ -48,29 +48,29 @@
 	s.DiskQueued = max(v.diskQueued-int64(age*v.diskRate), 0)
 }
 
-// addWork adds the work in flight of this entry and, as last heard, of its peers.
+// addWork adds the work in flight of this entry and, by their last messages, of its peers.
 func (e *entry) addWork(cell *route.Cell, at []int) {
 	for r := range e.own {
 		e.addRecord(cell, at, r)
 	}
 	for p := range e.peers {
-		e.dropSilent(&e.peers[p])
+		e.dropLost(&e.peers[p])
 		for i := range e.peers[p].work {
 			e.addRecord(cell, at, &e.peers[p].work[i])
 		}
 	}
 }
 
-// dropSilent forgets the work of a peer that is lost.
-func (e *entry) dropSilent(m *message) {
-	if e.run.clock.now-m.heard > silentPeer && placement.React(placement.EntryLost).DropWork {
+// dropLost discards the work of a lost peer.
+func (e *entry) dropLost(m *workMessage) {
+	if e.run.clock.now-m.receivedAt > peerTimeout && placement.React(placement.EntryLost).DropWork {
 		m.work = nil
 	}
 }
 
 func (e *entry) addRecord(cell *route.Cell, at []int, r *record) {
 	for s, bytes := range r.link {
-		if r.sent > e.stores[s].reported {
+		if r.sent > e.stores[s].reportedAt {
 			cell.Stores[s].LinkQueued += bytes
 			cell.Stores[s].DiskQueued += r.disk[s]
 		}
@@ -80,13 +80,13 @@
 	}
 	c := &cell.Candidates[at[r.server]]
 	c.InFlight = c.InFlight.With(r.band, 1, r.tokens)
-	if r.sent > e.servers[r.server].reported {
+	if r.sent > e.servers[r.server].reportedAt {
 		c.Since = c.Since.With(r.band, 1, r.tokens)
 	}
 }
 
-// ask returns the request with the locations that the directory knows.
-func (e *entry) ask(q *request, at []int) *route.Request {
+// routeRequest returns the request with the locations that the directory knows.
+func (e *entry) routeRequest(q *request, at []int) *route.Request {
 	d := e.run.config.Deployment
 	a := &q.arrival
 	r := &route.Request{Workspace: a.Workspace, Rules: a.Rules, Key: keyOf(q), Tokens: e.run.extra(q)}
@@ -105,7 +105,8 @@
 	return r
 }
 
-// keyOf returns the hash of a document's first own piece; prompts without one spread by number.
+// keyOf returns the key of the second piece, which is the first one specific to a document; prompts
+// without one are spread by request number.
 func keyOf(q *request) uint64 {
 	if len(q.arrival.Pieces) > 1 {
 		return q.arrival.Pieces[1]
@@ -113,19 +114,20 @@
 	return uint64(q.arrival.Number)
 }
 
-// hear applies a load report of a server.
-func (e *entry) hear(server int, v serverView) {
+// applyReport applies a load report of a server unless it is older than the last one or than the
+// failure of the connection.
+func (e *entry) applyReport(server int, v serverView) {
 	old := &e.servers[server]
-	if v.reported < old.reported || v.reported < old.suspected {
+	if v.reportedAt < old.reportedAt || v.reportedAt < old.suspectedAt {
 		return
 	}
-	v.heard = e.run.clock.now
+	v.receivedAt = e.run.clock.now
 	e.servers[server] = v
 }
 
-// gossip sends a copy of this entry's work in flight to its peers.
+// gossip sends the work in flight of this entry to its peers.
 func (e *entry) gossip(delay time.Duration) {
-	if e.dead {
+	if e.down {
 		return
 	}
 	list := make([]record, 0, len(e.own))
@@ -134,7 +136,7 @@
 	}
 	for _, p := range e.run.entries {
 		if p != e {
-			e.run.clock.after(delay, func() { p.peers[e.index] = message{heard: e.run.clock.now, work: list} })
+			e.run.clock.after(delay, func() { p.peers[e.index] = workMessage{receivedAt: e.run.clock.now, work: list} })
 		}
 	}
 }
--- a/internal/load/model/run.go
+++ b/internal/load/model/run.go
@@ -10,48 +10,48 @@
 	"hornbeamwood/internal/policy/route"
 )
 
-// run holds everything of one run.
+// run is the state of one run.
 type run struct {
-	config     Config
-	clock      *clock
-	random     *rand.Rand
-	directory  *directory
-	engines    []*engine
-	stores     []*store
-	storeNames []string
-	entries    []*entry
-	everyone   []int
-	services   []int
-	seen       map[uint64]bool // pieces that were computed before
-	requests   []*request
-	marks      []linkMark
-	wrong      int // answers made with a piece that the engine did not hold
+	config         Config
+	clock          *clock
+	random         *rand.Rand
+	directory      *directory
+	engines        []*engine
+	stores         []*store
+	storeNames     []string
+	entries        []*entry
+	allEngines     []int
+	serviceEngines []int
+	computed       map[uint64]bool // pieces that were computed at least once
+	requests       []*request
+	linkBaselines  []linkCounters
+	missingPieces  int // answers generated while the engine lacked a piece
 }
 
-// linkMark is a link's counters when the measured time began.
-type linkMark struct {
+// linkCounters are the counters of a link at the start of the measured time.
+type linkCounters struct {
 	moved int64
 	busy  time.Duration
 }
 
-// Run returns what was measured in one run.
+// Run simulates one run and returns its result.
 func Run(c Config) Result {
 	r := newRun(c)
 	end := c.Warmup + c.Measured
 	r.schedule(end)
 	r.clock.runUntil(c.Warmup)
-	r.mark()
+	r.recordLinkBaselines()
 	r.clock.runUntil(end)
 	links := r.links()
-	r.clock.runUntil(end + tail)
+	r.clock.runUntil(end + drainTime)
 	return r.result(links)
 }
 
-// tail is the time that requests of the measured time have to end.
-const tail = 3 * time.Minute
+// drainTime is the time after the measured time in which its requests can end.
+const drainTime = 3 * time.Minute
 
 func newRun(c Config) *run {
-	r := &run{config: c, clock: &clock{}, random: rand.New(rand.NewPCG(c.Seed, 1)), seen: map[uint64]bool{}}
+	r := &run{config: c, clock: &clock{}, random: rand.New(rand.NewPCG(c.Seed, 1)), computed: map[uint64]bool{}}
 	r.directory = newDirectory(r.clock, c.Profile, rand.New(rand.NewPCG(c.Seed, 2)))
 	for i := range c.Deployment.Stores {
 		r.storeNames = append(r.storeNames, fmt.Sprintf("store-%d", i))
@@ -61,9 +61,9 @@
 	}
 	for i := range c.Deployment.Servers + c.Deployment.Reserve {
 		r.engines = append(r.engines, r.newEngine(i))
-		r.everyone = append(r.everyone, i)
+		r.allEngines = append(r.allEngines, i)
 		if i >= c.Deployment.Servers {
-			r.services = append(r.services, i)
+			r.serviceEngines = append(r.serviceEngines, i)
 		}
 	}
 	for i := range c.Deployment.Entries {
@@ -78,29 +78,29 @@
 		tokens: r.config.Deployment.PieceTokens, stores: r.stores, decoding: map[*job]bool{},
 	}
 	e.changed = func(key uint64, held bool) { r.directory.engineChanged(i, key, held) }
-	e.computed = func(key uint64) bool { before := r.seen[key]; r.seen[key] = true; return before }
-	e.wrong = func() { r.wrong++ }
+	e.computed = func(key uint64) bool { before := r.computed[key]; r.computed[key] = true; return before }
+	e.missingPiece = func() { r.missingPieces++ }
 	e.memory = newLRU(r.config.Profile.EnginePieces, func(key uint64) { e.changed(key, false) })
 	return e
 }
 
-// schedule starts everything that happens by time.
+// schedule schedules the periodic tasks, the failures and the first arrival.
 func (r *run) schedule(end time.Duration) {
 	p := r.config.Profile
 	for i := range r.engines {
 		r.clock.after(p.ReportEvery*time.Duration(i)/time.Duration(len(r.engines)), func() {
 			r.report(i)
-			r.clock.every(p.ReportEvery, end+tail, func() { r.report(i) })
+			r.clock.every(p.ReportEvery, end+drainTime, func() { r.report(i) })
 		})
-		r.clock.every(p.ListEvery+time.Duration(i)*time.Millisecond, end+tail, func() { r.list(i) })
+		r.clock.every(p.ListEvery+time.Duration(i)*time.Millisecond, end+drainTime, func() { r.list(i) })
 	}
 	for i := range r.stores {
 		r.reportStore(i)
-		r.clock.every(p.ReportEvery/2, end+tail, func() { r.reportStore(i) })
+		r.clock.every(p.ReportEvery/2, end+drainTime, func() { r.reportStore(i) })
 	}
 	for _, e := range r.entries {
-		r.clock.every(turnEvery, end+tail, e.turns)
-		r.clock.every(p.GossipEvery, end+tail, func() { e.gossip(r.config.Deployment.ZoneDelay) })
+		r.clock.every(dispatchInterval, end+drainTime, e.dispatchAll)
+		r.clock.every(p.GossipEvery, end+drainTime, func() { e.gossip(r.config.Deployment.ZoneDelay) })
 	}
 	for _, f := range r.config.Failures {
 		r.fail(f)
@@ -108,7 +108,7 @@
 	g := workload.New(workload.Config{
 		Deployment: r.config.Deployment, Rate: r.config.Rate, Length: end, Seed: r.config.Seed,
 	})
-	r.next(g)
+	r.scheduleNext(g)
 }
 
 func (r *run) fail(f Failure) {
@@ -119,8 +119,8 @@
 	}
 }
 
-// next delivers the next arrival at its time.
-func (r *run) next(g workload.Generator) {
+// scheduleNext takes the next arrival of g and delivers it at its time.
+func (r *run) scheduleNext(g workload.Generator) {
 	a, ok := g.Next()
 	if !ok {
 		return
@@ -130,42 +130,42 @@
 		r.requests = append(r.requests, q)
 		r.deliver(q)
 		r.clock.at(a.At+a.Rules.Deadline, func() { r.expire(q) })
-		r.next(g)
+		r.scheduleNext(g)
 	})
 }
 
-// deliver brings a request to a random live entry, as the platform's balancer does.
+// deliver sends a request to a random running entry, as a load balancer of the platform does.
 func (r *run) deliver(q *request) {
 	if q.outcome != open {
 		return
 	}
 	e := r.entries[r.random.IntN(len(r.entries))]
-	for e.dead {
+	for e.down {
 		e = r.entries[r.random.IntN(len(r.entries))]
 	}
 	r.clock.after(r.config.Deployment.ClientDelay, func() { e.arrive(q) })
 }
 
-// expire ends a request that has no first token at its deadline.
+// expire ends a request without a first token at its deadline.
 func (r *run) expire(q *request) {
 	if q.outcome != open {
 		return
 	}
-	q.outcome = late
+	q.outcome = expired
 	if q.entry != nil {
-		q.entry.giveUp(q)
+		q.entry.cancel(q)
 	}
 }
 
-// able returns the engines that can run the request.
-func (r *run) able(q *request) []int {
+// eligible returns the engines that can run the request.
+func (r *run) eligible(q *request) []int {
 	if q.class.Service != "" {
-		return r.services
+		return r.serviceEngines
 	}
-	return r.everyone
+	return r.allEngines
 }
 
-// extra returns the work of a request besides its pieces, in tokens.
+// extra returns the work of a request in addition to its pieces, in tokens.
 func (r *run) extra(q *request) int {
 	if q.class.Service != "" {
 		return int(q.class.ServiceTime.Seconds() * r.config.Profile.PrefillRate)
@@ -173,47 +173,47 @@
 	return q.arrival.Tail
 }
 
-func (r *run) jobOf(q *request, d route.Decision) *job {
+func (r *run) newJob(q *request, d route.Decision) *job {
 	return &job{
-		priority: q.arrival.Rules.Priority,
-		pieces:   q.arrival.Pieces,
-		plan:     d.Plan,
-		extra:    r.extra(q),
-		answer:   q.arrival.Answer,
+		priority:     q.arrival.Rules.Priority,
+		pieces:       q.arrival.Pieces,
+		plan:         d.Plan,
+		extraTokens:  r.extra(q),
+		answerTokens: q.arrival.Answer,
 	}
 }
 
-// backTo runs f at e after the way back, unless e has died.
-func (r *run) backTo(e *entry, f func()) {
+// reply runs f at e after the network delay, unless e has crashed.
+func (r *run) reply(e *entry, f func()) {
 	r.clock.after(r.config.Deployment.ZoneDelay, func() {
-		if !e.dead {
+		if !e.down {
 			f()
 		}
 	})
 }
 
-// count notes what a first token took.
-func (r *run) count(q *request, j *job) {
+// countTokens records the recomputed and total prompt tokens of a request.
+func (r *run) countTokens(q *request, j *job) {
 	q.recomputed = j.recomputed * r.config.Deployment.PieceTokens
 	q.prompt = len(j.pieces)*r.config.Deployment.PieceTokens + q.arrival.Tail
 }
 
 func (r *run) report(i int) {
 	e := r.engines[i]
-	if e.dead {
+	if e.down {
 		return
 	}
-	v := serverView{load: e.report(), reported: r.clock.now}
+	v := serverView{load: e.report(), reportedAt: r.clock.now}
 	lag := r.config.Profile.ReportLag
 	for _, x := range r.entries {
 		d := lag[0] + time.Duration(r.random.Int64N(int64(lag[1]-lag[0])))
-		r.clock.after(d, func() { x.hear(i, v) })
+		r.clock.after(d, func() { x.applyReport(i, v) })
 	}
 }
 
 func (r *run) list(i int) {
 	e := r.engines[i]
-	if e.dead {
+	if e.down {
 		r.directory.forgetEngine(i)
 		return
 	}
@@ -225,38 +225,38 @@
 	s := r.stores[i]
 	v := storeView{
 		rate: s.link.rate, queued: s.link.queued, diskRate: s.disk.rate, diskQueued: s.disk.queued,
-		reported: r.clock.now, lost: s.dead,
+		reportedAt: r.clock.now, lost: s.down,
 	}
 	for _, x := range r.entries {
 		r.clock.after(r.config.Profile.ReportLag[0], func() { x.stores[i] = v })
 	}
 }
 
-// killStore loses a store; its locations are forgotten once the loss is noticed.
-func (r *run) killStore(i int) {
-	r.stores[i].die()
-	r.clock.after(lostAfter, func() {
+// crashStore crashes a store; its locations are discarded once the loss is detected.
+func (r *run) crashStore(i int) {
+	r.stores[i].crash()
+	r.clock.after(storeTimeout, func() {
 		if placement.React(placement.StoreLost).ForgetCopies {
 			r.directory.forgetStore(i)
 		}
 	})
 }
 
-func (r *run) killServers(f Failure) {
+func (r *run) crashServers(f Failure) {
 	for i := range f.Count {
-		r.engines[f.Index+i].die()
+		r.engines[f.Index+i].crash()
 	}
 }
 
-func (r *run) reviveServers(f Failure) {
+func (r *run) restartServers(f Failure) {
 	for i := range f.Count {
-		r.engines[f.Index+i].dead = false
-		r.engines[f.Index+i].stepping = false
+		r.engines[f.Index+i].down = false
+		r.engines[f.Index+i].stepRunning = false
 	}
 }
 
-func (r *run) mark() {
+func (r *run) recordLinkBaselines() {
 	for _, s := range r.stores {
-		r.marks = append(r.marks, linkMark{moved: s.link.moved, busy: s.link.busy})
+		r.linkBaselines = append(r.linkBaselines, linkCounters{moved: s.link.moved, busy: s.link.busy})
 	}
 }
--- a/internal/load/model/store.go
+++ b/internal/load/model/store.go
@@ -6,33 +6,33 @@
 	"hornbeamwood/internal/policy/route"
 )
 
-// lostAfter is how long an engine waits for a store that doesn't answer.
-const lostAfter = 500 * time.Millisecond
+// storeTimeout is how long an engine waits for a store that does not respond.
+const storeTimeout = 500 * time.Millisecond
 
-// store is the fake of a store VM: two tiers behind one link.
+// store simulates a store VM: two tiers behind one link.
 type store struct {
 	index      int
 	clock      *clock
-	link       pipe
-	disk       pipe
+	link       transferQueue
+	disk       transferQueue
 	memory     *lru
 	onDisk     *lru
-	dead       bool
-	generation int // a larger number with each loss of the content
+	down       bool
+	generation int // incremented with each loss of the content
 	changed    func(key uint64, held bool, tier route.Tier)
 }
 
 func newStore(index int, c *clock, p Profile, changed func(uint64, bool, route.Tier)) *store {
 	s := &store{index: index, clock: c, changed: changed}
-	s.link = pipe{clock: c, rate: p.LinkRate}
-	s.disk = pipe{clock: c, rate: p.DiskRate}
-	s.onDisk = newLRU(p.DiskPieces, s.dropped)
+	s.link = transferQueue{clock: c, rate: p.LinkRate}
+	s.disk = transferQueue{clock: c, rate: p.DiskRate}
+	s.onDisk = newLRU(p.DiskPieces, s.diskEvicted)
 	s.memory = newLRU(p.MemoryPieces, s.demote)
 	return s
 }
 
-// dropped tells of a piece that left the disk, unless memory holds it still.
-func (s *store) dropped(key uint64) {
+// diskEvicted publishes the eviction of a piece from disk, unless memory still holds it.
+func (s *store) diskEvicted(key uint64) {
 	if !s.memory.has(key) {
 		s.changed(key, false, route.Disk)
 	}
@@ -48,14 +48,14 @@
 	return s.memory.has(key) || s.onDisk.has(key)
 }
 
-// read transfers a piece to an engine; done tells whether it arrived whole.
+// read transfers a piece to an engine; done reports whether it arrived complete.
 func (s *store) read(key uint64, bytes int64, done func(ok bool)) {
-	if s.dead {
-		s.clock.after(lostAfter, func() { done(false) })
+	if s.down {
+		s.clock.after(storeTimeout, func() { done(false) })
 		return
 	}
 	generation := s.generation
-	arrived := func() { done(!s.dead && s.generation == generation && s.has(key)) }
+	arrived := func() { done(!s.down && s.generation == generation && s.has(key)) }
 	if s.memory.touch(key) {
 		s.link.send(bytes, arrived)
 		return
@@ -74,14 +74,14 @@
 	}
 }
 
-// write transfers a piece from an engine; it is readable only once it is whole.
+// write transfers a piece from an engine; it can be read only once it is complete.
 func (s *store) write(key uint64, bytes int64, tier route.Tier) {
-	if s.dead || s.has(key) {
+	if s.down || s.has(key) {
 		return
 	}
 	generation := s.generation
 	s.link.send(bytes, func() {
-		if s.dead || s.generation != generation {
+		if s.down || s.generation != generation {
 			return
 		}
 		s.keep(key, tier)
@@ -97,15 +97,15 @@
 	s.changed(key, true, tier)
 }
 
-// die loses the content; transfers under way end as failed.
-func (s *store) die() {
-	s.dead = true
+// crash loses the content; transfers in progress fail.
+func (s *store) crash() {
+	s.down = true
 	s.generation++
-	s.memory.drop()
-	s.onDisk.drop()
+	s.memory.reset()
+	s.onDisk.reset()
 }
 
-// revive brings the store back cold.
-func (s *store) revive() {
-	s.dead = false
+// restart restarts the store with empty tiers.
+func (s *store) restart() {
+	s.down = false
 }
--- a/internal/load/model/store_test.go
+++ b/internal/load/model/store_test.go
@@ -14,33 +14,33 @@
 	return newStore(0, c, p, func(uint64, bool, route.Tier) {})
 }
 
-// A store dies while an engine reads from it and comes back cold. The bytes
-// that had arrived are no whole piece and must not be used.
-func TestReadAcrossALossFails(t *testing.T) {
+// A store crashes while an engine reads from it and restarts empty. The bytes that had arrived are
+// not a complete piece and must not be used.
+func TestReadFailsAfterStoreLoss(t *testing.T) {
 	c := &clock{}
 	s := newTestStore(c, 4, 4)
 	s.keep(1, route.Memory)
 	arrived, whole := false, false
 	s.read(1, 100, func(ok bool) { arrived, whole = true, ok })
-	c.after(500*time.Millisecond, s.die)
-	c.after(600*time.Millisecond, s.revive)
+	c.after(500*time.Millisecond, s.crash)
+	c.after(600*time.Millisecond, s.restart)
 	c.runUntil(2 * time.Second)
 	if !arrived || whole {
 		t.Errorf("arrived %v, whole %v", arrived, whole)
 	}
 }
 
-// An export is under way when the store loses everything. The piece must not
-// appear afterwards as if it had been written whole.
-func TestWriteAcrossALossIsLost(t *testing.T) {
+// A store loses its content during an export. The piece must not appear afterwards as if it had
+// been written completely.
+func TestWriteIsLostAfterStoreLoss(t *testing.T) {
 	c := &clock{}
 	s := newTestStore(c, 4, 4)
 	s.write(1, 100, route.Memory)
-	c.after(500*time.Millisecond, s.die)
-	c.after(600*time.Millisecond, s.revive)
+	c.after(500*time.Millisecond, s.crash)
+	c.after(600*time.Millisecond, s.restart)
 	c.runUntil(2 * time.Second)
 	if s.has(1) {
-		t.Error("the store holds a piece that was cut")
+		t.Error("the store holds a piece whose write was interrupted")
 	}
 }
 
@@ -62,6 +62,6 @@
 	read(2)
 	c.runUntil(10 * time.Second)
 	if len(order) != 2 || order[0] != 2 || at[0] != time.Second || at[1] != 3*time.Second {
-		t.Errorf("order %v at %v: the piece in memory takes 1 s of the link, the one on disk 2 s of the disk before", order, at)
+		t.Errorf("order %v at %v: the piece in memory takes 1 s on the link, the one on disk first takes 2 s on the disk", order, at)
 	}
 }
--- a/internal/load/model/summary.go
+++ b/internal/load/model/summary.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// summary adds up requests into a Result.
+// summary accumulates requests into a Result.
 type summary struct {
-	run        *run
-	result     Result
-	times      [][]time.Duration
-	prompt     int
-	recomputed int
-	offered    float64
-	served     float64
-	shares     map[group]*tally
+	run           *run
+	result        Result
+	times         [][]time.Duration
+	prompt        int
+	recomputed    int
+	offeredWorth  float64
+	answeredWorth float64
+	groups        map[requestGroup]*groupCounts
 }
 
 func newSummary(r *run, links Result) *summary {
-	s := &summary{run: r, result: links, shares: map[group]*tally{}}
+	s := &summary{run: r, result: links, groups: map[requestGroup]*groupCounts{}}
 	s.times = make([][]time.Duration, len(r.config.Deployment.Classes))
 	for _, c := range r.config.Deployment.Classes {
 		s.result.Classes = append(s.result.Classes, ClassResult{Name: c.Name})
@@ -27,8 +27,8 @@
 	c := &s.result.Classes[q.arrival.Class]
 	c.Arrived++
 	s.result.Arrived++
-	s.offered += q.arrival.Rules.Worth
-	t := s.tally(q)
+	s.offeredWorth += q.arrival.Rules.Worth
+	t := s.countsOf(q)
 	t.arrived++
 	s.prompt += q.prompt
 	s.recomputed += q.recomputed
@@ -37,7 +37,7 @@
 		c.Answered++
 		s.result.Answered++
 		t.answered++
-		s.served += q.arrival.Rules.Worth
+		s.answeredWorth += q.arrival.Rules.Worth
 		s.times[q.arrival.Class] = append(s.times[q.arrival.Class], q.ttft)
 	case refused:
 		c.Refused++
@@ -49,27 +49,27 @@
 	}
 }
 
-// enough is the least number of requests of which a share tells something.
-const enough = 100
+// minGroupSize is the smallest group of requests whose fraction of answers is meaningful.
+const minGroupSize = 100
 
-// group is the requests of one workspace and class.
-type group struct {
+// requestGroup identifies the requests of one workspace and class.
+type requestGroup struct {
 	workspace string
 	class     int
 }
 
-// tally counts the requests of a group.
-type tally struct {
+// groupCounts counts the requests of a group.
+type groupCounts struct {
 	arrived  int
 	answered int
 }
 
-func (s *summary) tally(q *request) *tally {
-	g := group{workspace: q.arrival.Workspace, class: q.arrival.Class}
-	t, ok := s.shares[g]
+func (s *summary) countsOf(q *request) *groupCounts {
+	g := requestGroup{workspace: q.arrival.Workspace, class: q.arrival.Class}
+	t, ok := s.groups[g]
 	if !ok {
-		t = &tally{}
-		s.shares[g] = t
+		t = &groupCounts{}
+		s.groups[g] = t
 	}
 	return t
 }
@@ -79,18 +79,18 @@
 	for i := range x.Classes {
 		x.Classes[i].quantiles(s.times[i])
 	}
-	x.Wrong = s.run.wrong
+	x.Wrong = s.run.missingPieces
 	x.Recomputed = ratio(float64(s.recomputed), float64(s.prompt))
 	length := s.run.config.Measured.Seconds()
 	x.Goodput = float64(x.Answered) / length
 	x.LeastServed = 1
-	for g, t := range s.shares {
-		if g.workspace != s.run.config.Flooder && t.arrived >= enough {
+	for g, t := range s.groups {
+		if g.workspace != s.run.config.Flooder && t.arrived >= minGroupSize {
 			x.LeastServed = min(x.LeastServed, ratio(float64(t.answered), float64(t.arrived)))
 		}
 	}
-	x.Worth = s.served / length
-	x.WorthShare = ratio(s.served, s.offered)
+	x.Worth = s.answeredWorth / length
+	x.WorthShare = ratio(s.answeredWorth, s.offeredWorth)
 	return *x
 }
 
--- a/internal/load/model/pipe.go
+++ b/internal/load/model/transfer_queue.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// pipe is a link or disk that serves transfers one after the other.
-type pipe struct {
+// transferQueue is a link or disk that performs transfers one after the other.
+type transferQueue struct {
 	clock  *clock
-	rate   float64 // bytes a second
+	rate   float64 // bytes per second
 	queue  []transfer
 	active bool
 	queued int64
@@ -18,8 +18,8 @@
 	done  func()
 }
 
-// send queues a transfer; done runs at its end.
-func (p *pipe) send(bytes int64, done func()) {
+// send queues a transfer; done runs when it is complete.
+func (p *transferQueue) send(bytes int64, done func()) {
 	p.queue = append(p.queue, transfer{bytes: bytes, done: done})
 	p.queued += bytes
 	if !p.active {
@@ -27,7 +27,7 @@
 	}
 }
 
-func (p *pipe) next() {
+func (p *transferQueue) next() {
 	if len(p.queue) == 0 {
 		p.active = false
 		return
@@ -35,7 +35,7 @@
 	p.active = true
 	t := p.queue[0]
 	p.queue = p.queue[1:]
-	d := span(float64(t.bytes) / p.rate)
+	d := fromSeconds(float64(t.bytes) / p.rate)
 	p.clock.after(d, func() {
 		p.busy += d
 		p.moved += t.bytes
--- a/internal/load/model/view.go
+++ b/internal/load/model/view.go
@@ -6,22 +6,22 @@
 	"hornbeamwood/internal/fleet/announcement"
 )
 
-// serverView is what an entry knows of a server.
+// serverView is what an entry knows about a server.
 type serverView struct {
-	load     announcement.Load
-	reported time.Duration
-	heard    time.Duration
-	suspect  bool
-	// suspected is when the connection broke; older reports don't clear it
-	suspected time.Duration
+	load       announcement.Load
+	reportedAt time.Duration
+	receivedAt time.Duration
+	suspect    bool
+	// suspectedAt is when the connection failed; older reports do not clear suspect
+	suspectedAt time.Duration
 }
 
-// storeView is what an entry knows of a store.
+// storeView is what an entry knows about a store.
 type storeView struct {
 	rate       float64
 	queued     int64
 	diskRate   float64
 	diskQueued int64
-	reported   time.Duration
+	reportedAt time.Duration
 	lost       bool
 }
