--- a/internal/fleet/cell/digest.go
+++ b/internal/fleet/cell/digest.go
@@ -27,7 +27,7 @@
 	WeightVersion string
 	// Engines is the number of engines that take new work.
 	Engines int
-	// PrefillRate is the sum of their prefill rates in tokens a second.
+	// PrefillRate is the sum of their prefill rates in tokens per second.
 	PrefillRate int64
 	// QueuedTokens is the sum of their queued prompt tokens.
 	QueuedTokens int64
@@ -35,7 +35,7 @@
 	FreeSlots int
 }
 
-// Wait returns the mean time that an engine takes to work off its queue.
+// Wait returns how long an average engine takes to work off its queue.
 func (m ModelDigest) Wait() time.Duration {
 	if m.PrefillRate <= 0 {
 		return 0
--- a/internal/policy/retry/failure.go
+++ b/internal/policy/retry/failure.go
@@ -10,7 +10,7 @@
 type Failure struct {
 	// Workspace is the workspace's name.
 	Workspace string
-	// Verdict says whether the attempt may have run.
+	// Verdict is the verdict of the attempt: whether it may have run.
 	Verdict verdict.Verdict
 	// Idempotent reports whether the request may run more than once.
 	Idempotent bool
--- a/internal/policy/retry/policy.go
+++ b/internal/policy/retry/policy.go
@@ -102,7 +102,7 @@
 	return ""
 }
 
-// take takes one retry from the budgets of the workspace and of the fleet, or from neither.
+// take spends one retry of the budgets of the workspace and of the fleet, or of neither.
 func (p *policy) take(workspace string) Reason {
 	s := p.shard(workspace)
 	s.mutex.Lock()
--- a/internal/policy/route/estimate.go
+++ b/internal/policy/route/estimate.go
@@ -24,7 +24,7 @@
 	TTFT float64
 	// BacklogPrice is the price of LinkDelay.
 	BacklogPrice float64
-	// Penalty is the part of the cost that does not depend on the import plan and stands for the
+	// Penalty is the part of the cost that does not depend on the import plan: the price of the
 	// effect on other requests.
 	Penalty float64
 	// Cost is the cost of the candidate; the lowest is chosen.
--- a/internal/policy/route/headroom.go
+++ b/internal/policy/route/headroom.go
@@ -8,7 +8,7 @@
 const UrgentBand = 5
 
 // headroom adds a penalty to long work on a reserve server, which grows with the number of reserve
-// servers that already run such work, and keeps half of the reserve free of it. An engine looks at
+// servers that already run such work, and keeps half of the reserve free of it. An engine checks
 // its queue only between prefill chunks. An urgent request therefore waits for a chunk of a long
 // prompt even if it goes first; on a server without long prompts it does not.
 type headroom struct {
--- a/internal/policy/route/link_backlog.go
+++ b/internal/policy/route/link_backlog.go
@@ -10,7 +10,7 @@
 
 func (linkBacklog) Name() string { return LinkBacklog }
 
-// Apply sets the price of a second of queued transfers to that of a second of link time.
+// Apply prices each second of queued transfers like a second of link time.
 func (linkBacklog) Apply(q *Query, _ *Candidate, e *Estimate) {
 	e.BacklogPrice = q.price.link
 }
--- a/internal/policy/route/piece_mix.go
+++ b/internal/policy/route/piece_mix.go
@@ -6,7 +6,7 @@
 // pieceMix chooses how many leading pieces are imported if missing. Later pieces are recomputed: an
 // engine computes a piece only after the pieces before it, so an import behind a recomputed piece
 // arrives while the engine could already compute it. Without this element an import is never
-// compared with the compute speed of the engine, and first tokens wait for slow links.
+// compared with the prefill rate of the engine, and first tokens wait for slow links.
 type pieceMix struct{}
 
 func (pieceMix) Name() string { return PieceMix }
