--- a/internal/policy/placement/reuse.go
+++ b/internal/policy/placement/reuse.go
@@ -33,7 +33,7 @@
 // weight.
 const halveAt = 2000
 
-// NewReturns returns a Returns that estimates prior until it has seen enough prompts.
+// NewReturns returns an estimator whose estimate is prior until it has seen enough prompts.
 func NewReturns(prior float64) Returns {
 	return &reuseEstimator{prior: prior, counts: map[string]*visitCounts{}}
 }
--- a/internal/policy/suspicion/judge.go
+++ b/internal/policy/suspicion/judge.go
@@ -13,16 +13,16 @@
 	Standing Standing
 }
 
-// Judge sets the standing of each case.
+// Judge sets the standing of each fingerprint in cases.
 //
-// A case is quarantined if at least limit different servers were lost while they ran it. Repeated
-// losses of one server count once, because that server may be faulty itself. A loss is attributed
-// to all fingerprints that were running on the lost server. If one of them is also quarantined
-// because of another loss, the shared loss no longer counts against the others.
+// A fingerprint is quarantined if at least limit different servers were lost while they ran it.
+// Repeated losses of one server count once, because that server may be faulty itself. A loss is
+// attributed to all fingerprints that were running on the lost server. If one of them is also
+// quarantined because of another loss, the shared loss no longer counts against the others.
 //
 // The attribution is recomputed from all losses each time. An innocent fingerprint that was running
 // next to two faulty ones looks like the only faulty one until further losses of the other two are
-// known, and must then be released. A case whose losses are all explained by others stays a
+// known, and must then be released. A fingerprint whose losses are all explained by others stays a
 // suspect, because the quarantined one may be the innocent one; its next complete answer clears it.
 func Judge(cases []*Case, limit int) {
 	limit = max(limit, 1)
@@ -37,8 +37,8 @@
 	}
 }
 
-// quarantineCandidates returns the cases that can be quarantined, those with the least evidence
-// first: fewer servers before more, older latest losses before newer ones.
+// quarantineCandidates returns the cases whose fingerprints can be quarantined, those with the
+// least evidence first: fewer servers before more, older latest losses before newer ones.
 func quarantineCandidates(cases []*Case, limit int) []*Case {
 	var list []*Case
 	for _, c := range cases {
@@ -63,8 +63,8 @@
 	}
 }
 
-// unexplainedLosses returns the losses of c that are not shared with another quarantined case that
-// has a further loss.
+// unexplainedLosses returns the losses of c that are not shared with another quarantined
+// fingerprint that has a further loss.
 func unexplainedLosses(c *Case, quarantined []*Case) []Loss {
 	var rest []Loss
 	for _, l := range c.Losses {
