--- a/internal/serve/choose/candidate.go
+++ b/internal/serve/choose/candidate.go
@@ -7,74 +7,79 @@
 	"hornbeamwood/internal/site/directory"
 )
 
-// Candidate is a server with what is known of it.
+// Candidate is a server together with its current load and history.
 type Candidate struct {
-	// Server is what it announced.
+	// Server is the server as it announced itself.
 	Server directory.Server
-	// Stats is what this entry saw.
+	// Stats is what this entry observed of the server and what the other entries reported.
 	Stats observe.ServerStats
 }
 
 const (
-	// reportFresh is how old a server's report may be to count whole; its weight falls to nothing at twice that.
-	reportFresh = 500 * time.Millisecond
-	// refusals is how many other entries must have been refused for a server to be set aside here.
-	refusals = 2
-	// answeredLately is how long an answer to this entry counts for more than others' refusals.
-	answeredLately = 300 * time.Millisecond
-	// provenFor is how long an answer proves that a server lives whose announcements have stopped.
-	provenFor = 1500 * time.Millisecond
+	// fullWeightAge is the maximum age of a server's load report that counts in full. Its weight
+	// falls linearly to zero at twice that age.
+	fullWeightAge = 500 * time.Millisecond
+	// minRefusals is how many other entries must have been refused by a server before this entry
+	// treats it as ejected.
+	minRefusals = 2
+	// recentAnswer is how long a response to this entry outweighs refusals seen by other entries.
+	recentAnswer = 300 * time.Millisecond
+	// livenessWindow is how long a response proves that a server is alive although its
+	// announcements have stopped.
+	livenessWindow = 1500 * time.Millisecond
 )
 
-// standing ranks candidates before any cost: the lower, the better.
-type standing int
+// health ranks candidates before any cost is considered; lower is better.
+type health int
 
 const (
-	usable standing = iota
-	// doubtful servers have stopped announcing themselves and haven't answered lately.
-	doubtful
-	// aside servers gave no answer to several requests in a row, or refuse connections of several entries.
-	aside
+	usable health = iota
+	// suspect servers have stopped announcing themselves and have not responded recently.
+	suspect
+	// ejected servers left several requests in a row without a response, or refuse connections
+	// from several entries.
+	ejected
 )
 
-func (c Candidate) standing(now time.Time) standing {
+func (c Candidate) health(now time.Time) health {
 	switch {
-	case now.Before(c.Stats.EjectedUntil), c.refuses(now):
-		return aside
-	case c.Server.Silent && now.Sub(c.Stats.Answered) > provenFor:
-		return doubtful
+	case now.Before(c.Stats.EjectedUntil), c.refusedByOthers(now):
+		return ejected
+	case c.Server.Silent && now.Sub(c.Stats.Answered) > livenessWindow:
+		return suspect
 	}
 	return usable
 }
 
-// refuses returns whether other entries were refused by the server and this one
-// has no later answer.
+// refusedByOthers returns whether other entries were refused by the server and this one has no
+// later response.
 //
-// A server that has crashed looks idle: nothing waits there. Each of many entries
-// would send it a request before it knows by itself, while announcements are
-// missed only seconds later. One entry may be cut off in a way of its own, two
-// that are refused are not.
-func (c Candidate) refuses(now time.Time) bool {
-	return c.Stats.RefusedBy >= refusals && now.Sub(c.Stats.Answered) > answeredLately
+// A crashed server looks idle, since no requests are queued there. Without this check each of
+// many entries would send it a request before finding out by itself, while missed
+// announcements reveal the crash only seconds later. A single refused entry may have a network
+// problem of its own, so at least two must report a refusal.
+func (c Candidate) refusedByOthers(now time.Time) bool {
+	return c.Stats.RefusedBy >= minRefusals && now.Sub(c.Stats.Answered) > recentAnswer
 }
 
-// load returns how many requests the server has, as far as this entry can tell.
+// load returns the estimated number of requests at the server.
 func (c Candidate) load(now time.Time) float64 {
 	own := float64(c.Stats.InFlight)
 	if c.Stats.Reported.IsZero() {
 		return own
 	}
 	age := now.Sub(c.Stats.Reported)
-	weight := 1 - max(0, min(1, float64(age-reportFresh)/float64(reportFresh)))
-	told := float64(c.Stats.Running+c.Stats.Waiting+c.Stats.SentSinceReport) * weight
-	return max(own, told)
+	weight := 1 - max(0, min(1, float64(age-fullWeightAge)/float64(fullWeightAge)))
+	reported := float64(c.Stats.Running+c.Stats.Waiting+c.Stats.SentSinceReport) * weight
+	return max(own, reported)
 }
 
-// best returns the index of the candidate with the lowest cost among those of the best standing, -1 without candidates.
+// best returns the index and cost of the cheapest candidate among those with the best health,
+// or -1 without candidates.
 func best(all []Candidate, now time.Time, cost func(i int) float64) (int, float64) {
-	at, rank, lowest := -1, standing(0), 0.0
+	at, rank, lowest := -1, health(0), 0.0
 	for i, c := range all {
-		s, x := c.standing(now), 0.0
+		s, x := c.health(now), 0.0
 		if at >= 0 && s > rank {
 			continue
 		}
--- a/internal/serve/choose/cost.go
+++ b/internal/serve/choose/cost.go
@@ -1,42 +1,44 @@
 package choose
 
-// plan weighs one engine. A part is of use only if all parts before it are there.
-func (e EnginePicker) plan(c Candidate, homes []string) Plan {
+// plan estimates the cost of one engine. A cached part is usable only if all parts before it
+// are available too.
+func (e EnginePicker) plan(c Candidate, rendezvous []string) Plan {
 	p := Plan{Fetch: make([]string, len(e.Parts))}
-	total, whole := 0, true
+	total, contiguous := 0, true
 	for i, part := range e.Parts {
 		total += part.Tokens
 		switch {
-		case whole && e.Holds != nil && e.Holds(c.Server.ID, part):
-			// The engine moves nothing that it has; if it has lost the part, the copy spares reading it again.
-			copied, _ := e.nearest(c, part)
+		case contiguous && e.Holds != nil && e.Holds(c.Server.ID, part):
+			// The engine transfers nothing that it still holds. If it has evicted the part, the copy
+			// avoids another prefill.
+			copied, _ := e.fastestCopy(c, part)
 			p.Fetch[i] = copied.Address
 			p.Sources += "m"
-		case whole && e.elsewhere(c, part):
-			copied, millis := e.nearest(c, part)
+		case contiguous && e.fetchable(c, part):
+			copied, millis := e.fastestCopy(c, part)
 			p.Fetch[i] = copied.Address
 			p.CostMillis += millis
-			p.Sources += from(copied)
+			p.Sources += sourceLetter(copied)
 		default:
-			whole = false
+			contiguous = false
 			p.Sources += "r"
 			p.PrefillTokens += part.Tokens
-			p.CostMillis += e.reading(c, part, homes[i])
+			p.CostMillis += e.prefillMillis(c, part, rendezvous[i])
 		}
 	}
-	p.CostMillis += e.waiting(c) + e.crowding(c, total) + e.disturbing(c, p.PrefillTokens)
+	p.CostMillis += e.queueMillis(c) + e.loadMillis(c, total) + e.lateStreamCost(c, p.PrefillTokens)
 	p.Fits = e.fits(c, total)
 	if c.Server.Zone != e.Zone {
-		p.CostMillis += otherZoneMillis
+		p.CostMillis += crossZoneMillis
 	}
 	if e.Random != nil {
-		p.CostMillis += millisJitter * e.Random.Float64()
+		p.CostMillis += jitterMillis * e.Random.Float64()
 	}
 	return p
 }
 
-// elsewhere returns whether the part can be fetched.
-func (e EnginePicker) elsewhere(c Candidate, part Part) bool {
+// fetchable returns whether the part can be fetched from a store or another engine.
+func (e EnginePicker) fetchable(c Candidate, part Part) bool {
 	for _, k := range part.Copies {
 		if k.Server != c.Server.ID {
 			return true
@@ -45,38 +47,38 @@
 	return false
 }
 
-// from returns the letter for a part that is fetched.
-func from(k Copy) string {
+// sourceLetter returns the letter in Plan.Sources for a fetched part.
+func sourceLetter(k Copy) string {
 	if k.Server != "" {
 		return "e"
 	}
 	return "s"
 }
 
-func (e EnginePicker) reading(c Candidate, part Part, home string) float64 {
-	millis := float64(part.Tokens) / readRate
+func (e EnginePicker) prefillMillis(c Candidate, part Part, rendezvous string) float64 {
+	millis := float64(part.Tokens) / prefillRate
 	if !part.Shared {
 		return millis
 	}
-	millis *= againCost
-	if c.Server.ID != home {
-		millis += homeMillis * min(1, float64(part.Tokens)/longPart)
+	millis *= recomputeFactor
+	if c.Server.ID != rendezvous {
+		millis += rendezvousMissMillis * min(1, float64(part.Tokens)/longPartTokens)
 	}
 	return millis
 }
 
-// nearest returns the copy that arrives first and how long it takes in milliseconds.
-func (e EnginePicker) nearest(c Candidate, part Part) (Copy, float64) {
+// fastestCopy returns the copy that arrives first and its transfer time in milliseconds.
+func (e EnginePicker) fastestCopy(c Candidate, part Part) (Copy, float64) {
 	found, lowest := Copy{}, 0.0
 	for _, k := range part.Copies {
 		if k.Server == c.Server.ID {
 			continue
 		}
-		millis := moveCost * float64(part.Tokens) * k.PerToken.Seconds() * 1000
+		millis := transferFactor * float64(part.Tokens) * k.PerToken.Seconds() * 1000
 		if k.Zone != c.Server.Zone {
 			millis *= 2
 		}
-		millis += k.Latency.Seconds()*1000 + e.crossing*float64(k.QueuedTokens)*k.PerToken.Seconds()*1000
+		millis += k.Latency.Seconds()*1000 + e.crossZoneFactor*float64(k.QueuedTokens)*k.PerToken.Seconds()*1000
 		if found.Address == "" || millis < lowest {
 			found, lowest = k, millis
 		}
@@ -84,71 +86,72 @@
 	return found, lowest
 }
 
-// waiting returns how long the prompts before this one take.
-func (e EnginePicker) waiting(c Candidate) float64 {
-	return float64(c.Stats.PrefillTokens) / readRate
+// queueMillis returns how long the prefill of the prompts already queued takes.
+func (e EnginePicker) queueMillis(c Candidate) float64 {
+	return float64(c.Stats.PrefillTokens) / prefillRate
 }
 
-// crowding returns what the engine's other requests cost this one.
-func (e EnginePicker) crowding(c Candidate, tokens int) float64 {
-	millis := busyMillis * c.load(e.Now) / float64(max(1, c.Server.Slots))
+// loadMillis returns the cost of sharing the engine with its other requests.
+func (e EnginePicker) loadMillis(c Candidate, tokens int) float64 {
+	millis := fullLoadMillis * c.load(e.Now) / float64(max(1, c.Server.Slots))
 	if e.Capacity > 0 && c.Stats.ReservedTokens+tokens+e.Output > e.Capacity {
-		millis += memoryMillis
+		millis += memoryPressureMillis
 	}
 	return millis
 }
 
-// disturbing returns what the pauses cost that reading puts into the streams at
-// the engine, this one's own among them.
+// lateStreamCost returns the cost of the event gaps that the prefill causes in the streams at
+// the engine, including this request's own.
 //
-// An engine reads a chunk of a prompt between two steps. While it reads a long
-// prompt, each event waits for as many chunks as it has tokens, and when that is
-// longer than a timely pause every stream there is late.
-func (e EnginePicker) disturbing(c Candidate, missing int) float64 {
+// An engine prefills one chunk of a prompt between two decode steps. During the prefill of a
+// long prompt each event waits for as many chunks as it has tokens. If that exceeds the event
+// gap target, every stream on the engine is late.
+func (e EnginePicker) lateStreamCost(c Candidate, missing int) float64 {
 	if e.EventGap <= 0 || e.TokensPerEvent <= 0 {
 		return 0
 	}
-	limit := pauseMargin * float64(e.EventGap.Milliseconds())
-	before, after := e.pause(c.Stats.PrefillTokens), e.pause(c.Stats.PrefillTokens+missing)
+	limit := eventGapMargin * float64(e.EventGap.Milliseconds())
+	before, after := e.eventMillis(c.Stats.PrefillTokens), e.eventMillis(c.Stats.PrefillTokens+missing)
 	switch {
 	case before > limit:
-		return latePauseMillis
+		return lateStreamMillis
 	case after > limit:
-		return latePauseMillis * float64(c.Stats.InFlight)
+		return lateStreamMillis * float64(c.Stats.InFlight)
 	}
 	return 0
 }
 
-// pause returns how long an event takes while so many tokens are read, in milliseconds.
-func (e EnginePicker) pause(reading int) float64 {
-	read := float64(min(reading, e.TokensPerEvent*chunkTokens)) / readRate
-	return read + float64(e.TokensPerEvent)*stepMillis
+// eventMillis returns how long an event takes, in milliseconds, while that many tokens are
+// being prefilled.
+func (e EnginePicker) eventMillis(prefillTokens int) float64 {
+	prefill := float64(min(prefillTokens, e.TokensPerEvent*prefillChunkTokens)) / prefillRate
+	return prefill + float64(e.TokensPerEvent)*decodeStepMillis
 }
 
-// fits returns whether the engine has room: slots, memory, and time to read.
-// An engine without any request takes each one that can run at all.
+// fits returns whether the engine has capacity for the request: a slot, memory and prefill
+// time. An idle engine accepts every request that can run at all.
 func (e EnginePicker) fits(c Candidate, tokens int) bool {
 	if c.Stats.InFlight == 0 {
 		return true
 	}
 	return c.Stats.InFlight < c.Server.Slots &&
-		tokens+e.Output <= e.free(c) &&
-		float64(c.Stats.PrefillTokens) <= e.share()*mostReading
+		tokens+e.Output <= e.freeTokens(c) &&
+		float64(c.Stats.PrefillTokens) <= e.usableShare()*maxQueuedPrefill
 }
 
-// share returns the part of an engine that the request may use.
+// usableShare returns the share of an engine that the request may use.
 //
-// After a loss of all processes hundreds of prompts wait that are late, and go out
-// together as soon as they can. If they filled the engines, everybody who comes in
-// the next seconds would be late as well.
-func (e EnginePicker) share() float64 {
+// After all processes were lost, hundreds of requests are past their target and are sent as
+// soon as possible. If they filled the engines, all requests of the next seconds would miss
+// their target as well.
+func (e EnginePicker) usableShare() float64 {
 	if e.PastTarget {
-		return lateShare
+		return pastTargetShare
 	}
 	return 1
 }
 
-// free returns how many tokens of the engine's memory such requests may still take.
-func (e EnginePicker) free(c Candidate) int {
-	return max(0, int(e.share()*roomShare*float64(e.Capacity))-c.Stats.ReservedTokens)
+// freeTokens returns how many tokens of the engine's memory such requests may still reserve.
+func (e EnginePicker) freeTokens(c Candidate) int {
+	return max(0, int(e.usableShare()*memoryShare*float64(e.Capacity))-c.Stats.ReservedTokens)
 }
--- a/internal/serve/choose/doc.go
+++ b/internal/serve/choose/doc.go
@@ -1,3 +1,2 @@
-// Package choose decides which backend server gets a request. It does no I/O
-// and reads no clock.
+// Package choose selects the backend server for a request. It does no I/O and reads no clock.
 package choose
--- a/internal/serve/choose/engine.go
+++ b/internal/serve/choose/engine.go
@@ -6,124 +6,134 @@
 )
 
 const (
-	// readRate is how many prompt tokens an engine is taken to read in a
-	// millisecond; rather too few, so that a queue isn't taken for shorter than it is.
-	readRate = 50.0
-	// busyMillis is what a full engine costs in milliseconds: each step takes longer with each request in it.
-	busyMillis = 120.0
-	// againCost multiplies the time to read a shared part that was read elsewhere
-	// before: the work is done twice.
-	againCost = 3.0
-	// moveCost multiplies the time of a move over a store's link: those behind it wait as long.
-	moveCost = 2.0
-	// farWeight and nearWeight say how often an engine is drawn that is neither
-	// where the longest part lies nor in the entry's zone, or in the latter only. A
-	// move between zones takes its link twice as long.
-	farWeight  = 0.15
-	nearWeight = 0.5
-	// doubtfulWeight is so small that a silent engine is drawn only where no usable
-	// one is left, and before those that are set aside.
-	doubtfulWeight = 1e-9
-	// homeMillis is what it costs to read a long part elsewhere than at its home
-	// engine, at which entries meet that know of no copy: a prompt that comes while
-	// another one reads the same part would have it read twice.
-	homeMillis = 40.0
-	// longPart is the size in tokens for which homeMillis holds.
-	longPart = 12000.0
-	// otherZoneMillis is what an engine in another availability zone costs in milliseconds, for the bytes between zones and the way.
-	otherZoneMillis = 12.0
-	// fullMillis is added to the cost of an engine that has no room, so that one with room is taken first.
-	fullMillis = 1000.0
-	// memoryMillis is the cost of a request that doesn't fit beside the others.
-	memoryMillis = 400.0
-	// roomShare is the part of an engine's memory that requests may hold. Beyond
-	// it parts that others are about to use make room, and are read again.
-	roomShare = 0.95
-	// lateShare is the part of that room, and of the reading that may wait, which
-	// prompts may use that are late already: the rest is for those that can be on time.
-	lateShare = 0.6
-	// mostReading is how many prompt tokens may wait to be read at an engine before
-	// a request goes there: a quarter of a second's work. What waits longer waits
-	// at the entry, where it can still go elsewhere. The request's own tokens don't
-	// count, or the longest prompts would wait until an engine has nothing to read.
-	mostReading = 12000
-	// chunkTokens is how much of a prompt engines read between two steps of the
-	// streams that run, and stepMillis what a step takes without it.
-	chunkTokens = 4096
-	stepMillis  = 7.0
-	// pauseMargin is the part of the longest timely pause that reading may fill.
-	pauseMargin = 0.9
-	// latePauseMillis is what it costs in milliseconds to make one running stream
-	// late by a pause.
-	latePauseMillis = 60.0
-	// fewEntries is up to how many entries each one weighs all engines. With more,
-	// what they know of each other is older, and all would choose the same best one.
-	fewEntries = 12
-	// sampled is how many engines are drawn to choose from beyond that, besides
-	// those that have a part of the prompt. All entries see the same old picture:
-	// the more each weighs, the more of them find the same engine to be the best.
-	sampled = 2
-	// millisJitter spreads equal choices of many entries.
-	millisJitter = 3.0
+	// prefillRate is the assumed prefill rate of an engine in tokens per millisecond. It is a low
+	// estimate, so that the length of a queue is not underestimated.
+	prefillRate = 50.0
+	// fullLoadMillis is the cost of a fully loaded engine in milliseconds: each decode step takes
+	// longer with every running request.
+	fullLoadMillis = 120.0
+	// recomputeFactor multiplies the prefill time of a shared part that was prefilled elsewhere
+	// before, because the work is done twice.
+	recomputeFactor = 3.0
+	// transferFactor multiplies the transfer time over a store's link, because the transfers
+	// queued behind it wait as long.
+	transferFactor = 2.0
+	// otherZoneWeight and entryZoneWeight are the sampling weights of engines outside the zone of
+	// the longest part: entryZoneWeight for those in the entry's own zone, otherZoneWeight for the
+	// rest. A transfer between zones occupies its link twice as long.
+	otherZoneWeight = 0.15
+	entryZoneWeight = 0.5
+	// suspectWeight is so small that a suspect engine is sampled only if no usable one is left,
+	// and before any ejected one.
+	suspectWeight = 1e-9
+	// rendezvousMissMillis is the cost of the prefill of a long part at an engine other than its
+	// rendezvous engine, which all entries choose while no copy is known. Without it, concurrent
+	// prompts with the same part would have it prefilled twice.
+	rendezvousMissMillis = 40.0
+	// longPartTokens is the part size to which rendezvousMissMillis applies in full.
+	longPartTokens = 12000.0
+	// crossZoneMillis is the cost in milliseconds of an engine in another availability zone, for
+	// the traffic between zones and the latency.
+	crossZoneMillis = 12.0
+	// noCapacityMillis is added to the cost of an engine without capacity, so that engines with
+	// capacity are preferred.
+	noCapacityMillis = 1000.0
+	// memoryPressureMillis is the cost of a request that does not fit into the engine's memory
+	// beside the others.
+	memoryPressureMillis = 400.0
+	// memoryShare is the share of an engine's memory that requests may reserve. Beyond it, parts
+	// that others are about to use are evicted and must be prefilled again.
+	memoryShare = 0.95
+	// pastTargetShare is the share of the memory and of the prefill queue that requests past their
+	// target may use. The rest is kept for requests that can still meet it.
+	pastTargetShare = 0.6
+	// maxQueuedPrefill is how many prompt tokens may be queued for prefill at an engine before a
+	// request is sent there, a quarter of a second's work. Further requests wait at the entry,
+	// where they can still be sent to another engine. The request's own tokens do not count, or
+	// the longest prompts would wait until an engine has nothing to prefill.
+	maxQueuedPrefill = 12000
+	// prefillChunkTokens is how much of a prompt engines prefill between two decode steps of the
+	// running streams. decodeStepMillis is the duration of a step without prefill.
+	prefillChunkTokens = 4096
+	decodeStepMillis   = 7.0
+	// eventGapMargin is the share of the event gap target that prefill may fill.
+	eventGapMargin = 0.9
+	// lateStreamMillis is the cost in milliseconds of making one running stream exceed its event
+	// gap target.
+	lateStreamMillis = 60.0
+	// maxEntriesWithoutSampling is the number of entries up to which each entry evaluates all
+	// engines. With more entries, what they know of each other is older, and all would choose the
+	// same best engine.
+	maxEntriesWithoutSampling = 12
+	// sampleSize is how many engines are sampled beyond that, besides those that hold a part of
+	// the prompt. All entries see the same outdated loads: the more engines each entry evaluates,
+	// the more entries choose the same one.
+	sampleSize = 2
+	// jitterMillis spreads equal choices of many entries.
+	jitterMillis = 3.0
 )
 
-// Part is a piece of the prompt as the choice sees it.
+// Part is a part of the prompt as seen by the picker.
 type Part struct {
 	// Salt and ID identify the part.
 	Salt, ID string
-	// Tokens is its size.
+	// Tokens is the size of the part.
 	Tokens int
-	// Shared says that other prompts may have it too.
+	// Shared is set if other prompts may contain the part too.
 	Shared bool
-	// Copies are the stores that have it whole.
+	// Copies are the stores and engines that hold the complete part.
 	Copies []Copy
 }
 
-// Copy is a part in a store, or in the memory of an engine.
+// Copy is a part held by a store or in the memory of an engine.
 type Copy struct {
 	// Server is the engine's ID, empty for a store.
 	Server string
-	// Address is its IP and port.
+	// Address is its IP address and port.
 	Address string
 	// Zone is its availability zone.
 	Zone string
-	// PerToken is how long a token takes over the store's link, Latency what each transfer waits.
+	// PerToken is the transfer time of a token over the link, Latency the fixed delay of each
+	// transfer.
 	PerToken, Latency time.Duration
-	// QueuedTokens is how many tokens all entries are having fetched from there.
+	// QueuedTokens is how many tokens all entries are currently having fetched from there.
 	QueuedTokens int
 }
 
-// EnginePicker is a choice among the engines of a service.
+// EnginePicker selects an engine of a service for one request.
 type EnginePicker struct {
 	// Now is the time of the decision.
 	Now time.Time
 	// Zone is the entry's availability zone.
 	Zone string
-	// Parts are the prompt's parts in their order, and Output the most tokens of the answer.
+	// Parts are the prompt's parts in order, and Output the maximum number of tokens in the
+	// response.
 	Parts  []Part
 	Output int
 	// Capacity is an engine's memory in tokens.
 	Capacity int
-	// TokensPerEvent is how many tokens one event holds, and Gap the longest timely pause between events; zero for none.
+	// TokensPerEvent is the number of tokens in one event, and EventGap the longest gap between
+	// events that meets the target; zero for none.
 	TokensPerEvent int
 	EventGap       time.Duration
-	// PastTarget says that the answer can't be on time any more.
+	// PastTarget is set if the response can no longer meet its latency target.
 	PastTarget bool
 	// Entries is how many entries choose among the same engines.
 	Entries int
-	// Holds returns whether a server probably has a part in memory.
+	// Holds returns whether a server probably holds a part in memory.
 	Holds func(server string, p Part) bool
-	// Random draws the jitter.
+	// Random is the source of the jitter and of the sample.
 	Random *rand.Rand
 
-	// crossing is how many times as long as within one zone the moves take that wait at a link.
-	crossing float64
+	// crossZoneFactor is the average duration of the transfers queued at a link, relative to a
+	// transfer within one zone.
+	crossZoneFactor float64
 }
 
-// crossing returns how many times as long as within one availability zone the
-// moves take that wait at a store's link, when engines of all zones fetch there:
-// a move between zones takes the link twice.
-func crossing(all []Candidate) float64 {
+// crossZoneFactor returns the average duration of the transfers queued at a store's link,
+// relative to a transfer within one availability zone, when engines of all zones fetch there.
+// A transfer between zones occupies the link twice as long.
+func crossZoneFactor(all []Candidate) float64 {
 	zones := map[string]bool{}
 	for _, c := range all {
 		zones[c.Server.Zone] = true
@@ -132,38 +142,40 @@
 	return 1 + (n-1)/n
 }
 
-// Plan is a choice of an engine with where each part comes from.
+// Plan is a chosen engine and the source of each part.
 type Plan struct {
 	// Index is the index of the engine, -1 without candidates.
 	Index int
 	// CostMillis is the estimated cost in milliseconds.
 	CostMillis float64
-	// Fetch names the store of each part; empty for none.
+	// Fetch is the address from which each part is fetched; empty for none.
 	Fetch []string
-	// PrefillTokens is how many tokens the engine has to read.
+	// PrefillTokens is how many tokens the engine has to prefill.
 	PrefillTokens int
-	// Fits says that the engine has room for the request now.
+	// Fits is set if the engine has capacity for the request now.
 	Fits bool
-	// FreeTokens is how many tokens are free at all engines that have room for the request, as far as the drawn ones tell.
+	// FreeTokens is the estimated number of free tokens at all engines with capacity for the
+	// request, extrapolated from the sample.
 	FreeTokens int
-	// Sources says, part by part, where it comes from: m for the engine's memory, s for a store, e for another engine, r for reading it.
+	// Sources holds one letter for each part: m for the engine's memory, s for a store, e for
+	// another engine, r for prefill.
 	Sources string
 }
 
 // Pick returns the plan with the lowest cost.
 func (e EnginePicker) Pick(all []Candidate) Plan {
-	e.crossing = crossing(all)
-	homes := e.homes(all)
-	drawn := e.draw(all, homes)
-	plans := make([]Plan, len(drawn))
-	some := make([]Candidate, len(drawn))
-	for i, at := range drawn {
-		some[i] = all[at]
+	e.crossZoneFactor = crossZoneFactor(all)
+	rendezvous := e.rendezvousEngines(all)
+	sample := e.sample(all, rendezvous)
+	plans := make([]Plan, len(sample))
+	sampled := make([]Candidate, len(sample))
+	for i, at := range sample {
+		sampled[i] = all[at]
 	}
-	at, millis := best(some, e.Now, func(i int) float64 {
-		plans[i] = e.plan(some[i], homes)
+	at, millis := best(sampled, e.Now, func(i int) float64 {
+		plans[i] = e.plan(sampled[i], rendezvous)
 		if !plans[i].Fits {
-			return plans[i].CostMillis + fullMillis
+			return plans[i].CostMillis + noCapacityMillis
 		}
 		return plans[i].CostMillis
 	})
@@ -171,10 +183,10 @@
 		return Plan{Index: -1}
 	}
 	p := plans[at]
-	p.Index, p.CostMillis = drawn[at], millis
+	p.Index, p.CostMillis = sample[at], millis
 	for i, x := range plans {
 		if x.Fits {
-			p.FreeTokens += e.free(some[i]) * len(all) / len(drawn)
+			p.FreeTokens += e.freeTokens(sampled[i]) * len(all) / len(sample)
 		}
 	}
 	return p
--- a/internal/serve/choose/engine_test.go
+++ b/internal/serve/choose/engine_test.go
@@ -20,53 +20,53 @@
 	return all
 }
 
-func long(missing int) EnginePicker {
+func longPrompt(missing int) EnginePicker {
 	return EnginePicker{
 		Now: now, Zone: "z0", Capacity: 80000, TokensPerEvent: 6, EventGap: 500 * time.Millisecond, Output: 100,
 		Parts: []Part{{Salt: "m/1", ID: "p", Tokens: missing, Shared: true}, {Salt: "m/1", ID: "own", Tokens: 100}},
 	}
 }
 
-// A long certificate with a dossier that no engine has is to be read while
-// short notes are written everywhere. Read beside them, each of their events
-// would wait for half a second of reading and all of them would be late; the
-// idle engine further away costs a few milliseconds.
-func TestLongReadingKeepsAwayFromRunningStreams(t *testing.T) {
+// A long dossier that no engine holds has to be prefilled while other engines stream short
+// notes. Prefilled next to those streams, it would delay each of their events by half a second
+// and make all of them late. The idle engine in another zone costs only a few milliseconds
+// more.
+func TestLongPrefillAvoidsRunningStreams(t *testing.T) {
 	all := engines(2)
 	all[0].Stats = observe.ServerStats{InFlight: 6, ReservedTokens: 3000}
-	if p := long(30000).Pick(all); p.Index != 1 {
-		t.Errorf("read beside six streams: %+v", p)
+	if p := longPrompt(30000).Pick(all); p.Index != 1 {
+		t.Errorf("prefill next to six streams: %+v", p)
 	}
-	if p := long(3000).Pick(all); p.Index != 0 && p.Index != 1 || !p.Fits {
+	if p := longPrompt(3000).Pick(all); p.Index != 0 && p.Index != 1 || !p.Fits {
 		t.Errorf("got %+v", p)
 	}
 	all[1].Stats = observe.ServerStats{PrefillTokens: 30000, InFlight: 1, ReservedTokens: 30000}
-	if p := long(100).Pick(all); p.Index != 0 {
-		t.Errorf("a note is sent to the engine that reads: %+v", p)
+	if p := longPrompt(100).Pick(all); p.Index != 0 {
+		t.Errorf("a note was sent to the engine with the long prefill: %+v", p)
 	}
 }
 
-// An engine's memory is full. What is sent there pushes out the parts that
-// others are about to use; the request has to wait or go elsewhere.
+// Guards against sending requests to an engine whose memory is full. They would evict parts
+// that others are about to use; such a request has to wait or go elsewhere.
 func TestFullEngineDoesNotFit(t *testing.T) {
 	all := engines(1)
 	all[0].Stats = observe.ServerStats{InFlight: 3, ReservedTokens: 60000}
-	if p := long(20000).Pick(all); p.Fits {
-		t.Error("a request fits into a full memory")
+	if p := longPrompt(20000).Pick(all); p.Fits {
+		t.Error("a request fits into full memory")
 	}
 	all[0].Stats = observe.ServerStats{InFlight: 12, ReservedTokens: 5000}
-	if p := long(100).Pick(all); p.Fits {
+	if p := longPrompt(100).Pick(all); p.Fits {
 		t.Error("a request fits though all slots are taken")
 	}
 	all[0].Stats = observe.ServerStats{}
-	if p := long(79000).Pick(all); !p.Fits {
-		t.Error("the largest request never runs")
+	if p := longPrompt(79000).Pick(all); !p.Fits {
+		t.Error("the largest request does not fit an idle engine")
 	}
 }
 
-// A part lies in a store. Fetched, it costs a fiftieth of reading it again.
+// Fetching a part from a store costs a fiftieth of its prefill.
 func TestPartIsFetchedFromItsStore(t *testing.T) {
-	e := long(13000)
+	e := longPrompt(13000)
 	e.Parts[0].Copies = []Copy{
 		{Address: "far", Zone: "z9", PerToken: 2 * time.Microsecond},
 		{Address: "near", Zone: "z0", PerToken: 2 * time.Microsecond},
@@ -81,9 +81,9 @@
 	}
 }
 
-// Eighty entries choose among ninety engines and hear of each other a third of
-// a second later. If they all took the engine that looks best, it would get all
-// prompts of that time.
+// Eighty entries choose among ninety engines and learn of each other's choices a third of a
+// second later. Guards against all of them choosing the engine that looks best, which would
+// get all prompts of that time.
 func TestManyEntriesSpread(t *testing.T) {
 	all := engines(90)
 	all[7].Stats.ReservedTokens = 0
@@ -94,7 +94,7 @@
 	}
 	taken := map[int]int{}
 	for i := range 80 {
-		e := long(15000)
+		e := longPrompt(15000)
 		e.Parts[0].ID = fmt.Sprint("p", i)
 		e.Entries = 80
 		e.Random = rand.New(rand.NewPCG(uint64(i), 1))
@@ -105,13 +105,13 @@
 	}
 }
 
-// Many fetches wait at a store's link, most of them for engines in other zones,
-// where each takes the link twice as long. Counted once, the wait looks half as
-// long as it is, and prompts join a queue in which all of them are late.
-func TestWaitAtALinkCountsMovesBetweenZones(t *testing.T) {
-	// 100,000 tokens wait; the link carries 300 in a millisecond.
+// Many fetches are queued at a store's link, most of them for engines in other zones, where
+// each occupies the link twice as long. If they were counted once, the estimated wait would be
+// half the real one, and prompts would join a queue in which all of them are late.
+func TestLinkQueueCountsCrossZoneTransfers(t *testing.T) {
+	// 100,000 tokens are queued; the link carries 300 per millisecond.
 	const queued, perToken = 100_000, time.Second / 300_000
-	e := long(13000)
+	e := longPrompt(13000)
 	e.Parts[0].Copies = []Copy{{Address: "s", Zone: "z0", PerToken: perToken, QueuedTokens: queued}}
 	wait := func(zones int) float64 {
 		all := engines(4)
@@ -129,16 +129,16 @@
 		millis float64
 	}{{1, 333}, {2, 500}, {4, 583}} {
 		if got := wait(x.zones); math.Abs(got-x.millis) > 1 {
-			t.Errorf("%d zones: a wait of %.0f ms, not %.0f", x.zones, got, x.millis)
+			t.Errorf("%d zones: wait of %.0f ms, want %.0f", x.zones, got, x.millis)
 		}
 	}
 }
 
-// A third of ninety engines crash at the same moment and are back a second later.
-// They look idle, so that all prompts of that second go to them: each of 86 entries
-// finds out by itself, callers are refused, and the retries that the fleet may make
-// are used up. Two entries that were refused are enough for the others.
-func TestEnginesThatRefuseOthersAreSetAside(t *testing.T) {
+// A third of ninety engines crash at the same moment and are back a second later. They look
+// idle, so all prompts of that second would go to them: each of 86 entries would find out by
+// itself, callers would be refused, and the fleet's retry budget would be used up. Two refused
+// entries are enough for the others to avoid an engine.
+func TestEnginesThatRefuseOthersAreEjected(t *testing.T) {
 	all := engines(2)
 	all[1].Stats = observe.ServerStats{InFlight: 6, ReservedTokens: 30000}
 	for _, x := range []struct {
@@ -147,20 +147,20 @@
 		at       int
 	}{{0, time.Minute, 0}, {1, time.Minute, 0}, {2, time.Minute, 1}, {9, 100 * time.Millisecond, 0}} {
 		all[0].Stats = observe.ServerStats{RefusedBy: x.refused, Answered: now.Add(-x.answered)}
-		if p := long(100).Pick(all); p.Index != x.at {
-			t.Errorf("%d entries refused, own answer %s ago: engine %d", x.refused, x.answered, p.Index)
+		if p := longPrompt(100).Pick(all); p.Index != x.at {
+			t.Errorf("%d entries refused, own response %s ago: engine %d", x.refused, x.answered, p.Index)
 		}
 	}
-	if p := long(100).Pick(all[:1]); p.Index != 0 {
-		t.Error("the last engine isn't tried")
+	if p := longPrompt(100).Pick(all[:1]); p.Index != 0 {
+		t.Error("the only engine is not tried")
 	}
 }
 
-// Seventy-three entries hear of each other some tenths of a second late, and some
-// two hundred prompts are sent in that time. If each entry weighed many engines,
-// most of the prompts would go to the few that looked best, and wait there for
-// seconds while others are free.
-func TestManyEntriesDontMeetAtOneEngine(t *testing.T) {
+// Seventy-three entries learn of each other's choices some tenths of a second late, and about
+// two hundred prompts are sent in that time. If each entry evaluated many engines, most
+// prompts would go to the few that looked best and wait there for seconds while others are
+// free.
+func TestManyEntriesDoNotOverloadOneEngine(t *testing.T) {
 	const engines, entries, prompts = 67, 73, 200
 	r := rand.New(rand.NewPCG(11, 11))
 	all := make([]Candidate, engines)
@@ -187,24 +187,24 @@
 	}
 }
 
-// All processes were killed, and a thousand prompts that waited go out at the same
-// moment; each of them is late whatever happens. If they filled the engines, whoever
-// comes in the next seconds would find no room and be late too. A prompt that can be
-// on time gets room beside them, one more late one waits.
-func TestLatePromptsLeaveRoom(t *testing.T) {
+// After all processes were killed, a thousand waiting prompts are sent at the same moment, all
+// of them past their target. If they filled the engines, later prompts would find no capacity
+// and miss their target too. Guards that a prompt that can still meet its target fits beside
+// them, while another one past its target waits.
+func TestPromptsPastTargetLeaveCapacity(t *testing.T) {
 	all := engines(1)
 	for _, x := range []struct {
-		held, reading   int
-		onTime, tooLate bool
+		reserved, prefill  int
+		inTime, pastTarget bool
 	}{{20_000, 0, true, true}, {50_000, 0, true, false}, {20_000, 10_000, true, false}, {72_000, 0, false, false}} {
-		all[0].Stats = observe.ServerStats{InFlight: 3, ReservedTokens: x.held, PrefillTokens: x.reading}
-		e := long(5000)
-		if p := e.Pick(all); p.Fits != x.onTime {
+		all[0].Stats = observe.ServerStats{InFlight: 3, ReservedTokens: x.reserved, PrefillTokens: x.prefill}
+		e := longPrompt(5000)
+		if p := e.Pick(all); p.Fits != x.inTime {
 			t.Errorf("%+v: fits %v", x, p.Fits)
 		}
 		e.PastTarget = true
-		if p := e.Pick(all); p.Fits != x.tooLate {
-			t.Errorf("%+v: fits %v when late", x, p.Fits)
+		if p := e.Pick(all); p.Fits != x.pastTarget {
+			t.Errorf("%+v: fits %v past its target", x, p.Fits)
 		}
 	}
 }
--- a/internal/serve/choose/plain.go
+++ b/internal/serve/choose/plain.go
@@ -6,34 +6,36 @@
 )
 
 const (
-	// otherZoneCost is what a server of another availability zone costs, in
-	// shares of its slots: bytes between zones are dear, a half full server at
-	// home isn't slower than an empty one elsewhere.
-	otherZoneCost = 0.35
-	// failureCost weighs the share of failures above the lowest one: a server that fails half its requests is passed over at any load.
+	// crossZoneCost is the cost of a server in another availability zone, as a share of its slots.
+	// Traffic between zones is expensive, and a half-loaded server in the same zone is not slower
+	// than an idle one elsewhere.
+	crossZoneCost = 0.35
+	// failureCost weights the failure rate above the lowest one of the service. A server that
+	// fails half of its requests is avoided at any load.
 	failureCost = 4.0
-	// slowCost weighs how many times as long as the fastest a server takes, beyond the first doubling.
+	// slowCost weights the ratio of the server's latency to that of the fastest server, beyond a
+	// factor of two.
 	slowCost = 0.25
-	// coldCost is added for a server that has just started.
+	// coldCost is added for a server that is still warming up.
 	coldCost = 0.4
 	// jitter spreads equal choices of many entries.
 	jitter = 0.02
 )
 
-// PlainPicker is a choice among the servers of a plain service.
+// PlainPicker selects a server of a plain service.
 type PlainPicker struct {
 	// Now is the time of the decision.
 	Now time.Time
 	// Zone is the entry's availability zone.
 	Zone string
-	// Random draws the jitter.
+	// Random is the source of the jitter.
 	Random *rand.Rand
 }
 
-// Pick returns the index of the server to use and its cost, -1 without candidates.
+// Pick returns the index of the selected server and its cost, or -1 without candidates.
 //
-// Failures are weighed against the best server of the service: where every
-// tenth request fails by itself, none is to blame.
+// Failure rates are compared with that of the best server of the service. If every server
+// fails one request in ten, no single one is at fault.
 func (p PlainPicker) Pick(all []Candidate) (int, float64) {
 	fewest, fastest := 1.0, time.Duration(0)
 	for _, c := range all {
@@ -49,7 +51,7 @@
 	x := (c.load(p.Now) + 1) / float64(max(1, c.Server.Slots))
 	x += failureCost * max(0, c.Stats.Failures-fewest-0.1)
 	if c.Server.Zone != p.Zone {
-		x += otherZoneCost
+		x += crossZoneCost
 	}
 	if c.Server.WarmUp > 0 {
 		x += coldCost
--- a/internal/serve/choose/plain_test.go
+++ b/internal/serve/choose/plain_test.go
@@ -14,56 +14,55 @@
 	return Candidate{Server: directory.Server{ID: id, Zone: zone, Slots: 6}}
 }
 
-// One of four servers answers its health check and fails four in ten requests.
-// Callers see those failures until requests go elsewhere.
-func TestServerThatFailsIsPassedOver(t *testing.T) {
+// One of four servers passes its health check but fails four in ten requests. Callers see
+// those failures until requests are sent elsewhere.
+func TestFailingServerIsAvoided(t *testing.T) {
 	all := []Candidate{plainServer("a", "z1"), plainServer("b", "z2")}
 	all[0].Stats.Failures = 0.45
 	all[1].Stats.Failures = 0.05
 	if at, _ := (PlainPicker{Now: now, Zone: "z1"}).Pick(all); at != 1 {
-		t.Error("the failing server of the own zone was taken")
+		t.Error("the failing server in the entry's zone was chosen")
 	}
 	all[1].Stats.Failures = 0.4
 	if at, _ := (PlainPicker{Now: now, Zone: "z1"}).Pick(all); at != 0 {
-		t.Error("where all servers fail alike the near one should be taken")
+		t.Error("with equal failure rates the server in the entry's zone should be chosen")
 	}
 }
 
-// A server crashed without a word: its announcements have stopped and nothing
-// comes back. It is used again only when no other server is left, or as soon
-// as it has proved that it lives.
+// A server crashed: its announcements have stopped and it does not respond. It must be used
+// again only if no other server is left, or as soon as a response proves that it is alive.
 func TestSilentServer(t *testing.T) {
 	all := []Candidate{plainServer("a", "z1"), plainServer("b", "z2")}
 	all[0].Server.Silent = true
 	p := PlainPicker{Now: now, Zone: "z1"}
 	if at, _ := p.Pick(all); at != 1 {
-		t.Error("a silent server was taken")
+		t.Error("a silent server was chosen")
 	}
 	if at, _ := p.Pick(all[:1]); at != 0 {
-		t.Error("the last server was not tried")
+		t.Error("the only server was not tried")
 	}
 	all[0].Stats.Answered = now.Add(-time.Second)
 	if at, _ := p.Pick(all); at != 0 {
-		t.Error("a server that answers was not taken because its announcements are cut off")
+		t.Error("a responding server was avoided because its announcements do not arrive")
 	}
 	all[0].Stats.EjectedUntil = now.Add(time.Second)
 	if at, _ := p.Pick(all); at != 1 {
-		t.Error("a server that was set aside was taken")
+		t.Error("an ejected server was chosen")
 	}
 }
 
-func TestNearServerUntilItFills(t *testing.T) {
+func TestSameZoneServerUntilItIsFull(t *testing.T) {
 	all := []Candidate{plainServer("a", "z1"), plainServer("b", "z2")}
 	p := PlainPicker{Now: now, Zone: "z1"}
 	if at, _ := p.Pick(all); at != 0 {
-		t.Error("the near server was not taken")
+		t.Error("the server in the same zone was not chosen")
 	}
 	all[0].Stats = observe.ServerStats{Running: 6, Reported: now.Add(-100 * time.Millisecond)}
 	if at, _ := p.Pick(all); at != 1 {
-		t.Error("a full server was taken")
+		t.Error("a full server was chosen")
 	}
 	all[0].Stats.Reported = now.Add(-time.Hour)
 	if at, _ := p.Pick(all); at != 0 {
-		t.Error("a report of an hour ago still counts")
+		t.Error("an hour-old load report still counts")
 	}
 }
--- a/internal/serve/choose/random_test.go
+++ b/internal/serve/choose/random_test.go
@@ -14,12 +14,12 @@
 	"hornbeamwood/internal/site/directory"
 )
 
-// deployments is how many random sites are drawn: 1 to 4 zones, 1 to 90 servers,
-// 1 to 86 entries, with and without stores.
-const deployments = 400
+// randomSites is the number of generated sites: 1 to 4 zones, 1 to 90 servers, 1 to 86
+// entries, with and without stores.
+const randomSites = 400
 
-// randomSite draws servers with all that entries may know of them.
-func randomSite(r *rand.Rand) []Candidate {
+// randomCandidates generates servers with all that an entry may know of them.
+func randomCandidates(r *rand.Rand) []Candidate {
 	zones := 1 + r.IntN(4)
 	all := make([]Candidate, 1+r.IntN(90))
 	for i := range all {
@@ -42,7 +42,7 @@
 	return all
 }
 
-// randomPrompt draws a prompt with parts in stores, in engines and nowhere.
+// randomPrompt generates a prompt with parts in stores, in engines and nowhere.
 func randomPrompt(r *rand.Rand, all []Candidate) EnginePicker {
 	e := EnginePicker{
 		Now: now, Zone: fmt.Sprint("z", r.IntN(4)), Output: r.IntN(2000), Capacity: r.IntN(100000), TokensPerEvent: r.IntN(7),
@@ -68,11 +68,11 @@
 	return e
 }
 
-// bestStanding returns the best standing of any candidate.
-func bestStanding(all []Candidate) standing {
-	s := aside
+// bestHealth returns the best health among the candidates.
+func bestHealth(all []Candidate) health {
+	s := ejected
 	for _, c := range all {
-		s = min(s, c.standing(now))
+		s = min(s, c.health(now))
 	}
 	return s
 }
@@ -80,7 +80,7 @@
 func check(t *testing.T, name string, holds func(r *rand.Rand) bool) {
 	t.Helper()
 	parameters := gopter.DefaultTestParameters()
-	parameters.MinSuccessfulTests = deployments
+	parameters.MinSuccessfulTests = randomSites
 	p := gopter.NewProperties(parameters)
 	p.Property(name, prop.ForAll(func(seed uint64) bool {
 		return holds(rand.New(rand.NewPCG(seed, 5)))
@@ -88,27 +88,27 @@
 	p.TestingRun(t)
 }
 
-// On a site that nobody has seen a prompt must still get an engine if there is
-// one, never one that is known to be down while another is up, and its parts only
-// from where they are; a plan that claims otherwise makes an engine wait for what
-// it can't get.
+// On any site a prompt must get an engine if there is one, and never one that is known to be
+// down while another is up. Its parts may be fetched only from where they are; otherwise an
+// engine would wait for a part that it cannot get.
 func TestEngineOnRandomSites(t *testing.T) {
 	check(t, "a plan is sound", soundPlan)
-	// No engine is usable there, and only those that are set aside had been drawn.
-	const doubtfulPassedOver = 3286677088881985720
-	if !soundPlan(rand.New(rand.NewPCG(doubtfulPassedOver, 5))) {
-		t.Error("a silent engine was passed over for one that is set aside")
+	// No engine is usable with this seed, and the sample contained only ejected ones.
+	const suspectSkippedSeed = 3286677088881985720
+	if !soundPlan(rand.New(rand.NewPCG(suspectSkippedSeed, 5))) {
+		t.Error("an ejected engine was chosen although a suspect one was available")
 	}
 }
 
 func soundPlan(r *rand.Rand) bool {
-	all := randomSite(r)
+	all := randomCandidates(r)
 	e := randomPrompt(r, all)
 	p := e.Pick(all)
-	return p.Index >= 0 && p.Index < len(all) && all[p.Index].standing(now) == bestStanding(all) && sound(e, all[p.Index], p)
+	return p.Index >= 0 && p.Index < len(all) && all[p.Index].health(now) == bestHealth(all) && sound(e, all[p.Index], p)
 }
 
-// sound returns whether each part comes from one of its copies, from the engine's memory or is read.
+// sound returns whether each part comes from one of its copies, from the engine's memory or
+// from prefill.
 func sound(e EnginePicker, c Candidate, p Plan) bool {
 	missing := 0
 	for i, part := range e.Parts {
@@ -127,15 +127,15 @@
 	return missing == p.PrefillTokens && len(p.Sources) == len(e.Parts) && (p.Sources[own] == 'r' || e.Holds != nil)
 }
 
-// A plain request gets a server as long as there is one, and none that is known
-// to be down while another is up.
+// A plain request must get a server if there is one, and never one that is known to be down
+// while another is up.
 func TestPlainOnRandomSites(t *testing.T) {
 	check(t, "a choice is sound", func(r *rand.Rand) bool {
-		all := randomSite(r)
+		all := randomCandidates(r)
 		at, _ := PlainPicker{Now: now, Zone: fmt.Sprint("z", r.IntN(5)), Random: r}.Pick(all)
-		return at >= 0 && all[at].standing(now) == bestStanding(all)
+		return at >= 0 && all[at].health(now) == bestHealth(all)
 	})
 	if at, _ := (PlainPicker{Now: now}).Pick(nil); at != -1 {
-		t.Errorf("without servers: %d", at)
+		t.Errorf("without servers: index %d", at)
 	}
 }
