--- a/internal/serve/caller/await.go
+++ b/internal/serve/caller/await.go
@@ -108,7 +108,7 @@
 		last = wait.Earlier(last, j.arrived.Add(j.route.Silence))
 	}
 	return waitqueue.Item{
-		Rank:   waitqueue.Rank{OnTime: j.arrived.Add(j.route.LatencyTarget - min(expectedFirst, j.route.LatencyTarget/2)), Urgency: j.urgency()},
+		Rank:   waitqueue.Rank{TargetTime: j.arrived.Add(j.route.LatencyTarget - min(expectedFirst, j.route.LatencyTarget/2)), Urgency: j.urgency()},
 		Tokens: j.room(),
 		SendBy: last.Add(-expectedFirst),
 	}
--- a/internal/serve/caller/await_test.go
+++ b/internal/serve/caller/await_test.go
@@ -67,7 +67,7 @@
 			gateway: &gateway{}, arrived: now, deadline: now.Add(time.Minute), route: document.Route{LatencyTarget: target},
 			request: request.Request{Prompt: &request.Prompt{Tokens: 1000}},
 		}
-		if on := j.ask().Rank.OnTime; !on.After(now) || on.After(now.Add(target)) {
+		if on := j.ask().Rank.TargetTime; !on.After(now) || on.After(now.Add(target)) {
 			t.Errorf("with a target of %s on time until %s after it came", target, on.Sub(now))
 		}
 	}
--- a/internal/serve/caller/choose.go
+++ b/internal/serve/caller/choose.go
@@ -151,7 +151,7 @@
 	salt := j.salt(version)
 	return choose.EnginePicker{
 		Now: now, Zone: j.Zone, Parts: j.parts(salt, e, now), Output: j.request.Prompt.Output, Capacity: e.CapacityTokens, Random: random(),
-		TokensPerEvent: e.TokensPerEvent, EventGap: j.route.EventGapTarget, Entries: j.Site.Entries(), PastTarget: now.After(j.ask().Rank.OnTime),
+		TokensPerEvent: e.TokensPerEvent, EventGap: j.route.EventGapTarget, Entries: j.Site.Entries(), PastTarget: now.After(j.ask().Rank.TargetTime),
 		Holds: func(server string, p choose.Part) bool { return j.Residency.Holds(server, p.Salt, p.ID, p.Tokens, now) },
 	}
 }
--- a/internal/serve/waitqueue/doc.go
+++ b/internal/serve/waitqueue/doc.go
@@ -1,3 +1,3 @@
-// Package waitqueue holds the requests that wait for room at a backend server and
-// decides in which order they try again.
+// Package waitqueue holds the requests that wait for capacity at a backend server and
+// determines the order in which they try again.
 package waitqueue
--- a/internal/serve/waitqueue/forecast.go
+++ b/internal/serve/waitqueue/forecast.go
@@ -7,22 +7,23 @@
 
 // Forecast is what a waiting request can expect.
 type Forecast struct {
-	// Unservable says that it can't be sent in time for its caller to get the answer.
+	// Unservable is set if the request cannot be sent in time for its caller to get the response.
 	Unservable bool
-	// ClearAfter is when those who wait now will have gone: who comes back then finds room.
+	// ClearAfter is when the requests that wait now will have been sent, so that a retry finds
+	// capacity.
 	ClearAfter time.Duration
 }
 
-// forecast works out what the waiter can expect from the work that stands before
-// it and the rate at which the line moves.
+// forecast estimates what the waiter can expect from the requests ahead of it and the rate at
+// which the queue drains.
 //
-// One that can still be on time waits for those of better rank only. One that is
-// late, or will be, goes after all as urgent ones that come on time meanwhile: it
-// gets what they leave. Where that is nothing it would wait until its caller gives
-// up, and is better told at once when to come back. Its own size doesn't count:
-// the largest prompts would be refused first.
-func forecast(all []*Waiter, w *Waiter, f *flow, now time.Time) Forecast {
-	leave, known := f.leaving(now)
+// A request that can still meet its target waits only for those ranked before it. One that is
+// past its target, or will be, also waits for all arriving requests of at least its urgency
+// that can meet theirs, and gets only the remaining capacity. If there is none, it would wait
+// until its caller times out, so it is refused at once with a time for the retry. Its own size
+// does not count, or the largest prompts would be refused first.
+func forecast(all []*Waiter, w *Waiter, r *rateEstimator, now time.Time) Forecast {
+	rate, known := r.sendRate(now)
 	if !known {
 		return Forecast{Unservable: !now.Before(w.SendBy)}
 	}
@@ -33,22 +34,22 @@
 			before += o.Tokens
 		}
 	}
-	out := Forecast{ClearAfter: spell(total, leave)}
-	if start := now.Add(spell(before, leave)); !start.After(w.Rank.OnTime) {
+	out := Forecast{ClearAfter: drainTime(total, rate)}
+	if start := now.Add(drainTime(before, rate)); !start.After(w.Rank.TargetTime) {
 		return out
 	}
-	start := now.Add(spell(before, leave-f.coming(now, w.Item)))
+	start := now.Add(drainTime(before, rate-r.competingArrivalRate(now, w.Item)))
 	out.Unservable = start.After(w.SendBy)
 	return out
 }
 
-// mostSpell bounds forecasts; nobody waits that long.
-const mostSpell = time.Minute
+// maxForecast bounds forecasts; no request waits longer than that.
+const maxForecast = time.Minute
 
-// spell returns how long so many tokens take at a rate per second.
-func spell(tokens int, rate float64) time.Duration {
+// drainTime returns how long sending that many tokens takes at the given rate per second.
+func drainTime(tokens int, rate float64) time.Duration {
 	if rate <= 0 {
-		return mostSpell
+		return maxForecast
 	}
-	return time.Duration(math.Min(float64(tokens)/rate, mostSpell.Seconds()) * float64(time.Second))
+	return time.Duration(math.Min(float64(tokens)/rate, maxForecast.Seconds()) * float64(time.Second))
 }
--- a/internal/serve/waitqueue/load_test.go
+++ b/internal/serve/waitqueue/load_test.go
@@ -10,24 +10,26 @@
 )
 
 const (
-	// target is when a first event is due, patience how long a caller waits for it, run how long a request keeps its room.
+	// target is when a first event is due, patience how long a caller waits for it, run how long a
+	// request holds its capacity.
 	target   = time.Second
 	patience = 4 * time.Second
 	run      = 1500 * time.Millisecond
-	// engineRoom is an engine's memory, usual and large are sizes of requests.
-	engineRoom = 90_000
-	usual      = 12_000
-	large      = 40_000
-	small      = 2_400
+	// engineCapacity is an engine's memory in tokens; usual, large and small are sizes of
+	// requests.
+	engineCapacity = 90_000
+	usual          = 12_000
+	large          = 40_000
+	small          = 2_400
 )
 
-// engines are memory that requests take for a while.
+// engines model memory that requests hold for a while.
 type engines struct {
 	mu   sync.Mutex
 	free []int
 }
 
-// take returns an engine with so much room, -1 for none.
+// take reserves tokens at an engine and returns its index, or -1 if none has enough.
 func (e *engines) take(tokens int) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -40,21 +42,21 @@
 	return -1
 }
 
-func (e *engines) give(i, tokens int) {
+func (e *engines) release(i, tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.free[i] += tokens
 }
 
-// outcome is what became of a request.
+// outcome is how a request ended.
 type outcome struct {
 	tokens int
 	sent   bool
-	// held is how long it waited for that, clear what a refused one was told.
-	held, clear time.Duration
+	// waited is how long it waited, retryAfter the retry time given to a refused request.
+	waited, retryAfter time.Duration
 }
 
-// load is a pattern: how many tokens a second come at a moment, and of which sizes.
+// load is an arrival pattern: the tokens per second at a time since the start, and the sizes.
 type load struct {
 	engines int
 	lasts   time.Duration
@@ -62,25 +64,25 @@
 	size    func(r *rand.Rand) int
 }
 
-// capacity is how many tokens a second the engines can take.
+// capacity is how many tokens per second the engines can serve.
 func (x load) capacity() float64 {
-	return float64(x.engines) * engineRoom / run.Seconds()
+	return float64(x.engines) * engineCapacity / run.Seconds()
 }
 
-// play sends the load through a line in virtual time.
-func play(t *testing.T, x load) []outcome {
+// simulate runs the load against a queue in virtual time.
+func simulate(t *testing.T, x load) []outcome {
 	t.Helper()
 	var all []outcome
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(7, 7))
-		l, began := New(), time.Now()
-		pool := &engines{free: slices.Repeat([]int{engineRoom}, x.engines)}
+		q, began := New(), time.Now()
+		pool := &engines{free: slices.Repeat([]int{engineCapacity}, x.engines)}
 		var mu sync.Mutex
 		var ended sync.WaitGroup
 		for time.Since(began) < x.lasts {
 			tokens := x.size(r)
 			ended.Go(func() {
-				o := pass(t, l, pool, tokens)
+				o := serve(t, q, pool, tokens)
 				mu.Lock()
 				defer mu.Unlock()
 				all = append(all, o)
@@ -92,33 +94,33 @@
 	return all
 }
 
-// pass takes one request through the line as an entry does.
-func pass(t *testing.T, l Queue, pool *engines, tokens int) outcome {
+// serve takes one request through the queue as an entry does.
+func serve(t *testing.T, q Queue, pool *engines, tokens int) outcome {
 	arrived := time.Now()
-	a := Item{Rank: Rank{OnTime: arrived.Add(target)}, Tokens: tokens, SendBy: arrived.Add(patience)}
+	a := Item{Rank: Rank{TargetTime: arrived.Add(target)}, Tokens: tokens, SendBy: arrived.Add(patience)}
 	o := outcome{tokens: tokens}
 	at := pool.take(tokens)
 	if at >= 0 {
-		l.RecordImmediate(a)
+		q.RecordImmediate(a)
 	} else {
-		w := l.Enter(a)
+		w := q.Enter(a)
 		for at < 0 {
-			f := l.Forecast(w)
+			f := q.Forecast(w)
 			if f.Unservable {
-				o.clear = f.ClearAfter
+				o.retryAfter = f.ClearAfter
 				break
 			}
-			if l.Wait(t.Context(), w, RecheckInterval) == LocalCapacity {
+			if q.Wait(t.Context(), w, RecheckInterval) == LocalCapacity {
 				at = pool.take(tokens)
 			}
 		}
-		l.Leave(w, at >= 0)
+		q.Leave(w, at >= 0)
 	}
-	o.held, o.sent = time.Since(arrived), at >= 0
+	o.waited, o.sent = time.Since(arrived), at >= 0
 	if o.sent {
 		time.Sleep(run)
-		pool.give(at, tokens)
-		l.LocalCapacityFreed()
+		pool.release(at, tokens)
+		q.LocalCapacityFreed()
 	}
 	return o
 }
@@ -147,40 +149,39 @@
 	return n
 }
 
-// More comes than the engines can take, for as long as it lasts. A request that is
-// held until its caller leaves has cost its caller the time and got it nothing;
-// it must be refused while the caller can still do something else. And the engines
-// must not stand idle for it.
-func TestOverloadHoldsNobodyToTheEnd(t *testing.T) {
+// The load exceeds the capacity for the whole run. A request that is held until its caller
+// times out has cost the caller that time for nothing, so it must be refused while the caller
+// can still do something else. The engines must stay busy meanwhile.
+func TestOverloadRefusesEarly(t *testing.T) {
 	for _, times := range []float64{1.5, 2.6, 5} {
 		x := load{engines: 4, lasts: 30 * time.Second, size: mixed}
 		x.rate = steady(times * x.capacity())
-		all := play(t, x)
-		refused, late := 0, 0
+		all := simulate(t, x)
+		refused, waitedLong := 0, 0
 		for _, o := range all {
 			if !o.sent {
 				refused++
 			}
-			if o.held > patience*3/4 {
-				late++
+			if o.waited > patience*3/4 {
+				waitedLong++
 			}
-			if !o.sent && o.clear <= 0 {
-				t.Errorf("%.1f times: a refusal doesn't say when to come back", times)
+			if !o.sent && o.retryAfter <= 0 {
+				t.Errorf("%.1f times: a refusal has no retry time", times)
 			}
 		}
 		used := float64(sentTokens(all)) / (x.capacity() * x.lasts.Seconds())
-		t.Logf("%.1f times: %d requests, %d refused, %d held for most of their time, %.2f of the room used", times, len(all), refused, late, used)
-		if late > len(all)/50 {
-			t.Errorf("%.1f times: %d of %d requests were held for three quarters of their time", times, late, len(all))
+		t.Logf("%.1f times: %d requests, %d refused, %d waited for most of their timeout, %.2f of the capacity used", times, len(all), refused, waitedLong, used)
+		if waitedLong > len(all)/50 {
+			t.Errorf("%.1f times: %d of %d requests waited for three quarters of their timeout", times, waitedLong, len(all))
 		}
 		if used < 0.75 {
-			t.Errorf("%.1f times: %.2f of the room was used", times, used)
+			t.Errorf("%.1f times: %.2f of the capacity was used", times, used)
 		}
 	}
 }
 
-// Many users come at once for three seconds, then no more than usual. Those who
-// came are served a little later; refused, they would come back to the same engines.
+// A burst of three seconds above the capacity, then the usual load. Its requests must be
+// served a little later; if refused, they would retry at the same engines.
 func TestBurstIsServed(t *testing.T) {
 	x := load{engines: 4, lasts: 15 * time.Second, size: mixed}
 	x.rate = func(since time.Duration) float64 {
@@ -190,7 +191,7 @@
 		return 0.5 * x.capacity()
 	}
 	sent, n := 0, 0
-	for _, o := range play(t, x) {
+	for _, o := range simulate(t, x) {
 		n++
 		if o.sent {
 			sent++
@@ -201,47 +202,47 @@
 	}
 }
 
-// All processes were lost, and everybody who waited meanwhile comes at the same
-// moment. Nothing is known yet of how fast the line moves; who can be served within
-// the patience of the callers must not be refused.
-func TestHerdAfterALossIsServed(t *testing.T) {
+// After all processes were lost, all waiting callers send at the same moment, before the drain
+// rate is known. Requests that can be served within their callers' timeouts must not be
+// refused.
+func TestSimultaneousRetriesAfterLossAreServed(t *testing.T) {
 	x := load{engines: 4, lasts: time.Millisecond, size: func(*rand.Rand) int { return usual }}
 	x.rate = steady(60 * usual * 1000)
-	all := play(t, x)
+	all := simulate(t, x)
 	sent := 0
 	for _, o := range all {
 		if o.sent {
 			sent++
 		}
 	}
-	if room := x.engines * (engineRoom / usual); sent < min(len(all), 2*room) {
-		t.Errorf("%d of %d were served, in %d places", sent, len(all), room)
+	if slots := x.engines * (engineCapacity / usual); sent < min(len(all), 2*slots) {
+		t.Errorf("%d of %d were served, with capacity for %d at once", sent, len(all), slots)
 	}
 }
 
-// Only large prompts come, more than fit. They are as good as any: the engines
-// must be used, and nobody held to the end.
+// Only large prompts arrive, more than fit. The engines must stay busy, and no request may be
+// held until its caller times out.
 func TestOnlyLargePrompts(t *testing.T) {
 	x := load{engines: 4, lasts: 30 * time.Second, size: func(*rand.Rand) int { return large }}
 	x.rate = steady(2 * x.capacity())
-	all := play(t, x)
-	late := 0
+	all := simulate(t, x)
+	waitedLong := 0
 	for _, o := range all {
-		if o.held > patience*3/4 {
-			late++
+		if o.waited > patience*3/4 {
+			waitedLong++
 		}
 	}
 	// Two large prompts fit into an engine.
-	most := 2.0 * large / engineRoom * x.capacity() * x.lasts.Seconds()
-	if used := float64(sentTokens(all)) / most; used < 0.75 || late > len(all)/50 {
-		t.Errorf("%.2f of the room was used, %d of %d were held for most of their time", used, late, len(all))
+	most := 2.0 * large / engineCapacity * x.capacity() * x.lasts.Seconds()
+	if used := float64(sentTokens(all)) / most; used < 0.75 || waitedLong > len(all)/50 {
+		t.Errorf("%.2f of the capacity was used, %d of %d waited for most of their timeout", used, waitedLong, len(all))
 	}
 }
 
-// Long prompts come that are more than the engines can take, and short ones among
-// them. A short one finds room that is too little for a long one; it must not be
-// refused for the long ones that come.
-func TestShortOnesFindRoomBesideLongOnes(t *testing.T) {
+// Long prompts arrive faster than the engines can serve them, with short ones among them. A
+// short prompt fits into capacity that is too little for a long one and must not be refused
+// because of the long ones.
+func TestShortPromptsFitBesideLongOnes(t *testing.T) {
 	x := load{engines: 4, lasts: 30 * time.Second, size: func(r *rand.Rand) int {
 		if r.IntN(2) == 0 {
 			return small
@@ -250,7 +251,7 @@
 	}}
 	x.rate = steady(2 * x.capacity())
 	sent, n := 0, 0
-	for _, o := range play(t, x) {
+	for _, o := range simulate(t, x) {
 		if o.tokens != small {
 			continue
 		}
@@ -260,6 +261,6 @@
 		}
 	}
 	if sent < n*8/10 {
-		t.Errorf("%d of %d short ones were served", sent, n)
+		t.Errorf("%d of %d short prompts were served", sent, n)
 	}
 }
--- a/internal/serve/waitqueue/rank.go
+++ b/internal/serve/waitqueue/rank.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Rank says who goes first.
+// Rank determines the order in which requests are sent.
 type Rank struct {
-	// OnTime is until when the answer has its full worth.
-	OnTime time.Time
-	// Urgency is the request's rank, 0 the most urgent.
+	// TargetTime is the latest time to send the request for its response to meet the latency target.
+	TargetTime time.Time
+	// Urgency is the priority of the request, 0 the most urgent.
 	Urgency int
 }
 
 // before returns whether r goes before o.
 //
-// Among those of one urgency, one that can still be on time goes before one that
-// is late already, and the one whose time is up first: served in the order of
-// arrival, in a burst everybody would be late.
+// Within one urgency, a request that can still meet its target goes before one that is past
+// it, then the one with the earlier target. In order of arrival, every request of a burst
+// would miss its target.
 func (r Rank) before(o Rank, now time.Time) bool {
-	late, otherLate := now.After(r.OnTime), now.After(o.OnTime)
+	past, otherPast := now.After(r.TargetTime), now.After(o.TargetTime)
 	switch {
 	case r.Urgency != o.Urgency:
 		return r.Urgency < o.Urgency
-	case late != otherLate:
-		return otherLate
+	case past != otherPast:
+		return otherPast
 	}
-	return r.OnTime.Before(o.OnTime)
+	return r.TargetTime.Before(o.TargetTime)
 }
