--- a/internal/serve/share/doc.go
+++ b/internal/serve/share/doc.go
@@ -1,3 +1,3 @@
-// Package share adds up what all entries have sent to each engine, so that each
-// entry chooses with the work of the others in view.
+// Package share aggregates the load that each entry has sent to each engine, so that every
+// entry can take the load of the others into account.
 package share
