--- a/internal/serve/observe/doc.go
+++ b/internal/serve/observe/doc.go
@@ -1,3 +1,3 @@
-// Package observe keeps what an entry sees of each backend server: requests
-// under way, failures, latencies and the load that the server reports.
+// Package observe records what an entry observes of each backend server: requests in flight,
+// failures, latencies and the load that the server reports.
 package observe
--- a/internal/serve/observe/outcome.go
+++ b/internal/serve/observe/outcome.go
@@ -1,24 +1,24 @@
 package observe
 
-// Outcome is how an attempt at a server ended.
+// Outcome is the result of an attempt at a server.
 type Outcome uint8
 
 const (
-	// Served means that the server answered as it should.
+	// Served means that the server sent a valid response.
 	Served Outcome = iota
-	// Failed means that the server answered with a failure of its own.
+	// Failed means that the server responded with a failure of its own.
 	Failed
 	// Rejected means that the server refused the request without running it.
 	Rejected
-	// Lost means that no complete answer came.
+	// Lost means that no complete response arrived.
 	Lost
-	// Unreachable means that no connection came about.
+	// Unreachable means that no connection could be established.
 	Unreachable
-	// Refused means that nobody listens at the server's address.
+	// Refused means that the connection was refused: no process listens at the server's address.
 	Refused
-	// Misdirected means that another server than the one that was meant, or one with
-	// other weights, said that it is not the right one.
+	// Misdirected means that a server with another ID or other weights than intended rejected the
+	// request.
 	Misdirected
-	// Abandoned means that the caller left; it says nothing of the server.
+	// Abandoned means that the caller disconnected; it says nothing about the server.
 	Abandoned
 )
--- a/internal/serve/observe/refused_test.go
+++ b/internal/serve/observe/refused_test.go
@@ -5,31 +5,29 @@
 	"time"
 )
 
-// A server crashed and nobody listens at its address. The other entries must be
-// told, also when nothing of this entry is there any more, and only for as long as
-// a restart takes.
-func TestRefusalIsTold(t *testing.T) {
+// Guards that a refused connection to a crashed server is reported to the other entries, even
+// if no request of this entry is left there, and only for as long as a restart takes.
+func TestRefusalIsReported(t *testing.T) {
 	x, now := New(), time.Now()
 	a := x.Begin(Attempt{Server: "s", ReservedTokens: 100, SentAt: now})
 	x.End(a, Refused, now)
 	if l := x.Loads()["s"]; l.RefusedEntries != 1 || l.ReservedTokens != 0 {
-		t.Errorf("told %+v", l)
+		t.Errorf("reported %+v", l)
 	}
 	if !now.Before(x.Stats("s").EjectedUntil) {
-		t.Error("this entry asks the server again at once")
+		t.Error("this entry uses the server again at once")
 	}
 	b := x.Begin(Attempt{Server: "s", ReservedTokens: 100, SentAt: now})
-	x.End(b, Refused, now.Add(-2*refusedFor))
+	x.End(b, Refused, now.Add(-2*refusalWindow))
 	if l, ok := x.Loads()["s"]; ok {
-		t.Errorf("told of a refusal long ago: %+v", l)
+		t.Errorf("reported a refusal long ago: %+v", l)
 	}
 }
 
-// A server restarted under another ID, or loads new weights, and says that it
-// isn't the one that was meant. Until announcements tell more every request there
-// would be refused in the same way, and each costs a retry of the whole fleet. It
-// is no failure of the server.
-func TestMisdirectedRequestSetsTheServerAside(t *testing.T) {
+// A server restarted under another ID, or loads new weights, and rejects requests as
+// misdirected. Until its next announcement every request there would be rejected in the same
+// way, each costing a retry from the fleet's budget. It is not a failure of the server.
+func TestMisdirectedRequestEjectsServer(t *testing.T) {
 	x, now := New(), time.Now()
 	x.End(x.Begin(Attempt{Server: "s", SentAt: now}), Misdirected, now)
 	if s := x.Stats("s"); !now.Before(s.EjectedUntil) || s.Failures != 0 || s.ConsecutiveLosses != 0 {
--- a/internal/serve/observe/stats.go
+++ b/internal/serve/observe/stats.go
@@ -4,30 +4,31 @@
 
 // ServerStats is what is known of a server at one moment.
 type ServerStats struct {
-	// InFlight is how many requests of this entry it has.
+	// InFlight is how many requests of this entry are in flight at the server.
 	InFlight int
-	// PrefillTokens is how many prompt tokens of this entry's requests wait for the first event.
+	// PrefillTokens is how many prompt tokens of this entry's requests are queued or in prefill,
+	// until the first event.
 	PrefillTokens int
-	// ReservedTokens is how many tokens this entry's requests there hold at most.
+	// ReservedTokens is how many tokens this entry's requests need there at most.
 	ReservedTokens int
-	// Failures is the moving share of attempts that failed.
+	// Failures is the moving average of the failure rate.
 	Failures float64
-	// ConsecutiveLosses is how many attempts in a row brought no answer at all.
+	// ConsecutiveLosses is how many attempts in a row brought no response at all.
 	ConsecutiveLosses int
-	// Latency is the moving mean of the time to the answer; zero before the first one.
+	// Latency is the moving average of the time to the response; zero before the first one.
 	Latency time.Duration
-	// EjectedUntil is until when the server gets nothing while others are there.
+	// EjectedUntil is until when the server gets no requests while others are available.
 	EjectedUntil time.Time
-	// Refused is when a connection was last refused, RefusedBy how many other entries
-	// were refused lately.
+	// Refused is when a connection was last refused. RefusedBy is how many other entries were
+	// refused recently.
 	Refused   time.Time
 	RefusedBy int
-	// Answered is when it last answered.
+	// Answered is when the server last responded.
 	Answered time.Time
-	// Running, Waiting and Slots are its own report, at Reported.
+	// Running, Waiting and Slots are from the server's own load report, received at Reported.
 	Running, Waiting, Slots int
-	// Reported is when the report came.
+	// Reported is when the load report arrived.
 	Reported time.Time
-	// SentSinceReport is how many requests went there from here after the report.
+	// SentSinceReport is how many requests this entry sent to the server since the report.
 	SentSinceReport int
 }
--- a/internal/serve/observe/tracker.go
+++ b/internal/serve/observe/tracker.go
@@ -10,21 +10,23 @@
 )
 
 const (
-	// shards is the number of locks; entries see tens of servers.
+	// shards is the number of locks; an entry has tens of servers.
 	shards = 16
-	// failureWeight is the part of the newest attempt in the share of failures: about the last ten count.
+	// failureWeight is the weight of the newest attempt in the failure rate, which covers about
+	// the last ten attempts.
 	failureWeight = 0.12
-	// latencyWeight is the part of the newest answer in the mean latency.
+	// latencyWeight is the weight of the newest response in the mean latency.
 	latencyWeight = 0.15
-	// asideStreak is how many attempts in a row without any answer set a server aside.
-	asideStreak = 2
-	// asideFirst and asideMost bound how long; it doubles with each further failure.
-	asideFirst = time.Second
-	asideMost  = 6 * time.Second
-	// refusedFor is how long others are told of a refused connection: a server that
-	// crashed is back after a second at the earliest.
-	refusedFor = time.Second
-	// forgetAfter is how long a server without requests is remembered.
+	// ejectionStreak is how many attempts in a row without any response eject a server.
+	ejectionStreak = 2
+	// minEjection and maxEjection bound the duration of an ejection, which doubles with each
+	// further failure.
+	minEjection = time.Second
+	maxEjection = 6 * time.Second
+	// refusalWindow is how long other entries receive the report of a refused connection. A
+	// crashed server is back after a second at the earliest.
+	refusalWindow = time.Second
+	// forgetAfter is how long the state of a server without requests is kept.
 	forgetAfter = 2 * time.Minute
 )
 
@@ -32,7 +34,8 @@
 type Attempt struct {
 	// Server is the server's ID.
 	Server string
-	// PrefillTokens and ReservedTokens are the prompt's tokens to be read and the most that the request holds.
+	// PrefillTokens and ReservedTokens are the prompt tokens to prefill and the maximum number of
+	// tokens that the request needs.
 	PrefillTokens, ReservedTokens int
 	// FetchTokens is how many tokens it fetches from each store, by the store's address.
 	FetchTokens map[string]int
@@ -42,28 +45,29 @@
 	started, fetched bool
 }
 
-// Tracker follows attempts.
+// Tracker tracks attempts.
 type Tracker interface {
-	// Begin notes a request that is sent.
+	// Begin records a request that is sent.
 	Begin(a Attempt) *Attempt
-	// Started notes the first event of a stream.
+	// Started records the first event of a stream.
 	Started(a *Attempt, now time.Time)
-	// End notes how the attempt ended.
+	// End records how the attempt ended.
 	End(a *Attempt, o Outcome, now time.Time)
-	// Report notes a server's own load.
+	// Report records a server's own load report.
 	Report(server string, running, waiting, slots int, now time.Time)
 	// Stats returns what is known of the server.
 	Stats(server string) ServerStats
-	// FetchTokens returns how many tokens are on their way from a store.
+	// FetchTokens returns how many tokens are being fetched from a store.
 	FetchTokens(store string) int
-	// Loads returns what this entry has at each server with prompts, and what it has fetched from each store as reading.
+	// Loads returns this entry's load at each server with prompts. The tokens being fetched from
+	// each store are included as PrefillTokens.
 	Loads() share.Loads
 }
 
 type state struct {
 	ServerStats
-	touched time.Time
-	aside   time.Duration
+	lastUsed time.Time
+	ejection time.Duration
 }
 
 type shard struct {
@@ -73,12 +77,12 @@
 
 type tracker struct {
 	shards [shards]shard
-	// mu guards fetching, the tokens on their way from each store.
+	// mu guards fetching, the tokens being fetched from each store.
 	mu       sync.Mutex
 	fetching map[string]int
 }
 
-// New returns a Tracker that knows nothing.
+// New returns an empty Tracker.
 func New() Tracker {
 	t := &tracker{fetching: map[string]int{}}
 	for i := range t.shards {
@@ -99,13 +103,13 @@
 		x = &state{}
 		s.servers[server] = x
 	}
-	x.touched = now
+	x.lastUsed = now
 	return x
 }
 
 func (s *shard) sweep(now time.Time) {
 	for id, x := range s.servers {
-		if x.InFlight == 0 && now.Sub(x.touched) > forgetAfter {
+		if x.InFlight == 0 && now.Sub(x.lastUsed) > forgetAfter {
 			delete(s.servers, id)
 		}
 	}
@@ -121,12 +125,13 @@
 	x.SentSinceReport++
 	x.PrefillTokens += a.PrefillTokens
 	x.ReservedTokens += a.ReservedTokens
-	t.fetch(&a, 1)
+	t.countFetch(&a, 1)
 	return &a
 }
 
-// fetch counts what an attempt fetches, until its first event or its end.
-func (t *tracker) fetch(a *Attempt, sign int) {
+// countFetch adds or removes the tokens that an attempt fetches, which count until its first
+// event or its end.
+func (t *tracker) countFetch(a *Attempt, sign int) {
 	if sign < 0 && a.fetched {
 		return
 	}
@@ -153,22 +158,22 @@
 	s := t.shard(a.Server)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.state(a.Server, now).start(a, now)
-	t.fetch(a, -1)
+	s.state(a.Server, now).recordStart(a, now)
+	t.countFetch(a, -1)
 }
 
-func (x *state) start(a *Attempt, now time.Time) {
+func (x *state) recordStart(a *Attempt, now time.Time) {
 	if a.started {
 		return
 	}
 	a.started = true
 	x.PrefillTokens -= a.PrefillTokens
-	x.answered(now.Sub(a.SentAt), now)
+	x.recordResponse(now.Sub(a.SentAt), now)
 }
 
-func (x *state) answered(took time.Duration, now time.Time) {
+func (x *state) recordResponse(took time.Duration, now time.Time) {
 	x.Answered = now
-	x.ConsecutiveLosses, x.aside = 0, 0
+	x.ConsecutiveLosses, x.ejection = 0, 0
 	x.EjectedUntil = time.Time{}
 	if x.Latency == 0 {
 		x.Latency = took
@@ -186,26 +191,26 @@
 	x.InFlight--
 	x.ReservedTokens -= a.ReservedTokens
 	if o == Served {
-		x.start(a, now)
+		x.recordStart(a, now)
 	} else if !a.started {
 		x.PrefillTokens -= a.PrefillTokens
 	}
-	x.judge(o, now)
-	t.fetch(a, -1)
+	x.recordOutcome(o, now)
+	t.countFetch(a, -1)
 }
 
-// judge counts an outcome.
+// recordOutcome updates the state of the server with an outcome.
 //
-// A server that crashed in silence, or that hangs while its health check is
-// good, shows only in answers that don't come. Two in a row set it aside for a
-// moment that doubles; one request then tries it again.
-func (x *state) judge(o Outcome, now time.Time) {
+// A server that crashed silently, or hangs while its health check passes, shows only in
+// missing responses. Two in a row eject it for a time that doubles; then one request tries it
+// again.
+func (x *state) recordOutcome(o Outcome, now time.Time) {
 	switch o {
 	case Abandoned, Rejected:
 		return
 	case Misdirected:
-		// The next announcement tells more; until it comes each try would be in vain.
-		x.EjectedUntil = now.Add(asideFirst)
+		// The next announcement brings the new state; until it arrives every attempt would fail.
+		x.EjectedUntil = now.Add(minEjection)
 		return
 	case Served:
 		x.Failures -= failureWeight * x.Failures
@@ -218,9 +223,9 @@
 			x.Refused = now
 		}
 		x.ConsecutiveLosses++
-		if x.ConsecutiveLosses >= asideStreak || o != Lost {
-			x.aside = min(asideMost, max(asideFirst, 2*x.aside))
-			x.EjectedUntil = now.Add(x.aside)
+		if x.ConsecutiveLosses >= ejectionStreak || o != Lost {
+			x.ejection = min(maxEjection, max(minEjection, 2*x.ejection))
+			x.EjectedUntil = now.Add(x.ejection)
 		}
 	}
 	x.Failures += failureWeight * (1 - x.Failures)
@@ -254,7 +259,7 @@
 		s.mu.Lock()
 		for id, x := range s.servers {
 			refused := 0
-			if now.Sub(x.Refused) < refusedFor {
+			if now.Sub(x.Refused) < refusalWindow {
 				refused = 1
 			}
 			if x.ReservedTokens > 0 || refused > 0 {
