--- a/internal/serve/limit/doc.go
+++ b/internal/serve/limit/doc.go
@@ -1,3 +1,3 @@
-// Package limit keeps to the limits that backend servers name for all entries
-// together: each entry spends its share of a server's requests a second.
+// Package limit enforces the request limits that backend servers announce for all entries
+// together. Each entry spends its share of a server's requests per second.
 package limit
--- a/internal/serve/limit/limits.go
+++ b/internal/serve/limit/limits.go
@@ -14,37 +14,39 @@
 const (
 	// shards is the number of locks.
 	shards = 16
-	// unknownEntries stands for the number of entries until a replica has told it.
-	unknownEntries = 12
-	// forgetAfter is how long a limit is remembered of a server that isn't asked any more.
+	// assumedEntries is the assumed number of entries until a replica reports it.
+	assumedEntries = 12
+	// forgetAfter is how long the limit of a server that gets no more requests is kept.
 	forgetAfter = 2 * time.Minute
 )
 
-// Limits holds the limits that servers name, and this entry's share of each.
+// Limits holds the limits that servers announce, and this entry's share of each.
 type Limits interface {
-	// Observe takes the answer to a request that was sent at sent: the requests a second
-	// that the server takes from all entries, nil when it names no limit.
+	// Observe processes the response to a request that was sent at sent. perSecond is the number
+	// of requests per second that the server accepts from all entries, nil if it announces no
+	// limit.
 	Observe(server string, perSecond *float64, sent, now time.Time)
 	// Wait returns how long it is until a request may be sent to the server.
 	Wait(server string, now time.Time) time.Duration
-	// Take spends a request to the server that may be sent after the returned time,
-	// at most that long from now, and returns false when there is none.
-	Take(server string, most time.Duration, now time.Time) (time.Duration, bool)
-	// Return gives back what was taken for a request that isn't sent.
+	// Take reserves a request to the server that may be sent after the returned time. It returns
+	// false if that is more than maxWait from now.
+	Take(server string, maxWait time.Duration, now time.Time) (time.Duration, bool)
+	// Return cancels the reservation of a request that is not sent.
 	Return(server string, now time.Time)
-	// SetEntries tells how many entries share the limits.
+	// SetEntries sets how many entries share the limits.
 	SetEntries(n int)
-	// Len returns how many servers name a limit.
+	// Len returns how many servers announce a limit.
 	Len() int
 }
 
-// Config is what Limits are made from.
+// Config is the configuration of Limits.
 type Config struct {
-	// Random draws from 0 to 1; it keeps entries apart that hear of a limit at the same moment.
+	// Random returns a number between 0 and 1. It desynchronizes entries that learn of a limit at
+	// the same moment.
 	Random func() float64
-	// OnCapacity, if any, is called when a server's limit leaves room for another request.
+	// OnCapacity, if set, is called when a server's limit allows another request.
 	OnCapacity func()
-	// Logger takes the events.
+	// Logger receives the log events.
 	Logger log.Interface
 }
 
@@ -57,14 +59,14 @@
 	Config
 	shards  [shards]shard
 	entries atomic.Int64
-	// named is how many servers name a limit; while none does, no lock is taken.
-	named atomic.Int64
+	// limited is how many servers announce a limit; while none does, no lock is taken.
+	limited atomic.Int64
 }
 
-// New returns Limits of servers that name none yet.
+// New returns Limits without any announced limit.
 func New(c Config) Limits {
 	l := &limits{Config: c}
-	l.entries.Store(unknownEntries)
+	l.entries.Store(assumedEntries)
 	for i := range l.shards {
 		l.shards[i].buckets = map[string]*bucket{}
 	}
@@ -78,8 +80,8 @@
 	}
 }
 
-// sharers returns how many entries share the limits.
-func (l *limits) sharers() int {
+// entryCount returns how many entries share the limits.
+func (l *limits) entryCount() int {
 	return int(l.entries.Load())
 }
 
@@ -89,57 +91,57 @@
 
 // Observe implements Limits.
 //
-// An answer without a limit ends one only if its request was sent after the limit
-// was named last: answers on different connections overtake each other.
+// A response without a limit ends one only if its request was sent after the limit was last
+// announced, because responses on different connections can overtake each other.
 func (l *limits) Observe(server string, perSecond *float64, sent, now time.Time) {
-	if perSecond == nil && l.named.Load() == 0 {
+	if perSecond == nil && l.limited.Load() == 0 {
 		return
 	}
-	entries := l.sharers()
+	entries := l.entryCount()
 	s := l.shard(server)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b, ok := s.buckets[server]
 	switch {
-	case perSecond == nil && ok && sent.After(b.named):
+	case perSecond == nil && ok && sent.After(b.observed):
 		l.forget(s, server)
-		l.tell(server, 0, entries)
+		l.logLimit(server, 0, entries)
 	case perSecond != nil && !ok:
 		b = newBucket(*perSecond, l.Random(), now)
 		s.buckets[server] = b
-		l.named.Add(1)
-		l.announce(server, b, b.wait(entries))
-		l.tell(server, *perSecond, entries)
+		l.limited.Add(1)
+		l.scheduleCapacity(server, b, b.wait(entries))
+		l.logLimit(server, *perSecond, entries)
 	case perSecond != nil:
-		if b.rename(*perSecond, entries, now) {
-			l.tell(server, *perSecond, entries)
+		if b.update(*perSecond, entries, now) {
+			l.logLimit(server, *perSecond, entries)
 		}
 	}
 }
 
-// forget ends a limit; the caller holds the lock.
+// forget removes a limit; the caller holds the lock.
 func (l *limits) forget(s *shard, server string) {
 	delete(s.buckets, server)
-	l.named.Add(-1)
+	l.limited.Add(-1)
 }
 
-func (l *limits) tell(server string, perSecond float64, entries int) {
+func (l *limits) logLimit(server string, perSecond float64, entries int) {
 	event.LimitNamed.Write(l.Logger, log.Fields{"server": server, "per-second": perSecond, "entries": entries})
 }
 
-// announce calls Room after the given time, and from then on each time that the
-// bucket gains a request, for as long as the server names a limit. It forgets a server
-// that hasn't answered for long.
-func (l *limits) announce(server string, b *bucket, after time.Duration) {
+// scheduleCapacity calls OnCapacity after the given time, and from then on each time that the
+// bucket gains a request, for as long as the server announces a limit. It removes the limit of
+// a server that has not responded for forgetAfter.
+func (l *limits) scheduleCapacity(server string, b *bucket, after time.Duration) {
 	if l.OnCapacity == nil {
 		return
 	}
 	time.AfterFunc(after, func() {
-		entries := l.sharers()
+		entries := l.entryCount()
 		s := l.shard(server)
 		s.mu.Lock()
 		current := s.buckets[server] == b
-		if current && time.Since(b.named) > forgetAfter {
+		if current && time.Since(b.observed) > forgetAfter {
 			l.forget(s, server)
 			current = false
 		}
@@ -147,17 +149,17 @@
 		s.mu.Unlock()
 		if current {
 			l.OnCapacity()
-			l.announce(server, b, next)
+			l.scheduleCapacity(server, b, next)
 		}
 	})
 }
 
-// with calls use with the server's bucket, filled, if the server names a limit.
-func (l *limits) with(server string, now time.Time, use func(b *bucket, entries int)) {
-	if l.named.Load() == 0 {
+// withBucket calls use with the server's filled bucket if the server announces a limit.
+func (l *limits) withBucket(server string, now time.Time, use func(b *bucket, entries int)) {
+	if l.limited.Load() == 0 {
 		return
 	}
-	entries := l.sharers()
+	entries := l.entryCount()
 	s := l.shard(server)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,19 +172,19 @@
 // Wait implements Limits.
 func (l *limits) Wait(server string, now time.Time) time.Duration {
 	wait := time.Duration(0)
-	l.with(server, now, func(b *bucket, entries int) { wait = b.wait(entries) })
+	l.withBucket(server, now, func(b *bucket, entries int) { wait = b.wait(entries) })
 	return wait
 }
 
 // Take implements Limits.
-func (l *limits) Take(server string, most time.Duration, now time.Time) (time.Duration, bool) {
+func (l *limits) Take(server string, maxWait time.Duration, now time.Time) (time.Duration, bool) {
 	wait := time.Duration(0)
-	l.with(server, now, func(b *bucket, entries int) {
-		if wait = b.wait(entries); wait <= most {
-			b.level--
+	l.withBucket(server, now, func(b *bucket, entries int) {
+		if wait = b.wait(entries); wait <= maxWait {
+			b.available--
 		}
 	})
-	if wait > most {
+	if wait > maxWait {
 		return 0, false
 	}
 	return wait, true
@@ -190,10 +192,10 @@
 
 // Return implements Limits.
 func (l *limits) Return(server string, now time.Time) {
-	l.with(server, now, func(b *bucket, _ int) { b.level++ })
+	l.withBucket(server, now, func(b *bucket, _ int) { b.available++ })
 }
 
 // Len implements Limits.
 func (l *limits) Len() int {
-	return int(l.named.Load())
+	return int(l.limited.Load())
 }
--- a/internal/serve/limit/limits_test.go
+++ b/internal/serve/limit/limits_test.go
@@ -14,8 +14,8 @@
 
 const (
 	server = "s"
-	// window, factor and slack are the terms that a server is promised: what it gets
-	// in each window is at most factor times its limit and slack.
+	// window, factor and slack are the guarantee to a server: in each window it gets at most slack
+	// requests more than factor times its limit.
 	window = 4 * time.Second
 	factor = 1.5
 	slack  = 5
@@ -29,7 +29,7 @@
 	return New(Config{Random: func() float64 { return random }})
 }
 
-// fleet is entries that hear of a limit at the same moment.
+// fleet is a set of entries that learn of a limit at the same moment.
 type fleet struct {
 	random  *rand.Rand
 	entries []Limits
@@ -46,16 +46,17 @@
 	return f
 }
 
-// send lets callers ask the entries asked times a second together, in bursts with
-// pauses, and returns what the server gets within any window and in all.
-func (f fleet) send(asked float64, length time.Duration, pausing bool) (most, all int) {
+// send simulates callers that send perSecond requests per second to the entries, in bursts
+// with pauses, and returns the maximum number of requests that the server gets in any window,
+// and the total.
+func (f fleet) send(perSecond float64, length time.Duration, pausing bool) (most, all int) {
 	const step = 10 * time.Millisecond
 	var sent []time.Time
 	for at := time.Duration(0); at < length; at += step {
 		if pausing && at/(3*time.Second)%2 == 0 {
 			continue
 		}
-		for range int(asked*step.Seconds() + f.random.Float64()) {
+		for range int(perSecond*step.Seconds() + f.random.Float64()) {
 			now := start.Add(at)
 			if _, ok := f.entries[f.random.IntN(len(f.entries))].Take(server, 0, now); !ok {
 				continue
@@ -71,13 +72,15 @@
 	return most, all
 }
 
-// Guards against a fleet that exceeds a server's limit because each entry keeps its share for itself alone.
+// Guards against a fleet that exceeds a server's limit because each entry enforces only its
+// own share.
 func TestFleetKeepsALimit(t *testing.T) {
 	fleetKeepsALimit(t, gopter.DefaultTestParameters())
 }
 
-// Guards against many entries that seldom have a request to send, and send what they kept in the same burst.
-func TestFleetOfSeldomAskedEntriesKeepsALimit(t *testing.T) {
+// Guards against many entries that seldom have a request to send, and send what they kept in
+// the same burst.
+func TestFleetOfRarelyUsedEntriesKeepsALimit(t *testing.T) {
 	const seed = 1796308657447143193
 	fleetKeepsALimit(t, gopter.DefaultTestParametersWithSeed(seed))
 }
@@ -85,14 +88,15 @@
 func fleetKeepsALimit(t *testing.T, parameters *gopter.TestParameters) {
 	t.Helper()
 	p := gopter.NewProperties(parameters)
-	p.Property("no window holds more than was promised", prop.ForAll(func(n int, limit, pressure float64, pausing bool, seed uint64) bool {
+	p.Property("no window exceeds the guarantee", prop.ForAll(func(n int, limit, pressure float64, pausing bool, seed uint64) bool {
 		most, _ := newFleet(n, limit, seed).send(limit*pressure, 40*time.Second, pausing)
 		return float64(most) <= factor*limit*window.Seconds()+slack
 	}, gen.IntRange(1, 60), gen.Float64Range(0.2, 60), gen.Float64Range(0.2, 8), gen.Bool(), gen.UInt64()))
 	p.TestingRun(t)
 }
 
-// Guards against hundreds of entries that each hold one request ready and send it in the same burst.
+// Guards against hundreds of entries that each keep one request ready and send it in the same
+// burst.
 func TestHundredsOfEntriesKeepASmallLimit(t *testing.T) {
 	const limit = 3.0
 	f := newFleet(300, limit, 1)
@@ -111,7 +115,7 @@
 	}
 }
 
-// Guards against a limit that is kept by serving nobody.
+// Guards against a limit that is met by serving nobody.
 func TestMostOfALimitIsUsed(t *testing.T) {
 	for _, n := range []int{1, 6, 12} {
 		const limit, length = 3.0, 100 * time.Second
@@ -123,63 +127,64 @@
 	}
 }
 
-// Guards against an answer that was overtaken ending a limit that still holds.
-func TestLimitEndsWithAnAnswerToALaterRequest(t *testing.T) {
+// Guards against an overtaken response ending a limit that still applies.
+func TestLimitEndsWithResponseToLaterRequest(t *testing.T) {
 	l := newLimits(0)
 	l.Observe(server, number(2), start, start.Add(time.Second))
 	l.Observe(server, nil, start.Add(500*time.Millisecond), start.Add(1100*time.Millisecond))
 	if l.Wait(server, start.Add(1100*time.Millisecond)) == 0 {
-		t.Error("an answer to a request of before the limit was named ended it")
+		t.Error("the response to a request sent before the limit was announced ended it")
 	}
 	l.Observe(server, nil, start.Add(1200*time.Millisecond), start.Add(1300*time.Millisecond))
 	if w := l.Wait(server, start.Add(1300*time.Millisecond)); w != 0 || l.Len() != 0 {
-		t.Errorf("the limit goes on: %s", w)
+		t.Errorf("the limit still applies: %s", w)
 	}
 }
 
-// Guards against a server that names zero and is never asked again, so that nobody hears that its need is over.
-func TestLimitOfZeroIsAskedNowAndThen(t *testing.T) {
+// Guards against a server that announces a limit of zero and never gets a request again, so
+// that no entry learns of the end of its limit.
+func TestServerWithLimitOfZeroIsProbed(t *testing.T) {
 	l := newLimits(0)
 	l.SetEntries(1)
 	l.Observe(server, number(0), start, start)
 	if _, ok := l.Take(server, 0, start.Add(time.Second)); ok {
-		t.Error("a server that takes nothing was asked at once")
+		t.Error("a server with a limit of zero got a request at once")
 	}
 	if _, ok := l.Take(server, 0, start.Add(30*time.Second)); !ok {
-		t.Error("a server that took nothing was not asked for half a minute")
+		t.Error("a server with a limit of zero got no request for half a minute")
 	}
 }
 
-// Guards against requests that wait for the same room of a limit.
-func TestEachWaitHasItsPlace(t *testing.T) {
+// Guards against several waiting requests reserving the same capacity of a limit.
+func TestWaitingRequestsReserveDifferentTimes(t *testing.T) {
 	l := newLimits(0)
 	l.SetEntries(1)
-	l.Observe(server, number(1/usedShare), start, start)
+	l.Observe(server, number(1/usableShare), start, start)
 	first, ok := l.Take(server, 5*time.Second, start)
 	second, also := l.Take(server, 5*time.Second, start)
 	if !ok || !also || second-first < 900*time.Millisecond {
 		t.Fatalf("two requests wait %s and %s", first, second)
 	}
 	if _, ok := l.Take(server, 2*time.Second, start); ok {
-		t.Error("a request waits longer than its caller")
+		t.Error("a request waits longer than its maximum")
 	}
 	l.Return(server, start)
 	if again, ok := l.Take(server, 2*time.Second, start); !ok || again != second {
-		t.Errorf("the place that was given back is not used: %s", again)
+		t.Errorf("the cancelled reservation is not reused: %s", again)
 	}
 }
 
-// Guards against a log line for each answer of a server in need.
-func TestLimitIsToldWhenItChangesMuch(t *testing.T) {
-	written := memory.New()
-	l := New(Config{Random: func() float64 { return 0 }, Logger: &log.Logger{Handler: written, Level: log.InfoLevel}})
+// Guards against a log line for each response of an overloaded server.
+func TestLimitIsLoggedWhenItChangesMuch(t *testing.T) {
+	logged := memory.New()
+	l := New(Config{Random: func() float64 { return 0 }, Logger: &log.Logger{Handler: logged, Level: log.InfoLevel}})
 	for i, v := range []float64{3, 3.1, 2.9, 3, 6, 6.1} {
 		now := start.Add(time.Duration(i) * time.Second)
 		l.Observe(server, number(v), now, now)
 	}
 	l.Observe(server, nil, start.Add(time.Hour), start.Add(time.Hour))
 	l.Observe(server, nil, start.Add(time.Hour), start.Add(time.Hour))
-	if len(written.Entries) != 3 {
-		t.Errorf("%d lines, wanted those of 3, 6 and none", len(written.Entries))
+	if len(logged.Entries) != 3 {
+		t.Errorf("%d lines, wanted those of 3, 6 and none", len(logged.Entries))
 	}
 }
