--- a/internal/serve/retry/budget.go
+++ b/internal/serve/retry/budget.go
@@ -6,35 +6,35 @@
 )
 
 const (
-	// ratioShare is the part of the ratio that an entry spends: requests that
-	// never reached a server of this entry's don't count towards the fleet's.
+	// ratioShare is the share of the ratio that an entry spends, because requests that never
+	// reached one of its servers do not count in the fleet's budget.
 	ratioShare = 0.75
-	// slackShare is the part of the slack that an entry spends in a window,
-	// half of it at once: entries that started a moment ago aren't counted yet.
+	// slackShare is the share of the slack that an entry spends in a window, half of it at once.
+	// The rest is for entries that have just started and are not counted yet.
 	slackShare = 0.7
-	// unknownEntries stands for the number of entries until a replica has told it.
-	unknownEntries = 12
+	// assumedEntries is the assumed number of entries until a replica reports it.
+	assumedEntries = 12
 )
 
-// Terms are the fleet's budget for repeats at one service.
+// Terms are the fleet's retry budget for one service.
 type Terms struct {
-	// Ratio is the part of the requests that may be repeated within Window.
+	// Ratio is the share of the requests that may be retried within Window.
 	Ratio float64
-	// Window is the span that is counted in.
+	// Window is the time over which requests and retries are counted.
 	Window time.Duration
-	// Slack is how many more repeats all entries may make in a window.
+	// Slack is how many further retries all entries together may send in a window.
 	Slack float64
 }
 
-// Budget grants repeats, service by service.
+// Budget grants retries for each service.
 type Budget interface {
-	// RecordRequest notes a caller's request for the service.
+	// RecordRequest records a caller's request for the service.
 	RecordRequest(service string, now time.Time)
-	// Spend returns whether one repeat at the service may be sent, and spends it.
+	// Spend returns whether one retry at the service may be sent, and spends it.
 	Spend(service string, now time.Time) bool
-	// Available returns whether a repeat at the service could be sent now; it spends nothing.
+	// Available returns whether a retry at the service could be sent now, without spending it.
 	Available(service string, now time.Time) bool
-	// SetEntries tells how many entries share the slack.
+	// SetEntries sets how many entries share the slack.
 	SetEntries(n int)
 }
 
@@ -45,7 +45,7 @@
 	buckets map[string]*bucket
 }
 
-// bucket holds what may be spent at one service: earned grows with requests, slack with time.
+// bucket is the budget of one service: earned grows with requests, slack with time.
 type bucket struct {
 	earned, slack float64
 	filled        time.Time
@@ -53,7 +53,7 @@
 
 // NewBudget returns a Budget with full slack.
 func NewBudget(t Terms) Budget {
-	return &budget{terms: t, entries: unknownEntries, buckets: map[string]*bucket{}}
+	return &budget{terms: t, entries: assumedEntries, buckets: map[string]*bucket{}}
 }
 
 // SetEntries implements Budget.
@@ -70,9 +70,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.bucket(service, now)
-	// What was earned longer than a window ago doesn't count in the fleet's
-	// window any more; the bound keeps a quiet hour from paying for a storm.
-	k.earned = min(k.earned+b.terms.Ratio*ratioShare, b.share())
+	// What was earned more than a window ago is no longer in the fleet's window. The bound keeps
+	// requests of a quiet hour from paying for a burst of retries.
+	k.earned = min(k.earned+b.terms.Ratio*ratioShare, b.entrySlack())
 }
 
 // Spend implements Budget.
@@ -99,19 +99,19 @@
 	return k.earned >= 1 || k.slack >= 1
 }
 
-// share is an entry's part of the slack in half a window.
-func (b *budget) share() float64 {
+// entrySlack is an entry's share of the slack in half a window.
+func (b *budget) entrySlack() float64 {
 	return max(1, b.terms.Slack*slackShare/2/float64(b.entries))
 }
 
 func (b *budget) bucket(service string, now time.Time) *bucket {
 	k, ok := b.buckets[service]
 	if !ok {
-		k = &bucket{slack: b.share(), filled: now}
+		k = &bucket{slack: b.entrySlack(), filled: now}
 		b.buckets[service] = k
 	}
 	if b.terms.Window > 0 {
-		k.slack = min(b.share(), k.slack+b.share()*now.Sub(k.filled).Seconds()/b.terms.Window.Seconds())
+		k.slack = min(b.entrySlack(), k.slack+b.entrySlack()*now.Sub(k.filled).Seconds()/b.terms.Window.Seconds())
 	}
 	k.filled = now
 	return k
--- a/internal/serve/retry/budget_test.go
+++ b/internal/serve/retry/budget_test.go
@@ -9,9 +9,9 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// Half of the servers fail everything. Each entry repeats what it may; if
-// together they repeated more than the budget, the healthy half would drown in
-// repeats and callers would see a fault of one half as a fault of all.
+// Half of the servers fail every request, and each entry retries as often as it may. If
+// together the entries exceeded the budget, the retries would overload the healthy half, and
+// callers would see a failure of one half as a failure of all.
 func TestFleetStaysWithinBudget(t *testing.T) {
 	terms := Terms{Ratio: 0.2, Window: 10 * time.Second, Slack: 52}
 	p := gopter.NewProperties(nil)
@@ -21,7 +21,7 @@
 			fleet[i] = NewBudget(terms)
 			fleet[i].SetEntries(entries)
 		}
-		var requests, repeats []time.Duration
+		var requests, retries []time.Duration
 		start := time.Unix(0, 0)
 		gap := time.Second / time.Duration(perSecond)
 		for at := time.Duration(0); at < 30*time.Second; at += gap {
@@ -29,16 +29,16 @@
 			b.RecordRequest("s", start.Add(at))
 			requests = append(requests, at)
 			if b.Spend("s", start.Add(at)) {
-				repeats = append(repeats, at)
+				retries = append(retries, at)
 			}
 		}
 		for from := time.Duration(0); from < 20*time.Second; from += time.Second {
-			sent, again := count(requests, from, terms.Window), count(repeats, from, terms.Window)
-			if float64(again) > terms.Ratio*float64(sent)+terms.Slack {
+			sent, retried := count(requests, from, terms.Window), count(retries, from, terms.Window)
+			if float64(retried) > terms.Ratio*float64(sent)+terms.Slack {
 				return false
 			}
 		}
-		return len(repeats) > 0
+		return len(retries) > 0
 	}, gen.IntRange(1, 12), gen.IntRange(1, 400)))
 	p.TestingRun(t)
 }
--- a/internal/serve/retry/doc.go
+++ b/internal/serve/retry/doc.go
@@ -1,3 +1,3 @@
-// Package retry decides how many repeats an entry may send to backend servers
-// so that the whole fleet stays within its budget.
+// Package retry decides how many retries an entry may send to backend servers so that the
+// whole fleet stays within its retry budget.
 package retry
