--- a/internal/serve/request/answer.go
+++ b/internal/serve/request/answer.go
@@ -1,24 +1,26 @@
 package request
 
-// Answer is what a server's headers say.
+// Answer is the content of a server's response headers.
 type Answer struct {
-	// Attempt is the attempt that the server answers.
+	// Attempt is the attempt that the server responds to.
 	Attempt string
-	// Stamped says that the answer bears the server's mark; a success without it isn't one.
+	// Stamped is set if the response carries the server's stamp. A success without it is not
+	// valid.
 	Stamped bool
-	// NotRun is the server's word that it hasn't run the request and won't.
+	// NotRun is set if the server guarantees that it has not run the request and never will.
 	NotRun bool
-	// Server is the ID of the server, where it says so.
+	// Server is the ID of the server; empty if not stated.
 	Server string
-	// Load is the server's load, nil where it doesn't say.
+	// Load is the server's load, nil if not stated.
 	Load *Load
-	// Limit is how many requests a second the server takes from all entries together, nil where it names none.
+	// Limit is how many requests per second the server accepts from all entries together, nil if
+	// it announces no limit.
 	Limit *float64
-	// Version is the version of the weights; zero where it doesn't say.
+	// Version is the version of the weights; zero if not stated.
 	Version int64
 }
 
-// Load is how busy a server is.
+// Load is the load of a server.
 type Load struct {
 	// Running, Waiting and Slots count requests.
 	Running, Waiting, Slots int
--- a/internal/serve/request/dispatch.go
+++ b/internal/serve/request/dispatch.go
@@ -2,26 +2,29 @@
 
 import "time"
 
-// Dispatch is what the system tells a server beside the caller's request.
+// Dispatch is what the system sends to a server in addition to the caller's request.
 type Dispatch struct {
-	// Remaining is how long the server may work.
+	// Remaining is how long the server may work on the request.
 	Remaining time.Duration
-	// Server is the ID of the server that is meant; another one at its address refuses.
+	// Server is the ID of the intended server; another one at its address rejects the request.
 	Server string
 	// Workspace is the caller's workspace; empty for none.
 	Workspace string
-	// Urgency is the rank at an engine, 0 the most urgent; negative for the engine's default.
+	// Urgency is the priority at an engine, 0 the most urgent; negative for the engine's default.
 	Urgency int
-	// Version is the version that the engine's weights must have; zero for any.
+	// Version is the required version of the engine's weights; zero for any.
 	Version int64
-	// Salt keeps cached parts of different versions and workspaces apart.
+	// Salt separates the cached parts of different versions and workspaces.
 	Salt string
-	// Fetch names, for each part of the prompt, where the engine gets it; empty for nowhere.
+	// Fetch is, for each part of the prompt, the address from which the engine fetches it; empty
+	// for none.
 	Fetch []string
-	// Save names, for each part of the prompt, the store that shall have it; empty for none.
+	// Save is, for each part of the prompt, the store to which the engine saves it; empty for
+	// none.
 	Save []string
-	// FetchDeadline is the moment on the servers' clock at which an unfinished fetch is thrown away, in Unix milliseconds; zero for never.
+	// FetchDeadline is the time on the servers' clock at which an unfinished fetch is discarded,
+	// in Unix milliseconds; zero for no deadline.
 	FetchDeadline int64
-	// LastEvent continues a stream after this event; zero for a whole stream.
+	// LastEvent is the event after which the stream resumes; zero for a whole stream.
 	LastEvent int64
 }
--- a/internal/serve/request/doc.go
+++ b/internal/serve/request/doc.go
@@ -1,3 +1,3 @@
-// Package request holds the typed forms of a caller's request, of what the
-// system adds to it for a backend server, and of the server's answer.
+// Package request holds the types of a caller's request, of what the system adds to it for a
+// backend server, and of the server's response headers.
 package request
