--- a/internal/serve/caller/stream.go
+++ b/internal/serve/caller/stream.go
@@ -88,7 +88,7 @@
 //
 // Events of two runs joined wrongly would be an answer that no server gave.
 func (j *job) forward(e events.Event, a *observe.Attempt, x *backend.Exchange) error {
-	if at := j.resumeAt(); e.Numbered && at > 0 && e.ID != at+1 {
+	if at := j.resumeAt(); e.HasID && at > 0 && e.ID != at+1 {
 		return errOutOfOrder
 	}
 	if !j.events.started {
@@ -97,7 +97,7 @@
 	now := time.Now()
 	j.events.came(now)
 	j.Tracker.Started(a, now)
-	if e.Numbered {
+	if e.HasID {
 		j.events.last = e.ID
 	}
 	if _, err := j.writer.Write(e.Raw); err != nil {
--- a/internal/serve/events/scanner.go
+++ b/internal/serve/events/scanner.go
@@ -8,31 +8,31 @@
 	"strconv"
 )
 
-// maxEvent bounds one event in bytes; tokens are a few bytes each.
-const maxEvent = 256 << 10
+// maxEventBytes bounds the size of one event; tokens are a few bytes each.
+const maxEventBytes = 256 << 10
 
-// ErrTooLong means that an event has more bytes than any real one.
-var ErrTooLong = errors.New("events: an event is too long")
+// ErrTooLong means that an event exceeds the maximum size.
+var ErrTooLong = errors.New("events: event is too long")
 
-// ErrMalformed means that the stream holds something that is no event.
-var ErrMalformed = errors.New("events: what came is no event")
+// ErrMalformed means that the stream contains something that is not an event.
+var ErrMalformed = errors.New("events: malformed event")
 
 // Event is one whole event.
 type Event struct {
-	// ID is the event's number; it rises by one with each event of a stream.
+	// ID is the number of the event; it rises by one with each event of a stream.
 	ID int64
-	// Numbered says that the event has a number.
-	Numbered bool
-	// Raw is the event as it came, with the empty line behind it.
+	// HasID is set if the event has an ID.
+	HasID bool
+	// Raw is the event as received, including the empty line that ends it.
 	Raw []byte
 }
 
 // Scanner reads events.
 type Scanner interface {
-	// Next returns the next event; its bytes hold until the next call. io.EOF
-	// means that the stream ended between two events.
+	// Next returns the next event, whose bytes are valid until the next call. io.EOF means that
+	// the stream ended between two events.
 	Next() (Event, error)
-	// Buffered returns whether bytes of a further event are there already.
+	// Buffered returns whether bytes of a further event have already arrived.
 	Buffered() bool
 }
 
@@ -41,7 +41,7 @@
 	raw    []byte
 }
 
-// NewScanner returns a Scanner of r.
+// NewScanner returns a Scanner that reads from r.
 func NewScanner(r io.Reader) Scanner {
 	return &scanner{reader: bufio.NewReaderSize(r, 2<<10)}
 }
@@ -51,23 +51,23 @@
 	e := Event{}
 	s.raw = s.raw[:0]
 	for {
-		begin := len(s.raw)
-		if err := s.line(); err != nil {
+		start := len(s.raw)
+		if err := s.readLine(); err != nil {
 			if errors.Is(err, io.EOF) && len(s.raw) > 0 {
 				err = io.ErrUnexpectedEOF
 			}
 			return Event{}, err
 		}
-		l := bytes.TrimRight(s.raw[begin:], "\r\n")
-		if len(l) == 0 {
-			if begin == 0 {
+		line := bytes.TrimRight(s.raw[start:], "\r\n")
+		if len(line) == 0 {
+			if start == 0 {
 				s.raw = s.raw[:0]
 				continue
 			}
 			e.Raw = s.raw
 			return e, nil
 		}
-		if err := e.field(l); err != nil {
+		if err := e.parseField(line); err != nil {
 			return Event{}, err
 		}
 	}
@@ -78,12 +78,12 @@
 	return s.reader.Buffered() > 0
 }
 
-// line appends the next line with its end to raw.
-func (s *scanner) line() error {
+// readLine appends the next line, including its end, to raw.
+func (s *scanner) readLine() error {
 	for {
 		b, err := s.reader.ReadSlice('\n')
 		s.raw = append(s.raw, b...)
-		if len(s.raw) > maxEvent {
+		if len(s.raw) > maxEventBytes {
 			return ErrTooLong
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
@@ -92,9 +92,9 @@
 	}
 }
 
-// field takes one line of an event: a name, a colon and a value.
-func (e *Event) field(l []byte) error {
-	name, value, ok := bytes.Cut(l, []byte(":"))
+// parseField parses one line of an event: a name, a colon and a value.
+func (e *Event) parseField(line []byte) error {
+	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok {
 		return ErrMalformed
 	}
@@ -105,6 +105,6 @@
 	if err != nil {
 		return ErrMalformed
 	}
-	e.ID, e.Numbered = n, true
+	e.ID, e.HasID = n, true
 	return nil
 }
--- a/internal/serve/events/scanner_test.go
+++ b/internal/serve/events/scanner_test.go
@@ -8,10 +8,9 @@
 	"testing/iotest"
 )
 
-// A server dies in the middle of an event. Half an event passed on would be
-// joined with the same event of another server, and the caller would read text
-// that nobody wrote.
-func TestHalfAnEventIsNone(t *testing.T) {
+// A server crashes in the middle of an event. Half an event that was forwarded would be joined
+// with the same event of another server, and the caller would read text that no server wrote.
+func TestPartialEventIsNotReturned(t *testing.T) {
 	s := NewScanner(iotest.OneByteReader(strings.NewReader("id: 1\ndata: a\n\nid: 2\ndata: b")))
 	e, err := s.Next()
 	if err != nil || e.ID != 1 || string(e.Raw) != "id: 1\ndata: a\n\n" {
@@ -25,7 +24,7 @@
 func TestStreamEndsBetweenEvents(t *testing.T) {
 	s := NewScanner(strings.NewReader("weights: 3\nid: 7\ndata: a\r\n\r\n"))
 	e, err := s.Next()
-	if err != nil || e.ID != 7 || !e.Numbered {
+	if err != nil || e.ID != 7 || !e.HasID {
 		t.Fatalf("got %+v %v", e, err)
 	}
 	if _, err := s.Next(); !errors.Is(err, io.EOF) {
@@ -47,7 +46,7 @@
 			total += len(e.Raw)
 		}
 		if total > len(text) {
-			t.Errorf("%d bytes came out of %d", total, len(text))
+			t.Errorf("read %d bytes from %d", total, len(text))
 		}
 	})
 }
