--- a/internal/serve/caller/choose.go
+++ b/internal/serve/caller/choose.go
@@ -19,20 +19,21 @@
 )
 
 const (
-	// olderMillis is what an engine costs in milliseconds that doesn't have the
-	// newest weights: a quarter of the time that a first event may take.
-	olderMillis = 250.0
-	// readBy is how long after it was sent to an engine a part can be fetched
-	// from there: the time to read a long one.
-	readBy = 600 * time.Millisecond
-	// longPart is the size in tokens from which on a shared part is worth a wait, and worth telling others of.
-	longPart = 1024
-	// saltSeparator stands between the parts of a salt.
+	// oldVersionMillis is the cost in milliseconds of an engine without the newest weights: a
+	// quarter of the latency target of a first event.
+	oldVersionMillis = 250.0
+	// assumedPrefillTime is how long after it was sent to an engine a part is assumed to be
+	// available from there: the prefill time of a long part.
+	assumedPrefillTime = 600 * time.Millisecond
+	// longPartTokens is the size from which on a shared part is worth waiting for the stores, and
+	// worth reporting to the other entries.
+	longPartTokens = 1024
+	// saltSeparator separates the components of a salt.
 	saltSeparator = "/"
 )
 
-// random returns a source for one decision.
-func random() *rand.Rand {
+// newRandom returns a random source for one decision.
+func newRandom() *rand.Rand {
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
 
@@ -47,21 +48,21 @@
 	}
 }
 
-// candidates returns the servers of the service that were not tried yet and whose
-// limits leave room, with what all entries have there.
+// candidates returns the servers of the service that were not tried yet and whose limits allow
+// a request, with the load of all entries.
 func (j *job) candidates(now time.Time) []choose.Candidate {
 	all := make([]choose.Candidate, 0, len(j.Site.Servers(j.service.Name)))
 	for s := range j.untried() {
 		if j.Limits.Wait(s.ID, now) > 0 {
 			continue
 		}
-		t := j.Tracker.Stats(s.ID)
-		o := j.PeerLoads.Load(s.ID, now)
-		t.InFlight += o.InFlight
-		t.PrefillTokens += o.PrefillTokens
-		t.ReservedTokens += o.ReservedTokens
-		t.RefusedBy = o.RefusedEntries
-		all = append(all, choose.Candidate{Server: s, Stats: t})
+		stats := j.Tracker.Stats(s.ID)
+		peers := j.PeerLoads.Load(s.ID, now)
+		stats.InFlight += peers.InFlight
+		stats.PrefillTokens += peers.PrefillTokens
+		stats.ReservedTokens += peers.ReservedTokens
+		stats.RefusedBy = peers.RefusedEntries
+		all = append(all, choose.Candidate{Server: s, Stats: stats})
 	}
 	return all
 }
@@ -69,7 +70,7 @@
 func (j *job) choosePlain(ctx context.Context) (choice, bool) {
 	now := time.Now()
 	all := j.candidates(now)
-	at, cost := choose.PlainPicker{Now: now, Zone: j.Zone, Random: random()}.Pick(all)
+	at, cost := choose.PlainPicker{Now: now, Zone: j.Zone, Random: newRandom()}.Pick(all)
 	if at < 0 {
 		return j.awaitLimit(ctx)
 	}
@@ -79,21 +80,22 @@
 		dispatch: j.dispatch(now),
 		fields: log.Fields{
 			"kind": "plain", "cost": cost, "candidates": len(all), "in-flight": c.Stats.InFlight, "failures": c.Stats.Failures,
-			"load-age-ms": age(c.Stats, now),
+			"load-age-ms": reportAgeMillis(c.Stats, now),
 		},
 	}, true
 }
 
-func age(t observe.ServerStats, now time.Time) int64 {
+func reportAgeMillis(t observe.ServerStats, now time.Time) int64 {
 	if t.Reported.IsZero() {
 		return -1
 	}
 	return now.Sub(t.Reported).Milliseconds()
 }
 
-// engineComes returns whether an engine that was not tried yet takes requests
-// again in a moment: it carries out an order, or is about to get one, or its limit leaves no room now.
-func (j *job) engineComes() bool {
+// engineExpected returns whether an engine that was not tried yet is expected to accept
+// requests again soon: it carries out an order, needs newer weights, or its limit allows no
+// request now.
+func (j *job) engineExpected() bool {
 	now := time.Now()
 	for s := range j.untried() {
 		if j.Site.Busy(s.ID) || j.outdated(j.Site.Version(s, j.request.Prompt.Model)) || j.Limits.Wait(s.ID, now) > 0 {
@@ -103,16 +105,16 @@
 	return false
 }
 
-// outdated returns whether no request may begin on weights of that version any
-// more. Operators are promised a time from which on all answers are made on the
-// weights that they named; an engine that gets them late must not break it.
+// outdated returns whether no request may start on weights of that version any more. Operators
+// are guaranteed a time from which on all responses use the weights that they named, so an
+// engine that loads them late must not serve.
 func (j *job) outdated(version int64) bool {
 	model := j.request.Prompt.Model
 	return version < j.Site.TargetVersion(model) && j.Site.VersionExpired(model)
 }
 
-// chooseEngine weighs the engines of each version by themselves: parts that
-// were read under one version are of no use under another.
+// chooseEngine compares the engines of each version separately, because parts that were
+// prefilled under one version cannot be used under another.
 func (j *job) chooseEngine(e document.Engine) (choice, bool) {
 	now := time.Now()
 	prompt := j.request.Prompt
@@ -131,9 +133,9 @@
 	var found choice
 	best, fits := -1.0, false
 	for v, all := range groups {
-		p := j.engine(e, v, now).Pick(all)
+		p := j.enginePicker(e, v, now).Pick(all)
 		if v < newest {
-			p.CostMillis += olderMillis
+			p.CostMillis += oldVersionMillis
 		}
 		if p.Index < 0 || fits && !p.Fits || fits == p.Fits && best >= 0 && p.CostMillis >= best {
 			continue
@@ -147,22 +149,23 @@
 	return found, best >= 0
 }
 
-func (j *job) engine(e document.Engine, version int64, now time.Time) choose.EnginePicker {
+func (j *job) enginePicker(e document.Engine, version int64, now time.Time) choose.EnginePicker {
 	salt := j.salt(version)
 	return choose.EnginePicker{
-		Now: now, Zone: j.Zone, Parts: j.parts(salt, e, now), Output: j.request.Prompt.Output, Capacity: e.CapacityTokens, Random: random(),
-		TokensPerEvent: e.TokensPerEvent, EventGap: j.route.EventGapTarget, Entries: j.Site.Entries(), PastTarget: now.After(j.ask().Rank.TargetTime),
+		Now: now, Zone: j.Zone, Parts: j.parts(salt, e, now), Output: j.request.Prompt.Output, Capacity: e.CapacityTokens, Random: newRandom(),
+		TokensPerEvent: e.TokensPerEvent, EventGap: j.route.EventGapTarget, Entries: j.Site.Entries(), PastTarget: now.After(j.queueItem().Rank.TargetTime),
 		Holds: func(server string, p choose.Part) bool { return j.Residency.Holds(server, p.Salt, p.ID, p.Tokens, now) },
 	}
 }
 
-// salt keeps apart what must not be shared: other weights, and workspaces that are isolated.
+// salt returns the salt, which separates what must not be shared: other weights, and isolated
+// workspaces.
 //
-// An engine finds a part only under the salt that it was read with, so that
-// crossing is impossible however the choice of an engine goes wrong.
+// An engine finds a part only under the salt of its prefill, so a wrong choice of engine
+// cannot mix them up.
 func (j *job) salt(version int64) string {
 	if version == 0 {
-		// Nobody knows under which weights the parts would be read.
+		// It is unknown which weights the parts would be prefilled with.
 		return "alone" + saltSeparator + j.request.Attempt
 	}
 	s := j.request.Prompt.Model + saltSeparator + strconv.FormatInt(version, 10)
@@ -184,8 +187,8 @@
 	return all
 }
 
-// copies returns where a part lies: in stores and in the memory of engines, of
-// those that say so themselves before those that have probably read it by now.
+// copies returns where a part is available: in stores and in the memory of engines. Engines
+// that report the part come before those that have probably prefilled it by now.
 func (j *job) copies(salt string, p request.Part, e document.Engine, now time.Time) []choose.Copy {
 	all := j.Site.Copies(salt, p.ID, p.Tokens)
 	for i := range all {
@@ -197,8 +200,8 @@
 	stored := len(all) > 0
 	for _, h := range j.Residency.Holders(salt, p.ID, p.Tokens, now) {
 		s, ok := j.Site.Server(h.Server)
-		guessed := !h.Since.IsZero()
-		if !ok || s.Silent || guessed && (stored || now.Sub(h.Since) < readBy) {
+		assumed := !h.Since.IsZero()
+		if !ok || s.Silent || assumed && (stored || now.Sub(h.Since) < assumedPrefillTime) {
 			continue
 		}
 		all = append(all, choose.Copy{
@@ -215,25 +218,26 @@
 	d := j.dispatch(now)
 	d.Urgency, d.Version, d.Salt = j.urgency(), version, salt
 	d.Fetch = p.Fetch
-	held := prompt.Tokens + prompt.Output
+	reserved := prompt.Tokens + prompt.Output
 	return choice{
 		server:   c.Server,
 		dispatch: d,
-		attempt:  observe.Attempt{PrefillTokens: p.PrefillTokens, ReservedTokens: held, FetchTokens: fetching(p, prompt.Parts)},
+		attempt:  observe.Attempt{PrefillTokens: p.PrefillTokens, ReservedTokens: reserved, FetchTokens: fetchTokens(p, prompt.Parts)},
 		prepare:  func(d *request.Dispatch) { j.prepare(d, version) },
-		noted:    func() { j.noteParts(c.Server, salt, e, p.Sources, now) },
+		sent:     func() { j.recordParts(c.Server, salt, e, p.Sources, now) },
 		describe: func(f log.Fields) { j.describeLongest(f, salt, e, now) },
 		fields: log.Fields{
 			"kind": "engine", "cost-ms": p.CostMillis, "missing": p.PrefillTokens, "from": p.Sources, "tokens": prompt.Tokens, "version": version,
-			"in-flight": c.Stats.InFlight, "reading": c.Stats.PrefillTokens, "held": c.Stats.ReservedTokens, "load-age-ms": age(c.Stats, now),
+			"in-flight": c.Stats.InFlight, "reading": c.Stats.PrefillTokens, "held": c.Stats.ReservedTokens, "load-age-ms": reportAgeMillis(c.Stats, now),
 		},
 	}
 }
 
-// describeLongest adds to the log line what was known of the longest shared part, if that is long.
+// describeLongest adds to the log fields what was known of the longest shared part, if that is
+// long.
 func (j *job) describeLongest(f log.Fields, salt string, e document.Engine, now time.Time) {
 	shared := j.request.Prompt.Parts[:max(0, len(j.request.Prompt.Parts)-1)]
-	at, most := -1, longPart-1
+	at, most := -1, longPartTokens-1
 	for i, p := range shared {
 		if p.Tokens > most {
 			at, most = i, p.Tokens
@@ -251,8 +255,8 @@
 	}
 }
 
-// fetching returns how many tokens come from each store.
-func fetching(p choose.Plan, parts []request.Part) map[string]int {
+// fetchTokens returns how many tokens are fetched from each store.
+func fetchTokens(p choose.Plan, parts []request.Part) map[string]int {
 	all := map[string]int{}
 	for i, part := range parts {
 		if p.Fetch[i] != "" && p.Sources[i] != 'm' {
@@ -262,8 +266,8 @@
 	return all
 }
 
-// prepare adds what is settled only when the request goes out: the stores that
-// get its parts, and until when it may fetch.
+// prepare sets what is determined only when the request is sent: the stores that save its
+// parts, and the deadline of its fetches.
 func (j *job) prepare(d *request.Dispatch, version int64) {
 	if d.FetchDeadline = j.Site.FetchUntil(); d.FetchDeadline == 0 {
 		d.Fetch = nil
@@ -280,14 +284,14 @@
 	}
 }
 
-// noteParts remembers what the engine reads and tells the other entries of long
-// shared parts that were nowhere else; a short one costs less to read again than
-// to tell.
-func (j *job) noteParts(s directory.Server, salt string, e document.Engine, from string, now time.Time) {
+// recordParts records the parts that the engine will hold, and reports long shared parts that
+// were available nowhere else to the other entries. The prefill of a short part costs less
+// than its report.
+func (j *job) recordParts(s directory.Server, salt string, e document.Engine, from string, now time.Time) {
 	parts := j.request.Prompt.Parts
 	for i, p := range parts[:max(0, len(parts)-1)] {
 		j.Residency.Note(s.ID, salt, p.ID, p.Tokens, e.CapacityTokens, now)
-		if from[i] == 'r' && p.Tokens >= longPart {
+		if from[i] == 'r' && p.Tokens >= longPartTokens {
 			j.Site.ReportPrefill(salt, p.ID, p.Tokens, s.ID)
 		}
 	}
--- a/internal/serve/caller/config.go
+++ b/internal/serve/caller/config.go
@@ -23,82 +23,92 @@
 
 // Codec translates between headers and types.
 type Codec interface {
-	// Decode returns the caller's request without its body; Header holds what may be passed on.
+	// Decode returns the caller's request without its body; Header holds what may be forwarded.
 	Decode(q *http.Request) (request.Request, error)
-	// Encode adds what the system tells a server.
+	// Encode adds the headers that the system sends to a server.
 	Encode(h http.Header, d request.Dispatch)
-	// Answer returns what a server's headers say.
+	// Answer parses a server's response headers.
 	Answer(h http.Header) request.Answer
 }
 
-// Site is what the entry knows of the site.
+// Site is the entry's view of the site.
 type Site interface {
-	// Table returns the document in force, nil while there is none.
+	// Table returns the document in force, nil if there is none.
 	Table() document.Table
 	// AwaitDocument returns once there is a document, or ctx ends.
 	AwaitDocument(ctx context.Context)
-	// AwaitFreshState returns at once, but in a process that has just stood still once it has heard news, or a moment later.
+	// AwaitFreshState returns at once, except in a process that was suspended and has just
+	// resumed: there it waits for updates, or for a short timeout.
 	AwaitFreshState(ctx context.Context)
-	// AwaitServers returns once a server of the service is known, or ctx ends; at once when the process has run for a while.
+	// AwaitServers returns once a server of the service is known, or ctx ends. It returns at once
+	// if the process has run for a while.
 	AwaitServers(ctx context.Context, service string)
-	// AwaitStores returns once it is known what lies in the stores, or ctx ends; at once when the process has run for a while.
+	// AwaitStores returns once the stores' inventories are known, or ctx ends. It returns at once
+	// if the process has run for a while.
 	AwaitStores(ctx context.Context)
 	// Servers returns the ready servers of a service.
 	Servers(service string) []directory.Server
 	// Server returns the newest incarnation of id while it is ready.
 	Server(id string) (directory.Server, bool)
-	// ReportPrefill tells the other entries that the engine reads a part that was nowhere else.
+	// ReportPrefill reports to the other entries that the engine prefills a part that was
+	// available nowhere else.
 	ReportPrefill(salt, part string, tokens int, server string)
-	// Version returns the version of the model that the server has, zero when it isn't known.
+	// Version returns the version of the model that the server has, zero if unknown.
 	Version(s directory.Server, model string) int64
-	// ObserveVersion tells the version that a server's answer showed.
+	// ObserveVersion records the version stated in a server's response.
 	ObserveVersion(server, model string, version int64)
 	// TargetVersion returns the version that was named for the model, zero for none.
 	TargetVersion(model string) int64
-	// VersionExpired returns whether new weights of the model were named so long ago that no request may be sent to older ones.
+	// VersionExpired returns whether new weights of the model were named so long ago that no
+	// request may be sent to older ones.
 	VersionExpired(model string) bool
-	// Busy returns whether the server carries out an order that keeps it from taking requests for the model.
+	// Busy returns whether the server carries out an order that prevents it from serving the
+	// model.
 	Busy(server string) bool
-	// Copies returns the stores that have the part of that size whole.
+	// Copies returns the stores that hold the complete part of that size.
 	Copies(salt, part string, tokens int) []choose.Copy
-	// SaveTarget returns the store that shall have the part, empty for none.
+	// SaveTarget returns the store that should save the part, empty for none.
 	SaveTarget(salt, part string, tokens int) string
-	// StoreStateAge returns how old the word is by which Copies goes, negative when there is none.
+	// StoreStateAge returns the age of the store inventories that Copies uses, negative if there
+	// are none.
 	StoreStateAge() time.Duration
-	// FetchUntil returns the servers' clock time until which a fetch that begins now may last, zero when it can't be told.
+	// FetchUntil returns the deadline, on the servers' clock, of a fetch that starts now, zero if
+	// it cannot be determined.
 	FetchUntil() int64
 	// Entries returns how many entries share the servers.
 	Entries() int
 }
 
-// Config is what a Gateway needs.
+// Config is the configuration of the handler.
 type Config struct {
 	// Zone is the entry's availability zone.
 	Zone string
 	// Codec translates headers.
 	Codec Codec
-	// Site is what the entry knows.
+	// Site is the entry's view of the site.
 	Site Site
 	// Client sends requests to servers.
 	Client backend.Client
-	// Tracker follows attempts.
+	// Tracker tracks attempts.
 	Tracker observe.Tracker
-	// Residency guesses what engines hold.
+	// Residency estimates which parts engines hold.
 	Residency parts.Residency
-	// PeerLoads is what the other entries have at each engine.
+	// PeerLoads is the load of the other entries at each engine.
 	PeerLoads share.PeerLoads
-	// Queue holds the requests that wait for room.
+	// Queue holds the requests that wait for capacity.
 	Queue waitqueue.Queue
-	// Budget grants repeats.
+	// Budget grants retries.
 	Budget retry.Budget
-	// Limits are those that servers name.
+	// Limits are the limits that servers announce.
 	Limits limit.Limits
-	// Stopping returns whether the process is about to end, so that connections are to be closed after their answer.
+	// Stopping returns whether the process is about to end, so that connections are closed after
+	// their response.
 	Stopping func() bool
-	// Refusing returns whether the process is so near its end that a new request can't be served.
+	// Refusing returns whether the process is so close to its end that a new request cannot be
+	// served.
 	Refusing func() bool
-	// Metrics takes the counters.
+	// Metrics receives the counters.
 	Metrics *metrics.Set
-	// Logger takes the events.
+	// Logger receives the log events.
 	Logger log.Interface
 }
--- a/internal/serve/caller/doc.go
+++ b/internal/serve/caller/doc.go
@@ -1,3 +1,3 @@
-// Package caller answers callers: it finds the route, admits the request,
-// sends it to backend servers and passes the answer back whole.
+// Package caller handles callers' requests: it finds the route, admits the request, sends it
+// to backend servers and forwards the complete response.
 package caller
--- a/internal/serve/caller/fake_test.go
+++ b/internal/serve/caller/fake_test.go
@@ -28,7 +28,7 @@
 	"hornbeamwood/internal/site/parts"
 )
 
-// fakeCodec has header names of its own.
+// fakeCodec uses its own header names.
 type fakeCodec struct{}
 
 func (fakeCodec) Decode(q *http.Request) (request.Request, error) {
@@ -62,10 +62,12 @@
 type fakeSite struct {
 	table   document.Table
 	servers []directory.Server
-	// mu guards what changes while requests run: engines that carry out orders, servers that are gone.
+	// mu guards what changes while requests run: whether the engines carry out orders, and whether
+	// the servers are gone.
 	mu         sync.Mutex
 	busy, gone bool
-	// version is what the engines have, newest what was named; outdated says that nothing may begin on older weights.
+	// version is the version of the engines' weights, newest the one that was named. outdated is
+	// set if no request may start on older weights.
 	version, newest int64
 	outdated        bool
 }
@@ -123,11 +125,12 @@
 func (s *fakeSite) FetchUntil() int64                         { return 0 }
 func (s *fakeSite) Entries() int                              { return 1 }
 
-// script answers one request on a connection and returns whether the connection goes on.
-type script func(t *standin, c net.Conn, q *http.Request) bool
+// script responds to one request on a connection and returns whether the connection stays
+// open.
+type script func(s *scriptedServer, c net.Conn, q *http.Request) bool
 
-// standin is a scripted server that counts what reaches it.
-type standin struct {
+// scriptedServer is a scripted server that counts the requests that reach it.
+type scriptedServer struct {
 	mu       sync.Mutex
 	arrived  []string
 	last     []string
@@ -135,13 +138,13 @@
 	listener net.Listener
 }
 
-func (s *standin) count() int {
+func (s *scriptedServer) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.arrived)
 }
 
-func (s *standin) serve(c net.Conn) {
+func (s *scriptedServer) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -162,24 +165,25 @@
 	}
 }
 
-// bench is a gateway before scripted servers, with a caller's end.
-type bench struct {
-	servers []*standin
+// fixture is a gateway in front of scripted servers, together with a caller's connection to
+// it.
+type fixture struct {
+	servers []*scriptedServer
 	front   *httptest.Server
 	site    *fakeSite
-	line    waitqueue.Queue
+	queue   waitqueue.Queue
 	config  Config
 }
 
-func newBench(t *testing.T, scripts ...script) *bench {
+func newFixture(t *testing.T, scripts ...script) *fixture {
 	t.Helper()
-	b := &bench{site: &fakeSite{}, line: waitqueue.New()}
+	b := &fixture{site: &fakeSite{}, queue: waitqueue.New()}
 	for i, s := range scripts {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		x := &standin{script: s, listener: l}
+		x := &scriptedServer{script: s, listener: l}
 		t.Cleanup(func() { _ = l.Close() })
 		go func() {
 			for {
@@ -191,7 +195,7 @@
 			}
 		}()
 		b.servers = append(b.servers, x)
-		// The first server is the nearest, so that it is asked first.
+		// The first server is the nearest, so that it is tried first.
 		zone := "z" + strconv.Itoa(i)
 		b.site.servers = append(b.site.servers, directory.Server{ID: fmt.Sprint("s", i), StartedAt: 1, Address: l.Addr().String(), Zone: zone, Slots: 100 / (i + 1)})
 	}
@@ -215,9 +219,9 @@
 	never := func() bool { return false }
 	b.config = Config{
 		Zone: "z0", Codec: fakeCodec{}, Site: b.site, Client: client, Tracker: observe.New(), Residency: parts.NewResidency(),
-		PeerLoads: share.NewPeerLoads("e"), Queue: b.line,
+		PeerLoads: share.NewPeerLoads("e"), Queue: b.queue,
 		Budget:   retry.NewBudget(retry.Terms{Ratio: 1, Window: time.Second, Slack: 100}),
-		Limits:   limit.New(limit.Config{Random: func() float64 { return 0 }, OnCapacity: b.line.LocalCapacityFreed}),
+		Limits:   limit.New(limit.Config{Random: func() float64 { return 0 }, OnCapacity: b.queue.LocalCapacityFreed}),
 		Stopping: never, Refusing: never, Metrics: metrics.NewSet(),
 	}
 	b.front = httptest.NewServer(New(b.config))
@@ -225,15 +229,15 @@
 	return b
 }
 
-type got struct {
+type result struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-// ask sends a request and returns the whole answer.
-func (b *bench) ask(t *testing.T, id, method, path string) got {
+// ask sends a request and returns the complete response.
+func (b *fixture) ask(t *testing.T, id, method, path string) result {
 	t.Helper()
 	q, err := http.NewRequestWithContext(t.Context(), method, b.front.URL+path, nil)
 	if err != nil {
@@ -243,28 +247,28 @@
 	q.Header.Set("A-Id", id)
 	r, err := http.DefaultClient.Do(q)
 	if err != nil {
-		return got{err: err}
+		return result{err: err}
 	}
 	defer r.Body.Close()
 	body, err := io.ReadAll(r.Body)
-	return got{status: r.StatusCode, header: r.Header, body: string(body), err: err}
+	return result{status: r.StatusCode, header: r.Header, body: string(body), err: err}
 }
 
-// answerOK answers with a stamped text.
+// answerOK responds with a stamped text.
 func answerOK(text string) script {
-	return func(_ *standin, c net.Conn, q *http.Request) bool {
+	return func(_ *scriptedServer, c net.Conn, q *http.Request) bool {
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nA-Id: %s\r\nA-Stamp: x\r\nContent-Length: %d\r\n\r\n%s", q.Header.Get("A-Id"), len(text), text)
 		return err == nil
 	}
 }
 
-// answerStatus answers with a status and further header lines.
+// answerStatus responds with a status and further header lines.
 func answerStatus(status int, lines string) script {
-	return func(_ *standin, c net.Conn, q *http.Request) bool {
+	return func(_ *scriptedServer, c net.Conn, q *http.Request) bool {
 		_, err := fmt.Fprintf(c, "HTTP/1.1 %d X\r\nA-Id: %s\r\n%sContent-Length: 2\r\n\r\nno", status, q.Header.Get("A-Id"), lines)
 		return err == nil
 	}
 }
 
 // hangUp reads the request and closes the connection.
-func hangUp(*standin, net.Conn, *http.Request) bool { return false }
+func hangUp(*scriptedServer, net.Conn, *http.Request) bool { return false }
--- a/internal/serve/caller/gateway.go
+++ b/internal/serve/caller/gateway.go
@@ -12,23 +12,23 @@
 	"hornbeamwood/internal/site/document"
 )
 
-// defaultPatience bounds a request whose caller doesn't say how long it waits.
-const defaultPatience = 60 * time.Second
+// defaultCallerTimeout is the timeout of a request whose caller does not state one.
+const defaultCallerTimeout = 60 * time.Second
 
 // documentWait is how long a request waits for the first document: an election and a poll.
 const documentWait = 1200 * time.Millisecond
 
-// writeSlack is how long after its deadline the rest of an answer may take to leave.
-const writeSlack = 3 * time.Second
+// writeGrace is how long after its deadline the rest of a response may take to be written.
+const writeGrace = 3 * time.Second
 
 type gateway struct {
 	Config
-	meters *meters
+	metrics *requestMetrics
 }
 
 // New returns the handler of callers' requests.
 func New(c Config) http.Handler {
-	return &gateway{Config: c, meters: newMeters(c.Metrics)}
+	return &gateway{Config: c, metrics: newRequestMetrics(c.Metrics)}
 }
 
 // ServeHTTP implements http.Handler.
@@ -43,13 +43,15 @@
 	}
 	ctx := q.Context()
 	if !j.route.Repeatable() && j.route.Kind != document.Streaming {
-		// It may run once: stopped half-way, nobody could say whether it did.
+		// The request may run only once. If it were stopped half-way, it would be unknown whether it
+		// ran.
 		ctx = context.WithoutCancel(ctx)
 	}
 	j.serve(ctx, q.Context())
 }
 
-// admit decodes the request and finds its route and workspace; it answers what can't be served.
+// admit decodes the request and finds its route and workspace. It responds to requests that
+// cannot be served.
 func (j *job) admit(q *http.Request) bool {
 	r, err := j.Codec.Decode(q)
 	if err != nil {
@@ -64,7 +66,7 @@
 	if table == nil {
 		return j.reject(http.StatusServiceUnavailable, "no-document", retrySoon)
 	}
-	j.number = table.Document().Revision
+	j.revision = table.Document().Revision
 	if most := table.Document().Limits.HeaderBytes; most > 0 && headerBytes(q) > most {
 		return j.reject(http.StatusRequestHeaderFieldsTooLarge, "headers-too-large", 0)
 	}
@@ -74,19 +76,19 @@
 		return j.reject(http.StatusNotFound, "no-route", 0)
 	}
 	j.route = route
-	if !j.allow(table) {
+	if !j.authorize(table) {
 		return j.reject(http.StatusUnauthorized, "unknown-key", 0)
 	}
-	j.service, _ = table.Service(route.ServiceAt(fraction()))
-	patience := defaultPatience
+	j.service, _ = table.Service(route.ServiceAt(randomFraction()))
+	timeout := defaultCallerTimeout
 	if r.CallerTimeout > 0 {
-		patience = r.CallerTimeout
+		timeout = r.CallerTimeout
 	}
-	j.deadline = j.arrived.Add(min(patience, route.Timeout))
+	j.deadline = j.arrived.Add(min(timeout, route.Timeout))
 	return j.readBody(q, table.Document().Limits)
 }
 
-// headerBytes returns how long the request's head was on the wire.
+// headerBytes returns the size of the request's headers on the wire.
 func headerBytes(q *http.Request) int {
 	const lineEnd, separator = len("\r\n"), len(": ")
 	n := len(q.Method) + len(" ") + len(q.RequestURI) + len(" HTTP/1.1") + lineEnd
@@ -99,11 +101,11 @@
 	return n + lineEnd
 }
 
-// table returns the document in force; a process that has just started waits for it a moment.
+// table returns the document in force; a process that has just started waits for it for a
+// short time.
 //
-// After a loss of power entries are back before the control log has a leader,
-// some tenths of a second. Callers that are refused then come back later than
-// they need, and many only once.
+// After a power loss entries are back some tenths of a second before the control log has a
+// leader. Callers that are refused then retry later than necessary, and many only once.
 func (j *job) table(ctx context.Context) document.Table {
 	if t := j.Site.Table(); t != nil {
 		return t
@@ -118,8 +120,8 @@
 	return j.Site.Table()
 }
 
-// allow finds the workspace that holds the caller's key.
-func (j *job) allow(table document.Table) bool {
+// authorize finds the workspace that has the caller's key.
+func (j *job) authorize(table document.Table) bool {
 	if len(table.Document().Workspaces) == 0 {
 		return true
 	}
@@ -150,7 +152,7 @@
 	if errors.As(err, &large) {
 		return j.reject(http.StatusRequestEntityTooLarge, "body-too-large", 0)
 	}
-	// The caller went away in the middle of its request; there is nobody to answer.
+	// The caller disconnected during its request; there is no one to respond to.
 	j.reason = "caller-broke-off"
 	panic(http.ErrAbortHandler)
 }
@@ -169,7 +171,8 @@
 	return b, err
 }
 
-// urgency returns the rank of the request: the workspace's goes before the route's.
+// urgency returns the priority of the request; the workspace's takes precedence over the
+// route's.
 func (j *job) urgency() int {
 	p := j.route.Priority
 	if j.workspace.Priority != nil {
@@ -178,15 +181,15 @@
 	return max(0, min(p, maxUrgency))
 }
 
-// maxUrgency is the least urgent rank that engines know.
+// maxUrgency is the least urgent priority that engines know.
 const maxUrgency = 9
 
-// dispatch returns what every server is told.
+// dispatch returns what is sent to every server.
 func (j *job) dispatch(now time.Time) request.Dispatch {
 	return request.Dispatch{
 		Remaining: j.deadline.Sub(now),
 		Workspace: j.workspace.Name,
 		Urgency:   -1,
-		LastEvent: j.resumeAt(),
+		LastEvent: j.lastEvent(),
 	}
 }
--- a/internal/serve/caller/gateway_test.go
+++ b/internal/serve/caller/gateway_test.go
@@ -14,11 +14,11 @@
 	"hornbeamwood/internal/site/document"
 )
 
-// A server takes a stamp request and its connection breaks before the answer.
-// Nobody can say whether the stamp was issued. Sent to another server it could
-// be issued twice; refused as not run, its caller would ask again and get two.
-func TestLostAnswerOfOnceOnlyRequest(t *testing.T) {
-	b := newBench(t, hangUp, answerOK("second"))
+// A server accepts a stamp request and its connection breaks before the response. It is
+// unknown whether the stamp was issued. Sent to another server, the request could issue it
+// twice; refused as not run, its caller would send it again and get two.
+func TestLostResponseOfNonIdempotentRequest(t *testing.T) {
+	b := newFixture(t, hangUp, answerOK("second"))
 	g := b.ask(t, "r1", http.MethodPost, "/once/x")
 	if g.status != http.StatusBadGateway || g.header.Get("Retry-After") != "" {
 		t.Errorf("got %+v", g)
@@ -28,44 +28,43 @@
 	}
 }
 
-// The same with a read: its caller gets the other server's answer.
-func TestLostAnswerOfReadIsRepeated(t *testing.T) {
-	b := newBench(t, hangUp, answerOK("second"))
+// The same with an idempotent request: its caller gets the other server's response.
+func TestLostResponseOfIdempotentRequestIsRetried(t *testing.T) {
+	b := newFixture(t, hangUp, answerOK("second"))
 	if g := b.ask(t, "r1", http.MethodGet, "/read/x"); g.status != http.StatusOK || g.body != "second" {
 		t.Errorf("got %+v", g)
 	}
 }
 
-// A server is full and says that it hasn't run the request. Another one may run
-// it, also if it must not run twice; if all refuse, the caller is told that it
-// hasn't run and when to come back.
-func TestRefusedRequestGoesOn(t *testing.T) {
+// A server without capacity guarantees that it has not run the request. Another server may run
+// it, even if it must not run twice. If all servers refuse, the caller must learn that it has
+// not run and when to retry.
+func TestRefusedRequestIsSentElsewhere(t *testing.T) {
 	full := answerStatus(http.StatusServiceUnavailable, "A-Not-Run: 1\r\n")
-	b := newBench(t, full, answerOK("second"))
+	b := newFixture(t, full, answerOK("second"))
 	if g := b.ask(t, "r1", http.MethodPost, "/once/x"); g.status != http.StatusOK || g.body != "second" {
 		t.Errorf("got %+v", g)
 	}
-	b = newBench(t, full, full)
+	b = newFixture(t, full, full)
 	if g := b.ask(t, "r2", http.MethodPost, "/once/x"); g.status != http.StatusServiceUnavailable || g.header.Get("Retry-After") == "" {
 		t.Errorf("got %+v", g)
 	}
 }
 
-// A failure that may have run must never be answered with a status that says
-// otherwise, even if the server itself used that status without its word.
-func TestOverloadWithoutTheWordPromisesNothing(t *testing.T) {
-	b := newBench(t, answerStatus(http.StatusServiceUnavailable, "A-Stamp: x\r\n"))
+// A request that may have run must never be answered with a status that guarantees otherwise,
+// even if the server itself used that status without the guarantee.
+func TestServerOverloadWithoutGuaranteeIsNotRefusal(t *testing.T) {
+	b := newFixture(t, answerStatus(http.StatusServiceUnavailable, "A-Stamp: x\r\n"))
 	g := b.ask(t, "r1", http.MethodPost, "/once/x")
 	if g.status == http.StatusServiceUnavailable && g.header.Get("A-Stamp") == "" {
-		t.Errorf("the entry promises what it doesn't know: %+v", g)
+		t.Errorf("the entry guarantees what it does not know: %+v", g)
 	}
 }
 
-// A server answers a request twice. The second answer lies on the kept
-// connection when the next caller's request is sent; that caller would get
-// somebody else's certificate.
-func TestSecondAnswerIsNotGivenToTheNextCaller(t *testing.T) {
-	twice := func(s *standin, c net.Conn, q *http.Request) bool {
+// A server responds twice to a request. The second response is already on the kept connection
+// when the next caller's request is sent; that caller would get another caller's certificate.
+func TestDuplicateResponseIsNotGivenToNextCaller(t *testing.T) {
+	twice := func(s *scriptedServer, c net.Conn, q *http.Request) bool {
 		id := q.Header.Get("A-Id")
 		text := "HTTP/1.1 200 OK\r\nA-Id: %s\r\nA-Stamp: x\r\nContent-Length: %d\r\n\r\n%s"
 		if id == "r1" {
@@ -76,7 +75,7 @@
 		_, err := fmt.Fprintf(c, text, id, len(id), id)
 		return err == nil
 	}
-	b := newBench(t, twice)
+	b := newFixture(t, twice)
 	for _, id := range []string{"r1", "r2", "r3"} {
 		if g := b.ask(t, id, http.MethodGet, "/read/x"); g.body != id {
 			t.Errorf("%s got %+v", id, g)
@@ -84,56 +83,56 @@
 	}
 }
 
-// An answer to an earlier request, whose time had run out, comes right before
-// this one's.
-func TestLateAnswerIsPassedOver(t *testing.T) {
-	late := func(_ *standin, c net.Conn, q *http.Request) bool {
+// The response to an earlier request that timed out arrives right before the response to this
+// one.
+func TestStaleResponseIsSkipped(t *testing.T) {
+	stale := func(_ *scriptedServer, c net.Conn, q *http.Request) bool {
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nA-Id: old\r\nA-Stamp: x\r\nContent-Length: 3\r\n\r\noldHTTP/1.1 200 OK\r\nA-Id: %s\r\nA-Stamp: x\r\nContent-Length: 3\r\n\r\nnew", q.Header.Get("A-Id"))
 		return err == nil
 	}
-	b := newBench(t, late)
+	b := newFixture(t, stale)
 	if g := b.ask(t, "r1", http.MethodPost, "/once/x"); g.body != "new" {
 		t.Errorf("got %+v", g)
 	}
 }
 
-// A server breaks off in the middle of its answer. What it sent is no answer:
-// a caller that took it for one would file half a certificate.
-func TestShortAnswerIsNone(t *testing.T) {
-	short := func(_ *standin, c net.Conn, q *http.Request) bool {
+// A server breaks off in the middle of its response. A caller that took the part for the whole
+// would file half a certificate.
+func TestTruncatedResponseIsNotForwarded(t *testing.T) {
+	short := func(_ *scriptedServer, c net.Conn, q *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nA-Id: %s\r\nA-Stamp: x\r\nContent-Length: 10\r\n\r\nhalf", q.Header.Get("A-Id"))
 		return false
 	}
-	b := newBench(t, short, answerOK("whole"))
+	b := newFixture(t, short, answerOK("whole"))
 	if g := b.ask(t, "r1", http.MethodGet, "/read/x"); g.body != "whole" {
 		t.Errorf("got %+v", g)
 	}
-	b = newBench(t, short)
+	b = newFixture(t, short)
 	if g := b.ask(t, "r2", http.MethodPost, "/once/x"); g.status != http.StatusBadGateway {
 		t.Errorf("got %+v", g)
 	}
 }
 
-// A success without the server's mark comes from something else at its address.
-func TestSuccessWithoutMarkIsNone(t *testing.T) {
-	b := newBench(t, answerStatus(http.StatusOK, ""))
+// A success without the server's stamp comes from something else at its address.
+func TestSuccessWithoutStampIsNotForwarded(t *testing.T) {
+	b := newFixture(t, answerStatus(http.StatusOK, ""))
 	if g := b.ask(t, "r1", http.MethodPost, "/once/x"); g.status != http.StatusBadGateway {
 		t.Errorf("got %+v", g)
 	}
 }
 
-// A server's own failure is passed on as it is, with its mark.
-func TestFailureIsPassedOnUnchanged(t *testing.T) {
-	b := newBench(t, answerStatus(http.StatusInternalServerError, "A-Stamp: y\r\n"))
+// A server's own failure is forwarded unchanged, with its stamp.
+func TestFailureIsForwardedUnchanged(t *testing.T) {
+	b := newFixture(t, answerStatus(http.StatusInternalServerError, "A-Stamp: y\r\n"))
 	if g := b.ask(t, "r1", http.MethodPost, "/once/x"); g.status != http.StatusInternalServerError || g.header.Get("A-Stamp") != "y" || g.body != "no" {
 		t.Errorf("got %+v", g)
 	}
 }
 
-// streamOf sends events from the one after the caller's last up to end and then
-// either ends the stream or breaks off within the next event.
+// streamOf sends events from the one after the caller's last event up to end, and then either
+// ends the stream or breaks off within the next event.
 func streamOf(name string, end int, whole bool) script {
-	return func(_ *standin, c net.Conn, q *http.Request) bool {
+	return func(_ *scriptedServer, c net.Conn, q *http.Request) bool {
 		last := 0
 		_, _ = fmt.Sscan(q.Header.Get("A-Last"), &last)
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nA-Id: %s\r\nA-Stamp: %s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", q.Header.Get("A-Id"), name)
@@ -150,11 +149,11 @@
 	}
 }
 
-// An engine crashes in the middle of an event. The stream goes on at another
-// one after the last whole event; the caller sees one stream with no event
-// missing or doubled, under the first engine's headers.
-func TestStreamGoesOnElsewhere(t *testing.T) {
-	b := newBench(t, streamOf("a", 2, false), streamOf("b", 4, true))
+// An engine crashes in the middle of an event. The stream must resume at another engine after
+// the last whole event; the caller gets one stream with no event missing or duplicated, under
+// the first engine's headers.
+func TestStreamResumesElsewhere(t *testing.T) {
+	b := newFixture(t, streamOf("a", 2, false), streamOf("b", 4, true))
 	g := b.ask(t, "r1", http.MethodPost, "/resume/x")
 	want := "id: 1\ndata: a\n\nid: 2\ndata: a\n\nid: 3\ndata: b\n\nid: 4\ndata: b\n\n"
 	if g.err != nil || g.body != want || g.header.Get("A-Stamp") != "a" {
@@ -162,40 +161,40 @@
 	}
 }
 
-// The same where the stream may not go on: it must not look complete, and no
+// The same on a route whose streams may not resume: the stream must not look complete, and no
 // second engine may run the request.
-func TestStreamThatMayNotGoOnIsCut(t *testing.T) {
-	b := newBench(t, streamOf("a", 2, false), streamOf("b", 4, true))
+func TestNonResumableStreamIsAborted(t *testing.T) {
+	b := newFixture(t, streamOf("a", 2, false), streamOf("b", 4, true))
 	g := b.ask(t, "r1", http.MethodPost, "/stream/x")
 	if g.err == nil || strings.Contains(g.body, "data: b") || b.servers[1].count() != 0 {
 		t.Errorf("got %+v", g)
 	}
 }
 
-// The engine that a stream goes on at begins with a later event than it should.
-// Joined, the answer would lack a piece of text without anybody noticing.
-func TestStreamWithAGapIsCut(t *testing.T) {
-	gap := func(_ *standin, c net.Conn, q *http.Request) bool {
+// The engine at which a stream resumes starts with a later event than it should. The joined
+// response would lack a piece of text unnoticed.
+func TestStreamWithMissingEventIsAborted(t *testing.T) {
+	gap := func(_ *scriptedServer, c net.Conn, q *http.Request) bool {
 		e := "id: 5\ndata: b\n\n"
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nA-Id: %s\r\nA-Stamp: b\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", q.Header.Get("A-Id"), len(e), e)
 		return true
 	}
-	b := newBench(t, streamOf("a", 2, false), gap)
+	b := newFixture(t, streamOf("a", 2, false), gap)
 	if g := b.ask(t, "r1", http.MethodPost, "/resume/x"); g.err == nil || strings.Contains(g.body, "id: 5") {
 		t.Errorf("got %+v", g)
 	}
 }
 
-// A caller leaves while an engine writes for it. The engine is told at once, by
-// the end of its connection, and works for others.
-func TestEngineIsToldThatTheCallerLeft(t *testing.T) {
+// A caller disconnects while an engine generates its response. The engine must notice at once,
+// by the end of its connection, so that it can work for others.
+func TestEngineConnectionClosesWhenCallerLeaves(t *testing.T) {
 	gone := make(chan error, 1)
-	hang := func(_ *standin, c net.Conn, q *http.Request) bool {
+	hang := func(_ *scriptedServer, c net.Conn, q *http.Request) bool {
 		_, err := c.Read(make([]byte, 1))
 		gone <- err
 		return false
 	}
-	b := newBench(t, hang)
+	b := newFixture(t, hang)
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, b.front.URL+"/stream/x", nil)
@@ -210,18 +209,18 @@
 	select {
 	case <-gone:
 	case <-time.After(2 * time.Second):
-		t.Error("the engine still works for a caller that has left")
+		t.Error("the engine still works for a caller that has disconnected")
 	}
 }
 
-// A path is the caller's own; cleaned or redirected it would be another request.
-func TestTargetGoesOnByteForByte(t *testing.T) {
+// A path must reach the server unchanged; cleaned or redirected it would be another request.
+func TestTargetIsForwardedByteForByte(t *testing.T) {
 	seen := make(chan string, 1)
-	echo := func(s *standin, c net.Conn, q *http.Request) bool {
+	echo := func(s *scriptedServer, c net.Conn, q *http.Request) bool {
 		seen <- q.RequestURI
 		return answerOK("x")(s, c, q)
 	}
-	b := newBench(t, echo)
+	b := newFixture(t, echo)
 	c, err := net.Dial("tcp", b.front.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -241,15 +240,15 @@
 	}
 }
 
-// A read comes back shortly before its caller's time is up. Its server needs
-// most of what is left; given up half-way, the answer would be made anew by a
-// server that can't finish it any more.
-func TestLastMomentsBelongToOneServer(t *testing.T) {
-	slow := func(s *standin, c net.Conn, q *http.Request) bool {
+// An idempotent request is sent shortly before its caller times out. Its server needs most of
+// the remaining time; if the attempt were cut off half-way, another server would start anew
+// and could not finish any more.
+func TestShortRemainingTimeGoesToOneServer(t *testing.T) {
+	slow := func(s *scriptedServer, c net.Conn, q *http.Request) bool {
 		time.Sleep(250 * time.Millisecond)
 		return answerOK("slow")(s, c, q)
 	}
-	b := newBench(t, slow, slow)
+	b := newFixture(t, slow, slow)
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, b.front.URL+"/read/x", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -267,15 +266,15 @@
 	}
 }
 
-// A server takes longer than usual while the budget for repeats is used up. If the
-// attempt were given up for a second one that isn't allowed, the caller would get a
-// failure although its answer was about to come.
-func TestSlowAnswerIsAwaitedWithoutABudget(t *testing.T) {
-	slow := func(s *standin, c net.Conn, q *http.Request) bool {
+// A server takes longer than usual while the retry budget is used up. If the attempt were cut
+// off in favor of a second one that is not allowed, the caller would get a failure although
+// its response was about to arrive.
+func TestSlowResponseIsAwaitedWithoutBudget(t *testing.T) {
+	slow := func(s *scriptedServer, c net.Conn, q *http.Request) bool {
 		time.Sleep(500 * time.Millisecond)
 		return answerOK("slow")(s, c, q)
 	}
-	b := newBench(t, slow, slow)
+	b := newFixture(t, slow, slow)
 	c := b.config
 	c.Budget = retry.NewBudget(retry.Terms{Window: time.Hour})
 	for c.Budget.Spend("s", time.Now()) {
@@ -286,11 +285,11 @@
 	}
 }
 
-// An operator bounds the headers of requests, so that no caller fills the
-// memory of a small entry with them. One byte more than that is refused, and the
-// request within the bound is served.
+// An operator limits the header size of requests, so that no caller can fill the memory of a
+// small entry with headers. A request at the limit must be served, one with a single byte more
+// refused.
 func TestDocumentBoundsHeaders(t *testing.T) {
-	b := newBench(t, answerOK("x"))
+	b := newFixture(t, answerOK("x"))
 	d := b.site.table.Document()
 	const most = 600
 	d.Limits.HeaderBytes = most
@@ -312,8 +311,8 @@
 	}
 }
 
-// send sends a request as it stands and returns the status of its answer.
-func (b *bench) send(t *testing.T, text string) int {
+// send sends a request byte for byte and returns the status of its response.
+func (b *fixture) send(t *testing.T, text string) int {
 	t.Helper()
 	c, err := net.Dial("tcp", b.front.Listener.Addr().String())
 	if err != nil {
@@ -331,8 +330,9 @@
 	return r.StatusCode
 }
 
-// prompt asks with a prompt and tells the status, and 0 for a connection that is closed without an answer.
-func (b *bench) prompt(t *testing.T) <-chan int {
+// prompt sends a prompt and returns a channel of the status, 0 for a connection that is closed
+// without a response.
+func (b *fixture) prompt(t *testing.T) <-chan int {
 	t.Helper()
 	status := make(chan int, 1)
 	go func() {
@@ -355,68 +355,68 @@
 	return status
 }
 
-// waitInLine waits until a request stands in line.
-func (b *bench) waitInLine(t *testing.T) {
+// awaitQueued waits until a request is queued.
+func (b *fixture) awaitQueued(t *testing.T) {
 	t.Helper()
-	for end := time.Now().Add(5 * time.Second); b.line.Len() == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); b.queue.Len() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no request waits")
+			t.Fatal("no request is queued")
 		}
 	}
 }
 
-// All engines of a small site load new weights at the same moment. Prompts wait
-// for the first that is done; refused, their callers would come back to the same.
-func TestPromptWaitsForAnEngineThatLoads(t *testing.T) {
-	b := newBench(t, streamOf("a", 2, true))
+// All engines of a small site load new weights at the same moment. Prompts must wait for the
+// first that is ready; refused, their callers would retry at the same engines.
+func TestPromptWaitsForLoadingEngine(t *testing.T) {
+	b := newFixture(t, streamOf("a", 2, true))
 	b.site.set(true, false)
 	status := b.prompt(t)
-	b.waitInLine(t)
+	b.awaitQueued(t)
 	b.site.set(false, false)
-	b.line.LocalCapacityFreed()
+	b.queue.LocalCapacityFreed()
 	if got := <-status; got != http.StatusOK {
 		t.Errorf("got %d", got)
 	}
 }
 
-// Prompts wait for room and the last engine leaves. Each caller must hear at once
-// that its prompt has not run; here the handler had panicked, and all of those
-// callers found their connections closed without a word.
+// Prompts wait for capacity and the last engine leaves. Each caller must get a response at
+// once that its prompt has not run. Previously the handler panicked, and all of those callers
+// found their connections closed without a response.
 func TestPromptIsRefusedWhenTheLastEngineLeaves(t *testing.T) {
-	b := newBench(t, answerOK("x"))
+	b := newFixture(t, answerOK("x"))
 	b.site.set(true, false)
 	status := b.prompt(t)
-	b.waitInLine(t)
+	b.awaitQueued(t)
 	b.site.set(true, true)
-	b.line.LocalCapacityFreed()
+	b.queue.LocalCapacityFreed()
 	if got := <-status; got != http.StatusServiceUnavailable {
 		t.Errorf("got %d", got)
 	}
 }
 
-// panicking is a site with a defect.
-type panicking struct{ *fakeSite }
+// panickingSite is a site whose methods panic.
+type panickingSite struct{ *fakeSite }
 
-func (panicking) AwaitFreshState(context.Context) { panic("a defect") }
+func (panickingSite) AwaitFreshState(context.Context) { panic("a defect") }
 
-// A defect ends the handling of a request. The caller must not be left with a
-// closed connection and no word; what it gets promises nothing, since nobody
-// knows how far the request has come.
-func TestDefectIsAnswered(t *testing.T) {
-	b := newBench(t, answerOK("x"))
+// A defect makes the handling of a request panic. The caller must get a response instead of a
+// closed connection; the response guarantees nothing, since it is unknown how far the request
+// has come.
+func TestPanicIsAnswered(t *testing.T) {
+	b := newFixture(t, answerOK("x"))
 	c := b.config
-	c.Site = panicking{b.site}
+	c.Site = panickingSite{b.site}
 	b.front.Config.Handler = New(c)
 	if got := b.ask(t, "r", http.MethodGet, "/read/a"); got.err != nil || got.status != http.StatusBadGateway {
 		t.Errorf("got %+v", got)
 	}
 }
 
-// New weights were named and the last engine gets them late. A prompt that began
-// on its old weights after the promised time would be an answer that the operator
-// had forbidden; it must wait for an engine with the new ones.
+// New weights were named and the last engine loads them late. A prompt that started on its old
+// weights after the guaranteed time would violate the operator's setting; it must wait for an
+// engine with the new ones.
 func TestPromptWaitsForNamedWeights(t *testing.T) {
-	b := newBench(t, streamOf("a", 2, true))
+	b := newFixture(t, streamOf("a", 2, true))
 	set := func(version int64, outdated bool) {
 		b.site.mu.Lock()
 		defer b.site.mu.Unlock()
@@ -424,12 +424,12 @@
 	}
 	set(1, true)
 	status := b.prompt(t)
-	b.waitInLine(t)
+	b.awaitQueued(t)
 	if n := b.servers[0].count(); n != 0 {
 		t.Fatalf("%d requests went to old weights", n)
 	}
 	set(2, true)
-	b.line.LocalCapacityFreed()
+	b.queue.LocalCapacityFreed()
 	if got := <-status; got != http.StatusOK {
 		t.Errorf("got %d", got)
 	}
--- a/internal/serve/caller/job.go
+++ b/internal/serve/caller/job.go
@@ -22,19 +22,22 @@
 )
 
 const (
-	// retrySoon is when a caller may come back after a refusal that passes in a moment, as a start or a full pool of connections.
+	// retrySoon is the retry time after a refusal for a short-lived reason, such as a start or a
+	// full connection pool.
 	retrySoon = 250 * time.Millisecond
-	// maxTries bounds the servers that a request is offered to, those that refused it included.
+	// maxTries bounds the servers that a request is sent to, including those that refused it.
 	maxTries = 4
-	// leastLeft is how much time must be left for another try to make sense: a way there and back between availability zones.
-	leastLeft = 15 * time.Millisecond
-	// connectionShare is the part of a server's connections that all entries together use; the rest is for entries that are not counted yet.
+	// minRemaining is the least remaining time for which another attempt is worthwhile: a round
+	// trip between availability zones.
+	minRemaining = 15 * time.Millisecond
+	// connectionShare is the share of a server's connections that all entries together use; the
+	// rest is for entries that are not counted yet.
 	connectionShare = 0.85
-	// leastConnections is what an entry may have to a server in any case.
-	leastConnections = 4
+	// minConnections is the minimum number of connections of an entry to a server.
+	minConnections = 4
 )
 
-// job is one request on its way.
+// job is the state of one request.
 type job struct {
 	*gateway
 	writer   http.ResponseWriter
@@ -45,45 +48,47 @@
 	route     document.Route
 	workspace document.Workspace
 	service   document.Service
-	number    int64
+	revision  int64
 
 	tried []string
-	// runs counts the servers that may have run the request, repeats the sends beyond the first.
+	// runs counts the servers that may have run the request, sends the attempts that reached a
+	// server.
 	runs, sends int
-	// verdict is what is known of the request as a whole.
+	// verdict is what is known about whether the request ran.
 	verdict verdict.Verdict
-	// kept is a failure that a server answered, passed on if nothing better comes.
-	kept *answer
-	// events is the state of a stream that is passed on.
-	events relay
+	// serverFailure is a failure response of a server, forwarded if no attempt succeeds.
+	serverFailure *response
+	// streamed is the state of a stream that is forwarded.
+	streamed streamState
 
-	// refusal is why no server was tried, and clear when there will be room; both for callers that are refused.
-	refusal string
-	clear   time.Duration
+	// refusal is the reason why no server was tried, and clearAfter when capacity is expected;
+	// both are for callers that are refused.
+	refusal    string
+	clearAfter time.Duration
 
 	status int
 	reason string
 }
 
-func fraction() float64 {
+func randomFraction() float64 {
 	return rand.Float64()
 }
 
-// serve tries servers until the caller has its final answer. ctx ends what may
-// be stopped when the caller leaves; gone ends when it has left.
-func (j *job) serve(ctx, gone context.Context) {
+// serve tries servers until the caller has its final response. ctx ends what may be stopped
+// when the caller disconnects; callerCtx ends when it has disconnected.
+func (j *job) serve(ctx, callerCtx context.Context) {
 	j.verdict = verdict.NotRun
 	j.Budget.RecordRequest(j.service.Name, j.arrived)
 	// A caller that stops reading would hold the handler and its memory for ever.
-	_ = http.NewResponseController(j.writer).SetWriteDeadline(j.deadline.Add(writeSlack))
+	_ = http.NewResponseController(j.writer).SetWriteDeadline(j.deadline.Add(writeGrace))
 	for {
-		if gone.Err() != nil {
+		if callerCtx.Err() != nil {
 			j.abandon()
 			return
 		}
 		j.Site.AwaitFreshState(ctx)
 		c, ok := j.choose(ctx)
-		if gone.Err() != nil {
+		if callerCtx.Err() != nil {
 			if c.taken {
 				j.Limits.Return(c.server.ID, time.Now())
 			}
@@ -94,7 +99,7 @@
 			j.giveUp(cmp.Or(j.refusal, noServer))
 			return
 		}
-		if !c.taken && !j.spend(c.server.ID) {
+		if !c.taken && !j.takeLimit(c.server.ID) {
 			continue
 		}
 		done, reason := j.try(ctx, c)
@@ -105,29 +110,29 @@
 			j.abandon()
 			return
 		}
-		if !j.again() {
+		if !j.mayRetry() {
 			j.giveUp(reason)
 			return
 		}
 	}
 }
 
-// spend takes the request from the server's limit; another one may have taken the
-// last since the server was chosen.
-func (j *job) spend(server string) bool {
+// takeLimit takes the request from the server's limit. Another request may have taken the last
+// one since the server was chosen.
+func (j *job) takeLimit(server string) bool {
 	_, ok := j.Limits.Take(server, 0, time.Now())
 	return ok
 }
 
-// again returns whether another server may be tried.
+// mayRetry returns whether another server may be tried.
 //
-// What may run once is sent on only after the word that it hasn't run, or when
-// no byte of it left. Each further send that reaches a server is paid from the
-// fleet's budget: repeats of many callers at once would otherwise finish off
-// the servers that are left.
-func (j *job) again() bool {
+// A request that may run only once is sent again only if the server guarantees that it did not
+// run, or if no byte of it was sent. Each further attempt that reaches a server is charged to
+// the fleet's retry budget, because retries of many callers at once would otherwise overload
+// the remaining servers.
+func (j *job) mayRetry() bool {
 	switch {
-	case time.Until(j.deadline) < leastLeft || len(j.tried) >= maxTries:
+	case time.Until(j.deadline) < minRemaining || len(j.tried) >= maxTries:
 		return false
 	case j.runs >= max(1, j.route.MaxAttempts):
 		return false
@@ -139,22 +144,23 @@
 	return j.Budget.Spend(j.service.Name, time.Now())
 }
 
-// choice is a server with what is sent to it.
+// choice is a selected server and what is sent to it.
 type choice struct {
 	server   directory.Server
 	dispatch request.Dispatch
 	attempt  observe.Attempt
 	fields   log.Fields
-	// fits says that the server has room for the request, free how many tokens are free at all that have.
+	// fits is set if the server has capacity for the request. free is the number of free tokens at
+	// all engines with capacity for it.
 	fits bool
 	free int
-	// taken says that the request is spent from the server's limit already.
+	// taken is set if the request is already taken from the server's limit.
 	taken bool
-	// prepare, if any, completes the dispatch right before it is sent.
+	// prepare, if set, completes the dispatch right before it is sent.
 	prepare func(*request.Dispatch)
-	// noted, if any, is called when the request is sent.
-	noted func()
-	// describe, if any, adds to the log line what takes time to find out.
+	// sent, if set, is called when the request is sent.
+	sent func()
+	// describe, if set, adds log fields that take time to determine.
 	describe func(log.Fields)
 }
 
@@ -166,9 +172,9 @@
 	return j.choosePlain(ctx)
 }
 
-// awaitServers lets a request wait for the first server of its service, in a
-// process that has just started: servers announce themselves about once a second,
-// and whoever is refused meanwhile comes back later than that.
+// awaitServers lets a request wait for the first server of its service in a process that has
+// just started. Servers announce themselves about once a second, and a refused caller would
+// retry later than that.
 func (j *job) awaitServers(ctx context.Context) {
 	if len(j.Site.Servers(j.service.Name)) > 0 {
 		return
@@ -178,14 +184,15 @@
 	j.Site.AwaitServers(ctx, j.service.Name)
 }
 
-// try sends the request to a server and passes its answer on; it returns false when another server may be tried.
+// try sends the request to a server and forwards its response. It returns false if another
+// server may be tried.
 func (j *job) try(ctx context.Context, c choice) (bool, string) {
 	now := time.Now()
 	j.tried = append(j.tried, c.server.ID)
 	c.dispatch.Server = c.server.ID
 	c.dispatch.Remaining = j.deadline.Sub(now)
 	c.fields["request"], c.fields["server"], c.fields["try"] = j.request.Attempt, c.server.ID, len(j.tried)
-	c.fields["document"] = j.number
+	c.fields["document"] = j.revision
 	if c.describe != nil {
 		c.describe(c.fields)
 	}
@@ -195,21 +202,21 @@
 	if c.prepare != nil {
 		c.prepare(&c.dispatch)
 	}
-	if c.noted != nil {
-		c.noted()
+	if c.sent != nil {
+		c.sent()
 	}
-	x, err := j.Client.Send(ctx, j.target(c.server), j.request.Attempt, j.message(c.dispatch), j.patience(now))
+	x, err := j.Client.Send(ctx, j.target(c.server), j.request.Attempt, j.message(c.dispatch), j.attemptDeadline(now))
 	if err != nil {
-		return false, j.failed(a, err)
+		return false, j.recordFailure(a, err)
 	}
 	j.sends++
-	return j.pass(ctx, c, a, x)
+	return j.forwardResponse(ctx, c, a, x)
 }
 
 func (j *job) target(s directory.Server) backend.Target {
 	t := backend.Target{ID: s.ID, Born: s.StartedAt, Address: s.Address}
 	if m := j.service.MaxConnections; m > 0 {
-		t.MaxConnections = max(leastConnections, int(connectionShare*float64(m))/max(1, j.Site.Entries()))
+		t.MaxConnections = max(minConnections, int(connectionShare*float64(m))/max(1, j.Site.Entries()))
 	}
 	return t
 }
@@ -220,8 +227,8 @@
 	return backend.Message{Method: j.request.Method, Target: j.request.Target, Host: j.request.Host, Header: h, Body: j.request.Body}
 }
 
-// failed counts an attempt that brought no answer and returns the reason.
-func (j *job) failed(a *observe.Attempt, err error) string {
+// recordFailure records an attempt without a response and returns the reason.
+func (j *job) recordFailure(a *observe.Attempt, err error) string {
 	reason, v := "failed", verdict.MayHaveRun
 	var e *backend.Error
 	if errors.As(err, &e) {
@@ -241,19 +248,19 @@
 	j.Tracker.End(a, o, time.Now())
 	if v != verdict.NotRun {
 		j.sends++
-		j.mayHaveRun()
+		j.recordRun()
 	}
-	j.note(a.Server, reason, v, err)
+	j.logFailure(a.Server, reason, v, err)
 	return reason
 }
 
-// mayHaveRun notes that a server may have run the request.
-func (j *job) mayHaveRun() {
+// recordRun records that a server may have run the request.
+func (j *job) recordRun() {
 	j.runs++
 	j.verdict = verdict.MayHaveRun
 }
 
-func (j *job) note(server, reason string, v verdict.Verdict, err error) {
+func (j *job) logFailure(server, reason string, v verdict.Verdict, err error) {
 	f := log.Fields{"request": j.request.Attempt, "server": server, "reason": reason, "verdict": v.String(), "ms": time.Since(j.arrived).Milliseconds()}
 	if err != nil {
 		f["error"] = err.Error()
@@ -261,19 +268,20 @@
 	event.AttemptFailed.Write(j.Logger, f)
 }
 
-// intended returns whether a panic ends the connection on purpose, as of a stream that can't be completed.
-func intended(cause any) bool {
+// abortsConnection returns whether a panic closes the connection on purpose, as for a stream
+// that cannot be completed.
+func abortsConnection(cause any) bool {
 	err, ok := cause.(error)
 	return ok && errors.Is(err, http.ErrAbortHandler)
 }
 
-// defect answers a request whose handling panicked, and returns false when its
-// answer has begun already.
+// answerPanic responds to a request whose handling panicked. It returns false if the response
+// has already begun.
 //
-// The standard server would close the connection and print a line without the
-// request's name. The caller gets an answer that promises nothing instead, and
-// the log says where the defect lies.
-func (j *job) defect(cause any) bool {
+// The standard server would close the connection and print a line without the request's ID.
+// Instead the caller gets a response that does not say whether the request ran, and the log
+// shows where the defect is.
+func (j *job) answerPanic(cause any) bool {
 	event.HandlerPanicked.Write(j.Logger, log.Fields{"request": j.request.Attempt, "error": fmt.Sprint(cause), "stack": string(debug.Stack())})
 	if j.status != 0 {
 		return false
@@ -282,17 +290,17 @@
 	return true
 }
 
-// end writes what became of the request.
+// end logs how the request ended.
 func (j *job) end() {
 	cause := recover()
-	cut := cause != nil && (intended(cause) || !j.defect(cause))
+	cut := cause != nil && (abortsConnection(cause) || !j.answerPanic(cause))
 	j.Queue.LocalCapacityFreed()
 	took := time.Since(j.arrived)
-	j.meters.ended(j.route.Kind, j.status, took)
+	j.metrics.observe(j.route.Kind, j.status, took)
 	event.RequestEnded.Write(j.Logger, log.Fields{
 		"request": j.request.Attempt, "route": j.route.Name, "status": j.status, "reason": j.reason, "verdict": j.verdict.String(),
-		"tries": len(j.tried), "runs": j.runs, "ms": took.Milliseconds(), "workspace": j.workspace.Name, "document": j.number,
-		"first-ms": j.events.firstMillis(j.arrived), "events": j.events.last, "longest-pause-ms": j.events.pause.Milliseconds(),
+		"tries": len(j.tried), "runs": j.runs, "ms": took.Milliseconds(), "workspace": j.workspace.Name, "document": j.revision,
+		"first-ms": j.streamed.firstMillis(j.arrived), "events": j.streamed.last, "longest-pause-ms": j.streamed.longestGap.Milliseconds(),
 	})
 	if cut {
 		panic(http.ErrAbortHandler)
--- a/internal/serve/caller/limited_test.go
+++ b/internal/serve/caller/limit_test.go
@@ -9,53 +9,54 @@
 	"time"
 )
 
-// inNeed answers with a limit of so many requests a second.
-func inNeed(perSecond string) script {
+// respondWithLimit announces a limit of that many requests per second.
+func respondWithLimit(perSecond string) script {
 	return answerStatus(http.StatusOK, "A-Stamp: x\r\nA-Limit: "+perSecond+"\r\n")
 }
 
-// streamInNeed streams one event and names a limit of so many requests a second.
-func streamInNeed(perSecond string) script {
-	return func(_ *standin, c net.Conn, q *http.Request) bool {
+// streamWithLimit streams one event and announces a limit of that many requests per second.
+func streamWithLimit(perSecond string) script {
+	return func(_ *scriptedServer, c net.Conn, q *http.Request) bool {
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nA-Id: %s\r\nA-Stamp: x\r\nA-Limit: %s\r\nContent-Type: text/event-stream\r\nContent-Length: 17\r\n\r\nid: 1\ndata: abc\n\n", q.Header.Get("A-Id"), perSecond)
 		return err == nil
 	}
 }
 
-// Guards against more requests for a server in need while others have room.
-func TestOthersServeForAServerInNeed(t *testing.T) {
-	b := newBench(t, inNeed("1"), answerOK("second"))
+// Guards against sending more requests to a server with a limit while others have capacity.
+func TestOtherServersRelieveLimitedServer(t *testing.T) {
+	b := newFixture(t, respondWithLimit("1"), answerOK("second"))
 	for i := range 20 {
 		if g := b.ask(t, strconv.Itoa(i), http.MethodGet, "/read/x"); g.status != http.StatusOK {
 			t.Fatalf("request %d got %+v", i, g)
 		}
 	}
 	if n := b.servers[0].count(); n > 2 {
-		t.Errorf("the server that takes one a second got %d of 20 requests", n)
+		t.Errorf("the server with a limit of one per second got %d of 20 requests", n)
 	}
 }
 
-// Guards against requests that are held, or refused without a time to come back, when all servers name limits.
+// Guards against requests that are held, or refused without a retry time, when all servers
+// announce limits.
 func TestRequestBeyondAllLimitsIsRefusedAtOnce(t *testing.T) {
-	b := newBench(t, inNeed("0.2"))
+	b := newFixture(t, respondWithLimit("0.2"))
 	b.ask(t, "first", http.MethodPost, "/once/x")
 	began := time.Now()
 	g := b.ask(t, "second", http.MethodPost, "/once/x")
 	if took := time.Since(began); g.status != http.StatusServiceUnavailable || took > 500*time.Millisecond {
-		t.Fatalf("answered %d after %s", g.status, took)
+		t.Fatalf("status %d after %s", g.status, took)
 	}
 	after, err := strconv.ParseFloat(g.header.Get("Retry-After"), 64)
 	if err != nil || after < 5 {
-		t.Errorf("the server takes a request in 5 s, the caller is told to come back after %q", g.header.Get("Retry-After"))
+		t.Errorf("the server accepts a request in 5 s, but Retry-After is %q", g.header.Get("Retry-After"))
 	}
 	if n := b.servers[0].count(); n != 1 {
 		t.Errorf("%d requests reached the server", n)
 	}
 }
 
-// Guards against a refusal of what a server takes in a moment.
-func TestRequestWaitsForALimitThatLeavesRoomSoon(t *testing.T) {
-	b := newBench(t, inNeed("20"))
+// Guards against refusing a request that a server accepts shortly afterwards.
+func TestRequestWaitsForLimit(t *testing.T) {
+	b := newFixture(t, respondWithLimit("20"))
 	b.config.Limits.SetEntries(1)
 	for i := range 5 {
 		if g := b.ask(t, strconv.Itoa(i), http.MethodGet, "/read/x"); g.status != http.StatusOK {
@@ -64,28 +65,29 @@
 	}
 }
 
-// Guards against prompts that are refused at once because the last engine names a limit.
-func TestPromptWaitsForAnEngineInNeed(t *testing.T) {
-	b := newBench(t, streamInNeed("10"))
+// Guards against refusing prompts at once when the last engine announces a limit.
+func TestPromptWaitsForLimitedEngine(t *testing.T) {
+	b := newFixture(t, streamWithLimit("10"))
 	b.config.Limits.SetEntries(1)
 	for i := range 3 {
 		if status := <-b.prompt(t); status != http.StatusOK {
-			t.Fatalf("prompt %d is answered %d", i, status)
+			t.Fatalf("prompt %d: status %d", i, status)
 		}
 	}
 }
 
-// Guards against a request that reaches a server which has left while it waited for the server's limit.
-func TestServerThatLeavesGetsNobodyWhoWaited(t *testing.T) {
-	b := newBench(t, inNeed("2"))
+// Guards against a request reaching a server that left while the request waited for the
+// server's limit.
+func TestServerThatLeavesGetsNoWaitingRequest(t *testing.T) {
+	b := newFixture(t, respondWithLimit("2"))
 	b.config.Limits.SetEntries(1)
 	b.ask(t, "first", http.MethodPost, "/once/x")
-	answered := make(chan got, 1)
+	answered := make(chan result, 1)
 	go func() { answered <- b.ask(t, "second", http.MethodPost, "/once/x") }()
 	time.Sleep(100 * time.Millisecond)
 	b.site.set(false, true)
 	if g := <-answered; g.status != http.StatusServiceUnavailable {
-		t.Errorf("answered %d", g.status)
+		t.Errorf("status %d", g.status)
 	}
 	if n := b.servers[0].count(); n != 1 {
 		t.Errorf("%d requests reached the server", n)
--- a/internal/serve/caller/refusal.go
+++ b/internal/serve/caller/refusal.go
@@ -8,17 +8,17 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-// reject ends a request that is not tried at all.
+// reject ends a request for which no server is tried.
 func (j *job) reject(status int, reason string, retryAfter time.Duration) bool {
 	j.refuse(status, reason, retryAfter)
 	return false
 }
 
-// refuse gives the caller a final answer of the entry's own.
+// refuse sends the caller a final response from the entry itself.
 func (j *job) refuse(status int, reason string, retryAfter time.Duration) {
 	j.reason = reason
-	if j.events.started {
-		// The stream can't be completed and must not look complete.
+	if j.streamed.started {
+		// The stream cannot be completed and must not look complete.
 		j.status = status
 		panic(http.ErrAbortHandler)
 	}
@@ -29,21 +29,21 @@
 	}
 	j.status = status
 	j.writer.WriteHeader(status)
-	// The caller may have left; there is nobody else to tell.
+	// The caller may have disconnected; there is no one else to report to.
 	_, _ = j.writer.Write([]byte(reason + "\n"))
 }
 
-// giveUp answers when no server is tried any more.
+// giveUp responds when no further server is tried.
 //
-// Only a request that no server has run, and none ever will, is refused with the
-// status that promises so; of all others nothing is said.
+// Only a request that no server has run or ever will is refused with the status that
+// guarantees this. For all others the response makes no statement.
 func (j *job) giveUp(reason string) {
 	switch {
-	case j.kept != nil && !j.events.started:
+	case j.serverFailure != nil && !j.streamed.started:
 		j.reason = reason
-		j.deliver(j.kept)
+		j.deliver(j.serverFailure)
 	case j.verdict == verdict.NotRun:
-		j.refuse(http.StatusServiceUnavailable, reason, j.comeBack())
+		j.refuse(http.StatusServiceUnavailable, reason, j.retryAfter())
 	case !time.Now().Before(j.deadline):
 		j.refuse(http.StatusGatewayTimeout, reason, 0)
 	default:
@@ -51,15 +51,15 @@
 	}
 }
 
-// comeBack returns when a refused caller should ask again: when those who wait
-// now will have gone, spread over a while, so that those who were refused
-// together don't return together.
-func (j *job) comeBack() time.Duration {
-	soon := retrySoon + time.Duration(fraction()*float64(retrySoon))
-	return max(soon, time.Duration((1+returnSpread*fraction())*float64(j.clear)))
+// retryAfter returns when a refused caller should retry: when the requests that wait now will
+// have been sent, spread over a while so that callers that were refused together do not retry
+// together.
+func (j *job) retryAfter() time.Duration {
+	soon := retrySoon + time.Duration(randomFraction()*float64(retrySoon))
+	return max(soon, time.Duration((1+retrySpread*randomFraction())*float64(j.clearAfter)))
 }
 
-// abandon ends a request whose caller has left.
+// abandon ends a request whose caller has disconnected.
 func (j *job) abandon() {
 	j.reason = "caller-left"
 	panic(http.ErrAbortHandler)
--- /dev/null
+++ b/internal/serve/caller/response.go
@@ -0,0 +1,190 @@
+package caller
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"hornbeamwood/internal/base/verdict"
+	"hornbeamwood/internal/serve/backend"
+	"hornbeamwood/internal/serve/observe"
+	"hornbeamwood/internal/serve/request"
+	"hornbeamwood/internal/site/document"
+)
+
+// maxBufferedBytes is the largest response that is buffered completely before it is forwarded,
+// so that one that breaks off can be retried elsewhere. Responses of plain services are a few
+// kilobytes.
+const maxBufferedBytes = 256 << 10
+
+// response is a server's complete response.
+type response struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+// forwardResponse reads a server's response and forwards it. It returns false if another
+// server may be tried.
+func (j *job) forwardResponse(ctx context.Context, c choice, a *observe.Attempt, x *backend.Exchange) (bool, string) {
+	answer := j.Codec.Answer(x.Response.Header)
+	j.recordServerState(c, answer)
+	j.recordLimit(a, x.Response.StatusCode, answer)
+	if answer.NotRun || x.Response.StatusCode == http.StatusMisdirectedRequest {
+		return false, j.recordRejection(a, x, answer)
+	}
+	j.recordRun()
+	if reason := invalidReason(x.Response, answer); reason != "" {
+		return false, j.recordBroken(a, x, reason, nil)
+	}
+	if j.route.Kind == document.Streaming && x.Response.StatusCode < http.StatusMultipleChoices {
+		return j.forwardStream(ctx, a, x)
+	}
+	return j.bufferResponse(a, x)
+}
+
+// recordServerState records what the response headers state about the server.
+func (j *job) recordServerState(c choice, answer request.Answer) {
+	now := time.Now()
+	if l := answer.Load; l != nil {
+		j.Tracker.Report(c.server.ID, l.Running, l.Waiting, l.Slots, now)
+	}
+	if answer.Version != 0 && j.request.Prompt != nil {
+		j.Site.ObserveVersion(c.server.ID, j.request.Prompt.Model, answer.Version)
+	}
+}
+
+// recordLimit records the limit that a response announces, or that it announces none. A
+// response without the server's stamp may come from another server.
+func (j *job) recordLimit(a *observe.Attempt, status int, answer request.Answer) {
+	if status == http.StatusMisdirectedRequest || !answer.Stamped && !answer.NotRun {
+		return
+	}
+	j.Limits.Observe(a.Server, answer.Limit, a.SentAt, time.Now())
+}
+
+// invalidReason returns why a successful response cannot be forwarded, empty if it can.
+func invalidReason(r *http.Response, answer request.Answer) string {
+	switch {
+	case r.StatusCode >= http.StatusMultipleChoices:
+		return ""
+	case !answer.Stamped:
+		return "no-stamp"
+	case r.Header.Get("Content-Encoding") != "":
+		return "encoded"
+	}
+	return ""
+}
+
+// recordRejection records that the server guarantees not to have run the request.
+func (j *job) recordRejection(a *observe.Attempt, x *backend.Exchange, answer request.Answer) string {
+	drain(x)
+	o := observe.Rejected
+	if x.Response.StatusCode == http.StatusMisdirectedRequest {
+		o = observe.Misdirected
+	}
+	j.Tracker.End(a, o, time.Now())
+	reason := "rejected-" + strconv.Itoa(x.Response.StatusCode)
+	j.logFailure(a.Server, reason, verdict.NotRun, nil)
+	return reason
+}
+
+// drain reads the rest of a short response, so that its connection can be reused.
+func drain(x *backend.Exchange) {
+	const most = 16 << 10
+	if _, err := io.CopyN(io.Discard, x, most); errors.Is(err, io.EOF) {
+		x.Close()
+		return
+	}
+	x.Abort()
+}
+
+// recordBroken records a response that cannot be forwarded.
+func (j *job) recordBroken(a *observe.Attempt, x *backend.Exchange, reason string, err error) string {
+	x.Abort()
+	j.Tracker.End(a, observe.Lost, time.Now())
+	j.logFailure(a.Server, reason, j.verdict, err)
+	return reason
+}
+
+// bufferResponse reads a complete response before the caller gets a byte of it.
+func (j *job) bufferResponse(a *observe.Attempt, x *backend.Exchange) (bool, string) {
+	if x.Response.ContentLength > maxBufferedBytes {
+		return j.forwardLarge(a, x, nil)
+	}
+	var body bytes.Buffer
+	n, err := body.ReadFrom(io.LimitReader(x, maxBufferedBytes+1))
+	switch {
+	case err != nil:
+		return false, j.recordBroken(a, x, "broke-off", err)
+	case n > maxBufferedBytes:
+		return j.forwardLarge(a, x, body.Bytes())
+	}
+	x.Close()
+	got := &response{status: x.Response.StatusCode, header: x.Response.Header, body: body.Bytes()}
+	if got.status >= http.StatusInternalServerError {
+		j.Tracker.End(a, observe.Failed, time.Now())
+		j.serverFailure = got
+		reason := "answered-" + strconv.Itoa(got.status)
+		j.logFailure(a.Server, reason, verdict.Ran, nil)
+		return false, reason
+	}
+	j.Tracker.End(a, observe.Served, time.Now())
+	j.deliver(got)
+	return true, ""
+}
+
+// deliver forwards a complete response.
+func (j *job) deliver(got *response) {
+	copyHeader(j.writer.Header(), got.header)
+	j.writer.Header().Set("Content-Length", strconv.Itoa(len(got.body)))
+	j.status = got.status
+	j.writer.WriteHeader(got.status)
+	// The caller may have disconnected; there is no one else to report to.
+	_, _ = j.writer.Write(got.body)
+}
+
+// forwardLarge forwards a large response while it arrives, after what has been read of it.
+// Once it has begun, no other server can continue it.
+func (j *job) forwardLarge(a *observe.Attempt, x *backend.Exchange, begun []byte) (bool, string) {
+	copyHeader(j.writer.Header(), x.Response.Header)
+	if x.Response.ContentLength >= 0 {
+		j.writer.Header().Set("Content-Length", strconv.FormatInt(x.Response.ContentLength, 10))
+	}
+	j.status = x.Response.StatusCode
+	j.writer.WriteHeader(j.status)
+	_, err := io.Copy(j.writer, io.MultiReader(bytes.NewReader(begun), x))
+	if err != nil {
+		j.reason = j.recordBroken(a, x, "broke-off", err)
+		panic(http.ErrAbortHandler)
+	}
+	x.Close()
+	j.Tracker.End(a, observe.Served, time.Now())
+	return true, ""
+}
+
+// hopByHopHeaders apply to one connection only.
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
+
+// copyHeader copies the headers of the response and keeps the library from adding its own.
+func copyHeader(to, from http.Header) {
+	closing := to.Get("Connection")
+	for name, values := range from {
+		to[name] = values
+	}
+	for _, name := range hopByHopHeaders {
+		delete(to, name)
+	}
+	for _, name := range []string{"Content-Type", "Date"} {
+		if _, ok := to[name]; !ok {
+			to[name] = nil
+		}
+	}
+	if closing != "" {
+		to.Set("Connection", closing)
+	}
+}
--- a/internal/serve/caller/stream.go
+++ b/internal/serve/caller/stream.go
@@ -14,132 +14,132 @@
 )
 
 const (
-	// pauseTimes is how many times the longest timely pause a stream may be
-	// silent before it goes on at another server; engines push a request aside
-	// for others now and then, for less than that.
-	pauseTimes = 4
-	// leastPause bounds that from below.
-	leastPause = 1500 * time.Millisecond
+	// gapFactor times the event gap target is how long a stream may be silent before it resumes at
+	// another server. Engines occasionally preempt a request for others, but for less than that.
+	gapFactor = 4
+	// minResumeGap is the lower bound of that time.
+	minResumeGap = 1500 * time.Millisecond
 )
 
-// relay is the state of a stream that is passed on.
-type relay struct {
+// streamState is the state of a stream that is forwarded.
+type streamState struct {
 	started bool
 	first   time.Time
 	last    int64
-	// latest is when the latest event came, pause the longest time between two.
-	latest time.Time
-	pause  time.Duration
+	// lastAt is when the last event arrived, longestGap the longest time between two events.
+	lastAt     time.Time
+	longestGap time.Duration
 }
 
-// came notes that an event came.
-func (r *relay) came(now time.Time) {
-	if r.first.IsZero() {
-		r.first = now
+// recordEvent records the arrival of an event.
+func (s *streamState) recordEvent(now time.Time) {
+	if s.first.IsZero() {
+		s.first = now
 	} else {
-		r.pause = max(r.pause, now.Sub(r.latest))
+		s.longestGap = max(s.longestGap, now.Sub(s.lastAt))
 	}
-	r.latest = now
+	s.lastAt = now
 }
 
-func (r relay) firstMillis(since time.Time) int64 {
-	if r.first.IsZero() {
+func (s streamState) firstMillis(since time.Time) int64 {
+	if s.first.IsZero() {
 		return -1
 	}
-	return r.first.Sub(since).Milliseconds()
+	return s.first.Sub(since).Milliseconds()
 }
 
-// resumeAt returns the last event that the caller has.
-func (j *job) resumeAt() int64 {
-	return max(j.events.last, j.request.LastEvent)
+// lastEvent returns the last event that the caller has.
+func (j *job) lastEvent() int64 {
+	return max(j.streamed.last, j.request.LastEvent)
 }
 
 var (
-	errOutOfOrder = errors.New("an event is missing or comes twice")
-	errCaller     = errors.New("the caller takes no more")
+	errOutOfOrder = errors.New("event IDs are not consecutive")
+	errCallerGone = errors.New("cannot write to the caller")
 )
 
-// stream passes events on as they come; it returns false when the stream may go on at another server.
-func (j *job) stream(ctx context.Context, a *observe.Attempt, x *backend.Exchange) (bool, string) {
+// forwardStream forwards events as they arrive. It returns false if the stream may resume at
+// another server.
+func (j *job) forwardStream(ctx context.Context, a *observe.Attempt, x *backend.Exchange) (bool, string) {
 	s := events.NewScanner(x)
 	flush := http.NewResponseController(j.writer)
 	for {
 		e, err := s.Next()
 		if errors.Is(err, io.EOF) {
-			j.finish(a, x)
+			j.endStream(a, x)
 			return true, ""
 		}
 		if err == nil {
-			err = j.forward(e, a, x)
+			err = j.forwardEvent(e, a, x)
 		}
 		if err != nil {
-			return false, j.interrupted(ctx, a, x, err)
+			return false, j.recordInterruption(ctx, a, x, err)
 		}
 		if s.Buffered() {
 			continue
 		}
 		if err := flush.Flush(); err != nil {
-			return false, j.interrupted(ctx, a, x, errCaller)
+			return false, j.recordInterruption(ctx, a, x, errCallerGone)
 		}
 	}
 }
 
-// forward passes one event on if it follows the last one.
+// forwardEvent forwards one event if it follows the last one.
 //
-// Events of two runs joined wrongly would be an answer that no server gave.
-func (j *job) forward(e events.Event, a *observe.Attempt, x *backend.Exchange) error {
-	if at := j.resumeAt(); e.HasID && at > 0 && e.ID != at+1 {
+// Events of two runs that are joined wrongly would form a response that no server sent.
+func (j *job) forwardEvent(e events.Event, a *observe.Attempt, x *backend.Exchange) error {
+	if at := j.lastEvent(); e.HasID && at > 0 && e.ID != at+1 {
 		return errOutOfOrder
 	}
-	if !j.events.started {
-		j.begin(x.Response)
+	if !j.streamed.started {
+		j.forwardHead(x.Response)
 	}
 	now := time.Now()
-	j.events.came(now)
+	j.streamed.recordEvent(now)
 	j.Tracker.Started(a, now)
 	if e.HasID {
-		j.events.last = e.ID
+		j.streamed.last = e.ID
 	}
 	if _, err := j.writer.Write(e.Raw); err != nil {
-		return errCaller
+		return errCallerGone
 	}
 	if j.mayResume() {
-		x.SetDeadline(wait.Earlier(j.deadline, now.Add(max(pauseTimes*j.route.EventGapTarget, leastPause))))
+		x.SetDeadline(wait.Earlier(j.deadline, now.Add(max(gapFactor*j.route.EventGapTarget, minResumeGap))))
 	} else {
 		x.SetDeadline(j.deadline)
 	}
 	return nil
 }
 
-// begin passes the head of the stream on, once.
-func (j *job) begin(r *http.Response) {
-	j.events.started = true
+// forwardHead forwards the status and headers of the stream, once.
+func (j *job) forwardHead(r *http.Response) {
+	j.streamed.started = true
 	copyHeader(j.writer.Header(), r.Header)
 	j.writer.Header().Del("Content-Length")
 	j.status = r.StatusCode
 	j.writer.WriteHeader(r.StatusCode)
 }
 
-// mayResume returns whether the stream could go on at another server.
+// mayResume returns whether the stream could resume at another server.
 func (j *job) mayResume() bool {
 	return j.route.Resumable && j.runs < j.route.MaxAttempts
 }
 
-// finish ends a stream whose server has ended it.
-func (j *job) finish(a *observe.Attempt, x *backend.Exchange) {
-	if !j.events.started {
-		j.begin(x.Response)
+// endStream ends a stream whose server has ended it.
+func (j *job) endStream(a *observe.Attempt, x *backend.Exchange) {
+	if !j.streamed.started {
+		j.forwardHead(x.Response)
 	}
 	x.Close()
 	j.Tracker.End(a, observe.Served, time.Now())
 }
 
-// interrupted counts a stream that broke off.
-func (j *job) interrupted(ctx context.Context, a *observe.Attempt, x *backend.Exchange, err error) string {
-	if ctx.Err() != nil || errors.Is(err, errCaller) {
+// recordInterruption records a stream that broke off.
+func (j *job) recordInterruption(ctx context.Context, a *observe.Attempt, x *backend.Exchange, err error) string {
+	if ctx.Err() != nil || errors.Is(err, errCallerGone) {
 		x.Abort()
 		j.Tracker.End(a, observe.Abandoned, time.Now())
 		j.abandon()
 	}
-	return j.broken(a, x, "stream-broke-off", err)
+	return j.recordBroken(a, x, "stream-broke-off", err)
 }
