--- a/internal/serve/backend/client.go
+++ b/internal/serve/backend/client.go
@@ -15,29 +15,30 @@
 )
 
 const (
-	// dialTimeout bounds a new connection. A handshake takes milliseconds; its
-	// lost packet is sent again after a second, when another server has answered already.
+	// dialTimeout bounds the establishment of a connection. A handshake takes milliseconds; if a
+	// packet is lost it is resent after a second, when another server has already responded.
 	dialTimeout = 400 * time.Millisecond
-	// maxIdle bounds the idle connections to one server.
-	maxIdle = 64
-	// sweepInterval is the time between two looks for connections that have been idle too long.
+	// maxIdleConnections bounds the idle connections to one server.
+	maxIdleConnections = 64
+	// sweepInterval is the interval at which connections that have been idle for too long are
+	// closed.
 	sweepInterval = time.Second
 )
 
-// Config is what a Client needs.
+// Config is the configuration of a Client.
 type Config struct {
-	// Belongs returns whether an answer belongs to the attempt; one that does not is passed over.
+	// Belongs returns whether a response belongs to the attempt; one that does not is skipped.
 	Belongs func(attempt string, h http.Header) bool
-	// Dialled is called for each new connection; nil for none.
+	// Dialled, if set, is called for each new connection.
 	Dialled func()
 }
 
 // Client sends requests to servers.
 type Client interface {
-	// Send writes the message once and returns the answer's head; a failure is an *Error.
+	// Send writes the message once and returns the head of the response; a failure is an *Error.
 	//
-	// deadline bounds the whole exchange. When ctx ends the connection is closed,
-	// which makes most servers drop the request.
+	// deadline bounds the whole exchange. When ctx ends, the connection is closed, which makes
+	// most servers drop the request.
 	Send(ctx context.Context, t Target, attempt string, m Message, deadline time.Time) (*Exchange, error)
 	// Close closes the idle connections.
 	Close()
@@ -46,7 +47,7 @@
 type client struct {
 	config Config
 	mu     sync.Mutex
-	pools  map[key]*pool
+	pools  map[poolKey]*pool
 	done   chan struct{}
 }
 
@@ -58,7 +59,7 @@
 
 // New returns a Client.
 func New(c Config) Client {
-	l := &client{config: c, pools: map[key]*pool{}, done: make(chan struct{})}
+	l := &client{config: c, pools: map[poolKey]*pool{}, done: make(chan struct{})}
 	go func() {
 		t := time.NewTicker(sweepInterval)
 		defer t.Stop()
@@ -80,21 +81,21 @@
 	l.sweep(time.Now().Add(time.Hour))
 }
 
-// sweep closes connections that may be closed by the server soon.
+// sweep closes connections that the server may close soon.
 func (l *client) sweep(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for k, p := range l.pools {
-		kept := p.idle[:0]
+		valid := p.idle[:0]
 		for _, c := range p.idle {
-			if now.Before(c.until) {
-				kept = append(kept, c)
+			if now.Before(c.reusableUntil) {
+				valid = append(valid, c)
 				continue
 			}
 			_ = c.Close()
 			p.open--
 		}
-		p.idle = kept
+		p.idle = valid
 		if p.open == 0 {
 			delete(l.pools, k)
 		}
@@ -104,13 +105,13 @@
 // Send implements Client.
 func (l *client) Send(ctx context.Context, t Target, attempt string, m Message, deadline time.Time) (*Exchange, error) {
 	for {
-		c, err := l.take(ctx, t, deadline)
+		c, err := l.acquire(ctx, t, deadline)
 		if err != nil {
 			return nil, err
 		}
 		x := &Exchange{client: l, target: t, conn: c, method: m.Method, attempt: attempt}
-		x.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
-		again, err := x.begin(m, deadline)
+		x.stopWatch = context.AfterFunc(ctx, func() { _ = c.Close() })
+		retry, err := x.start(m, deadline)
 		if err == nil {
 			return x, nil
 		}
@@ -118,7 +119,7 @@
 		if ctx.Err() != nil {
 			return nil, &Error{Verdict: verdictOf(err), Reason: Cancelled, Cause: ctx.Err()}
 		}
-		if !again {
+		if !retry {
 			return nil, err
 		}
 	}
@@ -132,8 +133,8 @@
 	return verdict.MayHaveRun
 }
 
-// take returns an idle connection or a new one.
-func (l *client) take(ctx context.Context, t Target, deadline time.Time) (*conn, error) {
+// acquire returns an idle connection or a new one.
+func (l *client) acquire(ctx context.Context, t Target, deadline time.Time) (*conn, error) {
 	for {
 		c, err := l.reserve(t)
 		if err != nil {
@@ -142,14 +143,15 @@
 		if c == nil {
 			return l.dial(ctx, t, deadline)
 		}
-		if c.quiet() {
+		if c.clean() {
 			return c, nil
 		}
-		l.drop(t, c)
+		l.discard(t, c)
 	}
 }
 
-// reserve takes the connection that was used last, or a place for a new one, then nil.
+// reserve removes and returns the idle connection that was used last. If there is none, it
+// reserves a slot for a new connection and returns nil.
 func (l *client) reserve(t Target) (*conn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -178,7 +180,7 @@
 	}
 	c, err := tcp.Dial(ctx, t.Address)
 	if err != nil {
-		l.release(t)
+		l.releaseSlot(t)
 		reason := Unreachable
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			reason = Refused
@@ -188,12 +190,12 @@
 	return newConn(c), nil
 }
 
-// put returns a connection after a complete answer.
+// put returns a connection to the pool after a complete response.
 func (l *client) put(t Target, c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p, ok := l.pools[t.key()]
-	if !ok || len(p.idle) >= maxIdle {
+	if !ok || len(p.idle) >= maxIdleConnections {
 		_ = c.Close()
 		if ok {
 			p.open--
@@ -203,13 +205,13 @@
 	p.idle = append(p.idle, c)
 }
 
-// drop closes a connection.
-func (l *client) drop(t Target, c net.Conn) {
+// discard closes a connection and releases its slot.
+func (l *client) discard(t Target, c net.Conn) {
 	_ = c.Close()
-	l.release(t)
+	l.releaseSlot(t)
 }
 
-func (l *client) release(t Target) {
+func (l *client) releaseSlot(t Target) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if p, ok := l.pools[t.key()]; ok {
--- a/internal/serve/backend/conn.go
+++ b/internal/serve/backend/conn.go
@@ -14,11 +14,12 @@
 )
 
 const (
-	// readBuffer holds a plain answer whole in most cases.
-	readBuffer = 4 << 10
-	// defaultIdle is how long a connection without an announced timeout is kept: short, since nobody says how long the server keeps it.
-	defaultIdle = 2 * time.Second
-	// idleMargin is kept off an announced timeout, for the way of the next request.
+	// readBufferBytes is large enough for most plain responses.
+	readBufferBytes = 4 << 10
+	// defaultIdleTimeout is how long a connection is kept if the server announces no timeout. It
+	// is short because the server's timeout is unknown.
+	defaultIdleTimeout = 2 * time.Second
+	// idleMargin is subtracted from an announced timeout, for the latency of the next request.
 	idleMargin = 700 * time.Millisecond
 )
 
@@ -26,23 +27,23 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// until is when the server may close the connection while it is idle.
-	until time.Time
-	// used says that the connection carried a request before.
-	used bool
+	// reusableUntil is when the server may close the connection while it is idle.
+	reusableUntil time.Time
+	// reused is set if the connection has carried a request before.
+	reused bool
 }
 
 func newConn(c net.Conn) *conn {
-	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer)}
+	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBufferBytes)}
 }
 
-// quiet returns whether the idle connection is open and holds no byte.
+// clean returns whether the idle connection is open and has no unread byte.
 //
-// An answer that comes late, or twice, lies there before the next request is
-// sent and would be taken for that one's answer. A closed connection would lose
-// the next request in a way that doesn't tell whether it ran.
-func (c *conn) quiet() bool {
-	if c.reader.Buffered() > 0 || time.Now().After(c.until) {
+// A late or duplicate response arrives before the next request is sent and would be taken for
+// the response to it. On a closed connection the next request would be lost without showing
+// whether it ran.
+func (c *conn) clean() bool {
+	if c.reader.Buffered() > 0 || time.Now().After(c.reusableUntil) {
 		return false
 	}
 	s, ok := c.Conn.(syscall.Conn)
@@ -53,34 +54,34 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	clean := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, e := syscall.Read(int(fd), b[:])
-		quiet = errors.Is(e, syscall.EAGAIN)
+		clean = errors.Is(e, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && clean
 }
 
-// keep notes how long the server keeps the idle connection.
-func (c *conn) keep(h http.Header, now time.Time) {
-	idle := defaultIdle
+// setIdleTimeout records how long the server keeps the idle connection.
+func (c *conn) setIdleTimeout(h http.Header, now time.Time) {
+	idle := defaultIdleTimeout
 	for _, v := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, seconds, _ := strings.Cut(strings.TrimSpace(v), "=")
 		if n, err := strconv.Atoi(seconds); err == nil && strings.EqualFold(name, "timeout") {
 			idle = time.Duration(n)*time.Second - idleMargin
 		}
 	}
-	c.until = now.Add(idle)
+	c.reusableUntil = now.Add(idle)
 }
 
-// timedOut returns whether err is the end of a read's or write's time.
+// timedOut returns whether err is the timeout of a read or write.
 func timedOut(err error) bool {
 	return errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// brokeOff returns whether err means that the other side ended the connection.
-func brokeOff(err error) bool {
+// disconnected returns whether err means that the server closed the connection.
+func disconnected(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
--- a/internal/serve/backend/doc.go
+++ b/internal/serve/backend/doc.go
@@ -1,7 +1,7 @@
-// Package backend sends requests to backend servers over HTTP/1.1 with its own
-// pool of connections.
+// Package backend sends requests to backend servers over HTTP/1.1 with its own connection
+// pool.
 //
-// The standard library's client repeats a request by itself on a connection
-// that broke, if the method looks safe. Here a request is written once, and
-// every failure says whether a byte of it may have left.
+// The client of the standard library retries a request by itself on a connection that broke if
+// the method looks safe. Here a request is written once, and every failure states whether a
+// byte of it may have been sent.
 package backend
--- a/internal/serve/backend/error.go
+++ b/internal/serve/backend/error.go
@@ -6,34 +6,34 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-// Reason says how an attempt at a server failed.
+// Reason is how an attempt at a server failed.
 type Reason string
 
 // Reasons of failures.
 const (
-	// Unreachable means that no connection came about.
+	// Unreachable means that no connection could be established.
 	Unreachable Reason = "unreachable"
-	// Refused means that nobody listens at the server's address.
+	// Refused means that the connection was refused: no process listens at the server's address.
 	Refused Reason = "refused"
-	// Saturated means that this process has all the connections that it may have.
+	// Saturated means that this process uses all connections to the server that it may have.
 	Saturated Reason = "saturated"
 	// Broken means that the connection ended.
 	Broken Reason = "broken"
-	// TimedOut means that the time ran out.
+	// TimedOut means that the deadline passed.
 	TimedOut Reason = "timed-out"
-	// Malformed means that what came is no answer to this request.
+	// Malformed means that the data received is not a response to this request.
 	Malformed Reason = "malformed"
-	// Cancelled means that the caller left.
+	// Cancelled means that the caller disconnected.
 	Cancelled Reason = "cancelled"
 )
 
 // Error is a failed attempt at a server.
 type Error struct {
-	// Verdict says whether the request may have run.
+	// Verdict states whether the request may have run.
 	Verdict verdict.Verdict
-	// Reason says how it failed.
+	// Reason is how the attempt failed.
 	Reason Reason
-	// Cause is the error underneath.
+	// Cause is the underlying error.
 	Cause error
 }
 
--- a/internal/serve/backend/exchange.go
+++ b/internal/serve/backend/exchange.go
@@ -10,41 +10,42 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-// maxStale is how many answers to earlier requests are passed over before the connection is given up.
+// maxStale is how many responses to earlier requests are skipped before the connection is
+// closed.
 const maxStale = 2
 
-// maxStaleBytes bounds the body of an answer that is passed over.
+// maxStaleBytes bounds the body of a skipped response.
 const maxStaleBytes = 64 << 10
 
-// Exchange is one request with its answer.
+// Exchange is one request with its response.
 type Exchange struct {
-	// Response is the answer's head; its body is read through Read.
+	// Response is the head of the response; its body is read through Read.
 	Response *http.Response
 
-	client  *client
-	target  Target
-	conn    *conn
-	method  string
-	attempt string
-	stop    func() bool
-	written chan error
-	ended   bool
-	whole   bool
+	client      *client
+	target      Target
+	conn        *conn
+	method      string
+	attempt     string
+	stopWatch   func() bool
+	bodyWritten chan error
+	ended       bool
+	complete    bool
 }
 
-// begin writes the request and reads the answer's head. It returns true when
-// the connection turned out to be dead before any byte was taken, so that
-// another one may carry the request.
-func (x *Exchange) begin(m Message, deadline time.Time) (bool, error) {
+// start writes the request and reads the head of the response. It returns true if the
+// connection turned out to be dead before any byte was written, so that another connection may
+// carry the request.
+func (x *Exchange) start(m Message, deadline time.Time) (bool, error) {
 	if err := x.conn.SetDeadline(deadline); err != nil {
 		return false, &Error{Verdict: verdict.NotRun, Reason: Broken, Cause: err}
 	}
-	x.written = make(chan error, 1)
+	x.bodyWritten = make(chan error, 1)
 	first, rest := m.split()
 	n, err := x.conn.Write(first)
 	if err != nil {
 		if n == 0 {
-			return x.conn.used, &Error{Verdict: verdict.NotRun, Reason: reasonOf(err), Cause: err}
+			return x.conn.reused, &Error{Verdict: verdict.NotRun, Reason: reasonOf(err), Cause: err}
 		}
 		return false, &Error{Verdict: verdict.MayHaveRun, Reason: reasonOf(err), Cause: err}
 	}
@@ -55,16 +56,16 @@
 	return false, nil
 }
 
-// writeRest writes the rest of a long body beside the reading of the answer,
-// which a server may give before it has read all of it.
+// writeRest writes the rest of a long body while the response is read, because a server may
+// respond before it has read the whole body.
 func (x *Exchange) writeRest(rest []byte) {
 	if len(rest) == 0 {
-		x.written <- nil
+		x.bodyWritten <- nil
 		return
 	}
 	go func() {
 		_, err := x.conn.Write(rest)
-		x.written <- err
+		x.bodyWritten <- err
 	}()
 }
 
@@ -82,19 +83,19 @@
 			x.Response = r
 			return nil
 		}
-		// The answer of an earlier request whose time had run out.
+		// The response belongs to an earlier request that timed out.
 		if _, err := io.CopyN(io.Discard, r.Body, maxStaleBytes); !errors.Is(err, io.EOF) {
 			break
 		}
 	}
-	return &Error{Verdict: verdict.MayHaveRun, Reason: Malformed, Cause: fmt.Errorf("the answer belongs to another request")}
+	return &Error{Verdict: verdict.MayHaveRun, Reason: Malformed, Cause: fmt.Errorf("the response belongs to another request")}
 }
 
-// readError classifies what ended the wait for an answer: what isn't the end of
-// time or of the connection is no answer at all.
+// readError classifies an error while reading the response: anything but a timeout or a closed
+// connection is a malformed response.
 func readError(err error) error {
 	e := &Error{Verdict: verdict.MayHaveRun, Reason: reasonOf(err), Cause: err}
-	if !timedOut(err) && !brokeOff(err) {
+	if !timedOut(err) && !disconnected(err) {
 		e.Reason = Malformed
 	}
 	return e
@@ -107,27 +108,28 @@
 	return Broken
 }
 
-// Read reads the answer's body; io.EOF means that it is complete.
+// Read reads the body of the response; io.EOF means that it is complete.
 func (x *Exchange) Read(b []byte) (int, error) {
 	n, err := x.Response.Body.Read(b)
 	if errors.Is(err, io.EOF) {
-		x.whole = true
+		x.complete = true
 	}
 	return n, err
 }
 
-// Buffered returns whether more of the answer has arrived already.
+// Buffered returns whether more of the response has already arrived.
 func (x *Exchange) Buffered() bool {
 	return x.conn.reader.Buffered() > 0
 }
 
-// SetDeadline moves the end of the exchange.
+// SetDeadline changes the deadline of the exchange.
 func (x *Exchange) SetDeadline(t time.Time) {
-	// A connection that can't take a deadline is closed; the next read says so.
+	// A connection on which no deadline can be set is closed; the next read returns the error.
 	_ = x.conn.SetDeadline(t)
 }
 
-// Close ends the exchange: the connection is kept if the answer is complete and nothing else came.
+// Close ends the exchange. The connection is kept if the response is complete and nothing else
+// arrived.
 func (x *Exchange) Close() {
 	if !x.reusable() {
 		x.Abort()
@@ -137,37 +139,37 @@
 		return
 	}
 	x.ended = true
-	if !x.stop() {
-		x.client.drop(x.target, x.conn)
+	if !x.stopWatch() {
+		x.client.discard(x.target, x.conn)
 		return
 	}
-	x.conn.used = true
-	x.conn.keep(x.Response.Header, time.Now())
+	x.conn.reused = true
+	x.conn.setIdleTimeout(x.Response.Header, time.Now())
 	x.client.put(x.target, x.conn)
 }
 
 // reusable returns whether the next request can use the connection.
 //
-// Bytes behind the answer would be read as the next one's. A server that
-// answered before it had the whole body takes what comes next for the rest of it.
+// Bytes after the response would be read as the next one. A server that responded before it
+// had read the whole body would take the next request for the rest of it.
 func (x *Exchange) reusable() bool {
-	if !x.whole || x.Response.Close || x.conn.reader.Buffered() > 0 {
+	if !x.complete || x.Response.Close || x.conn.reader.Buffered() > 0 {
 		return false
 	}
 	select {
-	case err := <-x.written:
+	case err := <-x.bodyWritten:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// Abort closes the connection; a server that is still at work most often stops.
+// Abort closes the connection; most servers then stop working on the request.
 func (x *Exchange) Abort() {
 	if x.ended {
 		return
 	}
 	x.ended = true
-	x.stop()
-	x.client.drop(x.target, x.conn)
+	x.stopWatch()
+	x.client.discard(x.target, x.conn)
 }
--- a/internal/serve/backend/message.go
+++ b/internal/serve/backend/message.go
@@ -6,9 +6,9 @@
 	"strconv"
 )
 
-// Message is a request as it goes out.
+// Message is a request as it is sent.
 type Message struct {
-	// Method, Target and Host go out byte for byte.
+	// Method, Target and Host are sent byte for byte.
 	Method, Target, Host string
 	// Header holds all other headers.
 	Header http.Header
@@ -16,20 +16,20 @@
 	Body []byte
 }
 
-// firstBytes is how much of a message goes out in one write, before an answer is waited for.
-const firstBytes = 16 << 10
+// firstWriteBytes is how much of a message is sent in one write, before the response is read.
+const firstWriteBytes = 16 << 10
 
-// split returns the message in the piece that is written at once and the rest of the body.
+// split returns the part of the message that is written at once, and the rest of the body.
 func (m Message) split() (first, rest []byte) {
 	first = m.head()
-	n := min(len(m.Body), max(0, firstBytes-len(first)))
+	n := min(len(m.Body), max(0, firstWriteBytes-len(first)))
 	return append(first, m.Body[:n]...), m.Body[n:]
 }
 
 // head returns the request line and the headers.
 //
-// The length is always this process's own: one that a caller gave, beside
-// chunks or twice, could hide a second request inside the first.
+// The content length is always computed here. One given by a caller, in addition to chunked
+// encoding or twice, could hide a second request inside the first.
 func (m Message) head() []byte {
 	var b bytes.Buffer
 	b.Grow(512)
--- a/internal/serve/backend/target.go
+++ b/internal/serve/backend/target.go
@@ -1,23 +1,24 @@
 package backend
 
-// Target is the server that a request goes to.
+// Target is the server to which a request is sent.
 type Target struct {
-	// ID is the server's identity.
+	// ID is the server's ID.
 	ID string
-	// Born is its start in Unix milliseconds.
-	Born int64
-	// Address is its IP and port.
+	// StartedAt is the server's start time in Unix milliseconds.
+	StartedAt int64
+	// Address is its IP address and port.
 	Address string
-	// MaxConnections is how many connections this process may have to it; zero for no limit.
+	// MaxConnections is the maximum number of connections of this process to it; zero for no
+	// limit.
 	MaxConnections int
 }
 
-// key tells incarnations apart: connections to an earlier one are of no use.
-type key struct {
-	id   string
-	born int64
+// poolKey distinguishes incarnations: connections to an earlier one cannot be used.
+type poolKey struct {
+	id        string
+	startedAt int64
 }
 
-func (t Target) key() key {
-	return key{t.ID, t.Born}
+func (t Target) key() poolKey {
+	return poolKey{t.ID, t.StartedAt}
 }
