--- a/internal/serve/caller/choose.go
+++ b/internal/serve/caller/choose.go
@@ -86,10 +86,10 @@
 }
 
 func reportAgeMillis(t observe.ServerStats, now time.Time) int64 {
-	if t.Reported.IsZero() {
+	if t.ReportedAt.IsZero() {
 		return -1
 	}
-	return now.Sub(t.Reported).Milliseconds()
+	return now.Sub(t.ReportedAt).Milliseconds()
 }
 
 // engineExpected returns whether an engine that was not tried yet is expected to accept
--- a/internal/serve/caller/job.go
+++ b/internal/serve/caller/job.go
@@ -89,8 +89,8 @@
 		j.Site.AwaitFreshState(ctx)
 		c, ok := j.choose(ctx)
 		if callerCtx.Err() != nil {
-			if c.taken {
-				j.Limits.Return(c.server.ID, time.Now())
+			if c.reserved {
+				j.Limits.Release(c.server.ID, time.Now())
 			}
 			j.abandon()
 			return
@@ -99,7 +99,7 @@
 			j.giveUp(cmp.Or(j.refusal, noServer))
 			return
 		}
-		if !c.taken && !j.takeLimit(c.server.ID) {
+		if !c.reserved && !j.reserveLimit(c.server.ID) {
 			continue
 		}
 		done, reason := j.try(ctx, c)
@@ -117,10 +117,10 @@
 	}
 }
 
-// takeLimit takes the request from the server's limit. Another request may have taken the last
-// one since the server was chosen.
-func (j *job) takeLimit(server string) bool {
-	_, ok := j.Limits.Take(server, 0, time.Now())
+// reserveLimit reserves the request in the server's limit. Another request may have reserved
+// the last one since the server was chosen.
+func (j *job) reserveLimit(server string) bool {
+	_, ok := j.Limits.Reserve(server, 0, time.Now())
 	return ok
 }
 
@@ -154,8 +154,8 @@
 	// all engines with capacity for it.
 	fits bool
 	free int
-	// taken is set if the request is already taken from the server's limit.
-	taken bool
+	// reserved is set if the request is already reserved in the server's limit.
+	reserved bool
 	// prepare, if set, completes the dispatch right before it is sent.
 	prepare func(*request.Dispatch)
 	// sent, if set, is called when the request is sent.
--- a/internal/serve/caller/limit.go
+++ b/internal/serve/caller/limit.go
@@ -32,11 +32,11 @@
 		j.Site.AwaitFreshState(ctx)
 		if ctx.Err() == nil && j.stillReady(s) {
 			return choice{
-				server: s, dispatch: j.dispatch(time.Now()), taken: true,
+				server: s, dispatch: j.dispatch(time.Now()), reserved: true,
 				fields: log.Fields{"kind": "limited", "waited-ms": time.Since(began).Milliseconds()},
 			}, true
 		}
-		j.Limits.Return(s.ID, time.Now())
+		j.Limits.Release(s.ID, time.Now())
 	}
 }
 
@@ -48,7 +48,7 @@
 	if !ok || ctx.Err() != nil {
 		return directory.Server{}, false
 	}
-	delay, ok := j.Limits.Take(s.ID, time.Duration(limitWaitShare*float64(j.deadline.Sub(now))), now)
+	delay, ok := j.Limits.Reserve(s.ID, time.Duration(limitWaitShare*float64(j.deadline.Sub(now))), now)
 	if !ok {
 		j.refusal, j.clearAfter = limitReached, soonest
 		return directory.Server{}, false
--- a/internal/serve/choose/candidate.go
+++ b/internal/serve/choose/candidate.go
@@ -45,7 +45,7 @@
 	switch {
 	case now.Before(c.Stats.EjectedUntil), c.refusedByOthers(now):
 		return ejected
-	case c.Server.Silent && now.Sub(c.Stats.Answered) > livenessWindow:
+	case c.Server.Silent && now.Sub(c.Stats.RespondedAt) > livenessWindow:
 		return suspect
 	}
 	return usable
@@ -59,16 +59,16 @@
 // announcements reveal the crash only seconds later. A single refused entry may have a network
 // problem of its own, so at least two must report a refusal.
 func (c Candidate) refusedByOthers(now time.Time) bool {
-	return c.Stats.RefusedBy >= minRefusals && now.Sub(c.Stats.Answered) > recentAnswer
+	return c.Stats.RefusedBy >= minRefusals && now.Sub(c.Stats.RespondedAt) > recentAnswer
 }
 
 // load returns the estimated number of requests at the server.
 func (c Candidate) load(now time.Time) float64 {
 	own := float64(c.Stats.InFlight)
-	if c.Stats.Reported.IsZero() {
+	if c.Stats.ReportedAt.IsZero() {
 		return own
 	}
-	age := now.Sub(c.Stats.Reported)
+	age := now.Sub(c.Stats.ReportedAt)
 	weight := 1 - max(0, min(1, float64(age-fullWeightAge)/float64(fullWeightAge)))
 	reported := float64(c.Stats.Running+c.Stats.Waiting+c.Stats.SentSinceReport) * weight
 	return max(own, reported)
--- a/internal/serve/choose/engine_test.go
+++ b/internal/serve/choose/engine_test.go
@@ -146,7 +146,7 @@
 		answered time.Duration
 		at       int
 	}{{0, time.Minute, 0}, {1, time.Minute, 0}, {2, time.Minute, 1}, {9, 100 * time.Millisecond, 0}} {
-		all[0].Stats = observe.ServerStats{RefusedBy: x.refused, Answered: now.Add(-x.answered)}
+		all[0].Stats = observe.ServerStats{RefusedBy: x.refused, RespondedAt: now.Add(-x.answered)}
 		if p := longPrompt(100).Pick(all); p.Index != x.at {
 			t.Errorf("%d entries refused, own response %s ago: engine %d", x.refused, x.answered, p.Index)
 		}
--- a/internal/serve/choose/plain_test.go
+++ b/internal/serve/choose/plain_test.go
@@ -41,7 +41,7 @@
 	if at, _ := p.Pick(all[:1]); at != 0 {
 		t.Error("the only server was not tried")
 	}
-	all[0].Stats.Answered = now.Add(-time.Second)
+	all[0].Stats.RespondedAt = now.Add(-time.Second)
 	if at, _ := p.Pick(all); at != 0 {
 		t.Error("a responding server was avoided because its announcements do not arrive")
 	}
@@ -57,11 +57,11 @@
 	if at, _ := p.Pick(all); at != 0 {
 		t.Error("the server in the same zone was not chosen")
 	}
-	all[0].Stats = observe.ServerStats{Running: 6, Reported: now.Add(-100 * time.Millisecond)}
+	all[0].Stats = observe.ServerStats{Running: 6, ReportedAt: now.Add(-100 * time.Millisecond)}
 	if at, _ := p.Pick(all); at != 1 {
 		t.Error("a full server was chosen")
 	}
-	all[0].Stats.Reported = now.Add(-time.Hour)
+	all[0].Stats.ReportedAt = now.Add(-time.Hour)
 	if at, _ := p.Pick(all); at != 0 {
 		t.Error("an hour-old load report still counts")
 	}
--- a/internal/serve/choose/random_test.go
+++ b/internal/serve/choose/random_test.go
@@ -35,7 +35,7 @@
 			c.Stats.EjectedUntil = now.Add(time.Second)
 		}
 		if r.IntN(2) == 0 {
-			c.Stats.Reported = now.Add(-time.Duration(r.IntN(2000)) * time.Millisecond)
+			c.Stats.ReportedAt = now.Add(-time.Duration(r.IntN(2000)) * time.Millisecond)
 		}
 		all[i] = c
 	}
--- a/internal/serve/choose/sample.go
+++ b/internal/serve/choose/sample.go
@@ -60,8 +60,8 @@
 	return sample
 }
 
-// preferredZone returns the availability zone of the store that has the longest
-// shared part, the entry's own where none has it.
+// preferredZone returns the availability zone of the store that has the longest shared part, or
+// the entry's own zone if no store has one.
 func (e EnginePicker) preferredZone() string {
 	zone, longest := e.Zone, prefillChunkTokens/2
 	for _, p := range e.Parts {
--- a/internal/serve/limit/limits.go
+++ b/internal/serve/limit/limits.go
@@ -28,11 +28,11 @@
 	Observe(server string, perSecond *float64, sent, now time.Time)
 	// Wait returns how long it is until a request may be sent to the server.
 	Wait(server string, now time.Time) time.Duration
-	// Take reserves a request to the server that may be sent after the returned time. It returns
+	// Reserve reserves a request to the server that may be sent after the returned time. It returns
 	// false if that is more than maxWait from now.
-	Take(server string, maxWait time.Duration, now time.Time) (time.Duration, bool)
-	// Return cancels the reservation of a request that is not sent.
-	Return(server string, now time.Time)
+	Reserve(server string, maxWait time.Duration, now time.Time) (time.Duration, bool)
+	// Release cancels the reservation of a request that is not sent.
+	Release(server string, now time.Time)
 	// SetEntries sets how many entries share the limits.
 	SetEntries(n int)
 	// Len returns how many servers announce a limit.
@@ -176,8 +176,8 @@
 	return wait
 }
 
-// Take implements Limits.
-func (l *limits) Take(server string, maxWait time.Duration, now time.Time) (time.Duration, bool) {
+// Reserve implements Limits.
+func (l *limits) Reserve(server string, maxWait time.Duration, now time.Time) (time.Duration, bool) {
 	wait := time.Duration(0)
 	l.withBucket(server, now, func(b *bucket, entries int) {
 		if wait = b.wait(entries); wait <= maxWait {
@@ -190,8 +190,8 @@
 	return wait, true
 }
 
-// Return implements Limits.
-func (l *limits) Return(server string, now time.Time) {
+// Release implements Limits.
+func (l *limits) Release(server string, now time.Time) {
 	l.withBucket(server, now, func(b *bucket, _ int) { b.available++ })
 }
 
--- a/internal/serve/limit/limits_test.go
+++ b/internal/serve/limit/limits_test.go
@@ -58,7 +58,7 @@
 		}
 		for range int(perSecond*step.Seconds() + f.random.Float64()) {
 			now := start.Add(at)
-			if _, ok := f.entries[f.random.IntN(len(f.entries))].Take(server, 0, now); !ok {
+			if _, ok := f.entries[f.random.IntN(len(f.entries))].Reserve(server, 0, now); !ok {
 				continue
 			}
 			all++
@@ -106,7 +106,7 @@
 	}
 	burst := 0
 	for _, l := range f.entries {
-		if _, ok := l.Take(server, 0, start.Add(300*time.Second)); ok {
+		if _, ok := l.Reserve(server, 0, start.Add(300*time.Second)); ok {
 			burst++
 		}
 	}
@@ -147,10 +147,10 @@
 	l := newLimits(0)
 	l.SetEntries(1)
 	l.Observe(server, number(0), start, start)
-	if _, ok := l.Take(server, 0, start.Add(time.Second)); ok {
+	if _, ok := l.Reserve(server, 0, start.Add(time.Second)); ok {
 		t.Error("a server with a limit of zero got a request at once")
 	}
-	if _, ok := l.Take(server, 0, start.Add(30*time.Second)); !ok {
+	if _, ok := l.Reserve(server, 0, start.Add(30*time.Second)); !ok {
 		t.Error("a server with a limit of zero got no request for half a minute")
 	}
 }
@@ -160,16 +160,16 @@
 	l := newLimits(0)
 	l.SetEntries(1)
 	l.Observe(server, number(1/usableShare), start, start)
-	first, ok := l.Take(server, 5*time.Second, start)
-	second, also := l.Take(server, 5*time.Second, start)
+	first, ok := l.Reserve(server, 5*time.Second, start)
+	second, also := l.Reserve(server, 5*time.Second, start)
 	if !ok || !also || second-first < 900*time.Millisecond {
 		t.Fatalf("two requests wait %s and %s", first, second)
 	}
-	if _, ok := l.Take(server, 2*time.Second, start); ok {
+	if _, ok := l.Reserve(server, 2*time.Second, start); ok {
 		t.Error("a request waits longer than its maximum")
 	}
-	l.Return(server, start)
-	if again, ok := l.Take(server, 2*time.Second, start); !ok || again != second {
+	l.Release(server, start)
+	if again, ok := l.Reserve(server, 2*time.Second, start); !ok || again != second {
 		t.Errorf("the cancelled reservation is not reused: %s", again)
 	}
 }
--- a/internal/serve/observe/stats.go
+++ b/internal/serve/observe/stats.go
@@ -19,16 +19,16 @@
 	Latency time.Duration
 	// EjectedUntil is until when the server gets no requests while others are available.
 	EjectedUntil time.Time
-	// Refused is when a connection was last refused. RefusedBy is how many other entries were
+	// RefusedAt is when a connection was last refused. RefusedBy is how many other entries were
 	// refused recently.
-	Refused   time.Time
+	RefusedAt time.Time
 	RefusedBy int
-	// Answered is when the server last responded.
-	Answered time.Time
-	// Running, Waiting and Slots are from the server's own load report, received at Reported.
+	// RespondedAt is when the server last responded.
+	RespondedAt time.Time
+	// Running, Waiting and Slots are from the server's own load report, received at ReportedAt.
 	Running, Waiting, Slots int
-	// Reported is when the load report arrived.
-	Reported time.Time
+	// ReportedAt is when the load report arrived.
+	ReportedAt time.Time
 	// SentSinceReport is how many requests this entry sent to the server since the report.
 	SentSinceReport int
 }
--- a/internal/serve/observe/tracker.go
+++ b/internal/serve/observe/tracker.go
@@ -172,7 +172,7 @@
 }
 
 func (x *state) recordResponse(took time.Duration, now time.Time) {
-	x.Answered = now
+	x.RespondedAt = now
 	x.ConsecutiveLosses, x.ejection = 0, 0
 	x.EjectedUntil = time.Time{}
 	if x.Latency == 0 {
@@ -216,11 +216,11 @@
 		x.Failures -= failureWeight * x.Failures
 		return
 	case Failed:
-		x.Answered = now
+		x.RespondedAt = now
 		x.ConsecutiveLosses = 0
 	case Lost, Unreachable, Refused:
 		if o == Refused {
-			x.Refused = now
+			x.RefusedAt = now
 		}
 		x.ConsecutiveLosses++
 		if x.ConsecutiveLosses >= ejectionStreak || o != Lost {
@@ -237,7 +237,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	x := s.state(server, now)
-	x.Running, x.Waiting, x.Slots, x.Reported, x.SentSinceReport = running, waiting, slots, now, 0
+	x.Running, x.Waiting, x.Slots, x.ReportedAt, x.SentSinceReport = running, waiting, slots, now, 0
 }
 
 // Stats implements Tracker.
@@ -259,7 +259,7 @@
 		s.mu.Lock()
 		for id, x := range s.servers {
 			refused := 0
-			if now.Sub(x.Refused) < refusalWindow {
+			if now.Sub(x.RefusedAt) < refusalWindow {
 				refused = 1
 			}
 			if x.ReservedTokens > 0 || refused > 0 {
