--- /dev/null
+++ b/internal/serve/observe/stats.go
@@ -0,0 +1,34 @@
+package observe
+
+import "time"
+
+// ServerStats is what is known of a server at one moment.
+type ServerStats struct {
+	// InFlight is how many requests of this entry are in flight at the server.
+	InFlight int
+	// PrefillTokens is how many prompt tokens of this entry's requests are queued or in prefill,
+	// until the first event.
+	PrefillTokens int
+	// ReservedTokens is how many tokens this entry's requests need there at most.
+	ReservedTokens int
+	// Failures is the moving average of the failure rate.
+	Failures float64
+	// ConsecutiveLosses is how many attempts in a row brought no response at all.
+	ConsecutiveLosses int
+	// Latency is the moving average of the time to the response; zero before the first one.
+	Latency time.Duration
+	// EjectedUntil is until when the server gets no requests while others are available.
+	EjectedUntil time.Time
+	// RefusedAt is when a connection was last refused. RefusedBy is how many other entries were
+	// refused recently.
+	RefusedAt time.Time
+	RefusedBy int
+	// RespondedAt is when the server last responded.
+	RespondedAt time.Time
+	// Running, Waiting and Slots are from the server's own load report, received at ReportedAt.
+	Running, Waiting, Slots int
+	// ReportedAt is when the load report arrived.
+	ReportedAt time.Time
+	// SentSinceReport is how many requests this entry sent to the server since the report.
+	SentSinceReport int
+}
