--- a/internal/site/stores/clock.go
+++ b/internal/site/stores/clock.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Clock follows the servers' clock from what they tell of it.
+// Clock estimates the servers' clock from timestamps that servers send.
 //
-// A reading is never ahead of the servers' clock: it was on its way when it
-// came, so of two readings the one that is ahead is nearer. The clock of this VM
-// may jump and isn't looked at.
+// A timestamp is never ahead of the servers' clock, since it was in transit before
+// it arrived. Of two timestamps the one that gives the larger offset is more accurate.
+// The wall clock of this VM may jump and is not used.
 type Clock struct {
-	mu     sync.Mutex
-	offset time.Duration
-	start  time.Time
-	known  bool
+	mu        sync.Mutex
+	offset    time.Duration
+	start     time.Time
+	confirmed bool
 }
 
-// NewClock returns a Clock that knows nothing yet.
+// NewClock returns a Clock without an estimate.
 func NewClock() *Clock {
 	return &Clock{start: time.Now()}
 }
 
-// Observe takes a reading that has just come, in Unix milliseconds; zero is none.
+// Observe records a timestamp that has just arrived, in Unix milliseconds; zero means none.
 func (c *Clock) Observe(millis int64) {
 	if millis <= 0 {
 		return
@@ -30,16 +30,16 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	offset := time.Duration(millis)*time.Millisecond - time.Since(c.start)
-	if !c.known || offset > c.offset {
-		c.offset, c.known = offset, true
+	if !c.confirmed || offset > c.offset {
+		c.offset, c.confirmed = offset, true
 	}
 }
 
-// Now returns the servers' clock in Unix milliseconds, zero while it isn't known.
+// Now returns the servers' clock in Unix milliseconds, or zero while it is unknown.
 func (c *Clock) Now() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.known {
+	if !c.confirmed {
 		return 0
 	}
 	return (c.offset + time.Since(c.start)).Milliseconds()
--- a/internal/site/stores/doc.go
+++ b/internal/site/stores/doc.go
@@ -1,3 +1,3 @@
-// Package stores keeps account of what lies in the stores beside the engines
-// and decides what is freed.
+// Package stores keeps inventories of the parts in KV cache stores and engines
+// and decides which parts of a store are freed.
 package stores
--- a/internal/site/stores/part.go
+++ b/internal/site/stores/part.go
@@ -8,63 +8,63 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Part names a piece of a prompt in a store.
+// Part identifies a part of a prompt whose KV cache is stored.
 type Part struct {
-	// Salt is what the piece was read under.
+	// Salt is the cache salt under which the part was computed.
 	Salt string
-	// ID identifies the piece.
+	// ID identifies the part within its salt.
 	ID string
 }
 
-// Key returns the part's name in rows about the store at address.
+// Key returns the key of rows about the part in the store at address.
 func (p Part) Key(address string) string {
-	return address + separator + p.Salt + separator + p.ID
+	return address + keySeparator + p.Salt + keySeparator + p.ID
 }
 
-// separator can't stand in addresses, salts or IDs, which travel in headers.
-const separator = "\x00"
+// keySeparator can't occur in addresses, salts or IDs, since they are sent in headers.
+const keySeparator = "\x00"
 
-// PartLocation is a part in a store by short names: rows about parts go to every entry,
-// by the thousand after a loss of all processes, and full names are most of their bytes.
+// PartLocation identifies a part in a store by hashes. Rows about parts are sent to every entry,
+// thousands of them after all processes were lost, and full names would be most of their bytes.
 type PartLocation struct {
 	// Store is the store's ShortAddress, Part the part's Hash.
 	Store uint32
 	Part  uint64
 }
 
-// ShortAddress returns a short name of the store at address.
+// ShortAddress returns a 32-bit hash of a store's address.
 func ShortAddress(address string) uint32 {
 	return uint32(xxhash.Sum64String(address))
 }
 
-// placeBytes is the size of a Place before it is encoded as text.
-const placeBytes = 12
+// partLocationBytes is the size of a PartLocation before it is encoded as text.
+const partLocationBytes = 12
 
-var errPlace = errors.New("stores: a place can't be read")
+var errPartLocation = errors.New("stores: the key of a part location is malformed")
 
-// Key returns the place as the key of a row.
+// Key returns the location as the key of a row.
 func (p PartLocation) Key() string {
-	var b [placeBytes]byte
+	var b [partLocationBytes]byte
 	binary.BigEndian.PutUint32(b[:], p.Store)
 	binary.BigEndian.PutUint64(b[4:], p.Part)
 	return base64.RawStdEncoding.EncodeToString(b[:])
 }
 
-// ParsePartLocation returns the place of a row's key.
+// ParsePartLocation decodes the key of a row.
 func ParsePartLocation(key string) (PartLocation, error) {
 	b, err := base64.RawStdEncoding.DecodeString(key)
-	if err != nil || len(b) != placeBytes {
-		return PartLocation{}, errPlace
+	if err != nil || len(b) != partLocationBytes {
+		return PartLocation{}, errPartLocation
 	}
 	return PartLocation{Store: binary.BigEndian.Uint32(b), Part: binary.BigEndian.Uint64(b[4:])}, nil
 }
 
-// AtStore returns the part's place in the store at address.
+// AtStore returns the part's location in the store at address.
 func (p Part) AtStore(address string) PartLocation {
 	return PartLocation{Store: ShortAddress(address), Part: p.Hash()}
 }
 
-// Hash returns a short name of the part.
+// Hash returns a 64-bit hash of the part's salt and ID.
 func (p Part) Hash() uint64 {
 	return xxhash.Sum64String(p.Key(""))
 }
