--- a/internal/site/watch/doc.go
+++ b/internal/site/watch/doc.go
@@ -1,3 +1,3 @@
-// Package watch carries rows of a control replica's board to entries and other
+// Package watch sends rows of a control replica's row table to entries and other
 // replicas by long polls between processes.
 package watch
--- a/internal/site/watch/follower.go
+++ b/internal/site/watch/follower.go
@@ -15,72 +15,72 @@
 )
 
 const (
-	// answerSlack is what an answer may take beyond the wait: a round trip under loss.
-	answerSlack = 700 * time.Millisecond
-	// firstPause and maxPause bound the pause after a failure; it doubles.
-	firstPause = 50 * time.Millisecond
-	maxPause   = 500 * time.Millisecond
-	// firstPatience is how long the first answer of a replica may take until the next
-	// one is asked as well, beginPauses how many times as long as the answer took the
-	// pause before that is.
-	firstPatience = 200 * time.Millisecond
-	beginPauses   = 2
+	// answerMargin is how long an answer may take beyond the wait: a round trip with packet loss.
+	answerMargin = 700 * time.Millisecond
+	// firstBackoff and maxBackoff bound the backoff after a failure, which doubles.
+	firstBackoff = 50 * time.Millisecond
+	maxBackoff   = 500 * time.Millisecond
+	// firstAnswerTimeout is how long the first answer of a replica may take before the next
+	// replica is polled as well. After an answer in time the next replica is polled after a
+	// pause of firstPollPauseFactor times the duration of that answer.
+	firstAnswerTimeout   = 200 * time.Millisecond
+	firstPollPauseFactor = 2
 )
 
-// FollowerConfig is what a Follower needs.
+// FollowerConfig configures a Follower.
 type FollowerConfig struct {
-	// Method is the call that is made.
+	// Method is the RPC method that is polled.
 	Method rpc.Method[Poll, Answer]
 	// Node makes the calls.
 	Node rpc.Node
-	// Watcher names this process with its start.
+	// Watcher identifies this process and its start.
 	Watcher string
-	// Entry says that this process takes callers' requests.
+	// Entry is set when this process is an entry.
 	Entry bool
-	// Apply gets each answer of the replica at address to a poll that was sent at that time.
+	// Apply is called with each answer of the replica at address and the time when its poll was sent.
 	Apply func(address string, a Answer, sent time.Time)
-	// Prepare, if any, completes each poll of the replica at address before it is sent.
+	// Prepare, if set, completes each poll of the replica at address before it is sent.
 	Prepare func(address string, p *Poll)
-	// Sequential has replicas that weren't polled before asked one after the other, each
-	// once the one before it has answered or is slow, in an order of this process's own.
+	// Sequential has the first polls of replicas sent one after the other in random order,
+	// each once the previous replica has answered or is slow.
 	//
-	// A handshake costs a replica a millisecond. When hundreds of entries come back
-	// together and each asks all replicas at once, none gets an answer for seconds.
+	// A handshake costs a replica a millisecond. When hundreds of entries restart
+	// together and each polls all replicas at once, none gets an answer for seconds.
 	Sequential bool
 	// Logger takes the events.
 	Logger log.Interface
 }
 
-// Follower polls replicas, each by a goroutine of its own.
+// Follower polls replicas, each in its own goroutine.
 type Follower interface {
-	// Follow sets the addresses that are polled.
+	// Follow sets the addresses to poll.
 	Follow(ctx context.Context, addresses []string)
-	// SinceAnswer returns how long ago the replica at address answered, and false when it never did.
+	// SinceAnswer returns how long ago the replica at address last answered, and false when it never did.
 	SinceAnswer(address string) (time.Duration, bool)
-	// Wait returns once all polls have ended, after their context has.
+	// Wait returns once all polls have ended, which they do after their context has ended.
 	Wait()
 }
 
 type follower struct {
-	config FollowerConfig
-	mu     sync.Mutex
-	polls  map[string]context.CancelFunc
-	heard  map[string]time.Time
-	// queue are the replicas that wait for their first poll, queued says that somebody begins with them.
-	queue  []newcomer
-	queued bool
-	ended  sync.WaitGroup
+	config     FollowerConfig
+	mu         sync.Mutex
+	cancels    map[string]context.CancelFunc
+	lastAnswer map[string]time.Time
+	// queue holds the replicas that wait for their first poll; draining says that a goroutine sends these polls.
+	queue    []firstPoll
+	draining bool
+	running  sync.WaitGroup
 }
 
-// newcomer is a replica that is polled for the first time.
-type newcomer struct {
+// firstPoll is the first poll of a replica.
+type firstPoll struct {
 	address string
 	ctx     context.Context
 }
 
-// NewFollower returns a Follower of nobody.
+// NewFollower returns a Follower without addresses.
 func NewFollower(c FollowerConfig) Follower {
-	return &follower{config: c, polls: map[string]context.CancelFunc{}, heard: map[string]time.Time{}}
+	return &follower{config: c, cancels: map[string]context.CancelFunc{}, lastAnswer: map[string]time.Time{}}
 }
 
 // Follow implements Follower.
@@ -90,61 +90,61 @@
 	wanted := make(map[string]bool, len(addresses))
 	for _, a := range addresses {
 		wanted[a] = true
-		if _, ok := f.polls[a]; ok {
+		if _, ok := f.cancels[a]; ok {
 			continue
 		}
-		polling, cancel := context.WithCancel(ctx)
-		f.polls[a] = cancel
+		pollCtx, cancel := context.WithCancel(ctx)
+		f.cancels[a] = cancel
 		if f.config.Sequential {
-			f.queue = append(f.queue, newcomer{a, polling})
+			f.queue = append(f.queue, firstPoll{a, pollCtx})
 			continue
 		}
-		f.ended.Go(func() { f.poll(polling, a, func() {}) })
+		f.running.Go(func() { f.poll(pollCtx, a, func() {}) })
 	}
-	if len(f.queue) > 0 && !f.queued {
-		f.queued = true
-		f.ended.Go(f.begin)
+	if len(f.queue) > 0 && !f.draining {
+		f.draining = true
+		f.running.Go(f.drainQueue)
 	}
-	for a, cancel := range f.polls {
+	for a, cancel := range f.cancels {
 		if !wanted[a] {
 			cancel()
-			delete(f.polls, a)
+			delete(f.cancels, a)
 		}
 	}
 }
 
-// begin begins with those that wait, one after the other.
+// drainQueue sends the first polls in the queue one after the other.
 //
-// The pause after each grows with the time that its answer took: where replicas answer
-// at once all are polled within some hundredths of a second, where they are busy their
-// processor is left to what is more urgent. Who gives no answer is perhaps down, and
-// the next one is asked without a pause.
-func (f *follower) begin() {
+// The pause after each grows with the time that its answer took. When replicas answer
+// at once, all are polled within some hundredths of a second. When they are busy, their
+// CPU is left to more urgent work. A replica that doesn't answer may be down, so
+// the next one is polled without a pause.
+func (f *follower) drainQueue() {
 	for {
 		n, ok := f.next()
 		if !ok {
 			return
 		}
-		began, answered := time.Now(), make(chan struct{})
+		started, answered := time.Now(), make(chan struct{})
 		var once sync.Once
-		f.ended.Go(func() { f.poll(n.ctx, n.address, func() { once.Do(func() { close(answered) }) }) })
+		f.running.Go(func() { f.poll(n.ctx, n.address, func() { once.Do(func() { close(answered) }) }) })
 		select {
 		case <-answered:
-			wait.For(n.ctx, beginPauses*time.Since(began))
-		case <-time.After(firstPatience):
+			wait.For(n.ctx, firstPollPauseFactor*time.Since(started))
+		case <-time.After(firstAnswerTimeout):
 		case <-n.ctx.Done():
 		}
 	}
 }
 
-// next takes one of those that wait, drawn at random.
-func (f *follower) next() (newcomer, bool) {
+// next removes a random first poll from the queue.
+func (f *follower) next() (firstPoll, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.queue = slices.DeleteFunc(f.queue, func(n newcomer) bool { return n.ctx.Err() != nil })
+	f.queue = slices.DeleteFunc(f.queue, func(n firstPoll) bool { return n.ctx.Err() != nil })
 	if len(f.queue) == 0 {
-		f.queued = false
-		return newcomer{}, false
+		f.draining = false
+		return firstPoll{}, false
 	}
 	i := rand.IntN(len(f.queue))
 	n := f.queue[i]
@@ -156,32 +156,32 @@
 func (f *follower) SinceAnswer(address string) (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at, ok := f.heard[address]
+	at, ok := f.lastAnswer[address]
 	return time.Since(at), ok
 }
 
 // Wait implements Follower.
 func (f *follower) Wait() {
-	f.ended.Wait()
+	f.running.Wait()
 }
 
-// poll asks the replica at address until ctx ends, and calls answered at its answers.
+// poll polls the replica at address until ctx ends, and calls answered after each answer.
 func (f *follower) poll(ctx context.Context, address string, answered func()) {
-	// What a replica knows already is wanted at once, also where it is nothing yet.
+	// The first poll does not wait for a change: the replica answers at once, even when it has no rows yet.
 	p := Poll{Watcher: f.config.Watcher, Entry: f.config.Entry}
-	pause, lost := firstPause, true
+	backoff, lost := firstBackoff, true
 	for ctx.Err() == nil {
 		f.prepare(address, &p)
 		sent := time.Now()
-		a, err := f.ask(ctx, address, p)
+		a, err := f.call(ctx, address, p)
 		if err != nil {
 			if !lost {
 				lost = true
 				event.ReplicaLost.Write(f.config.Logger, log.Fields{"replica": address, "error": err.Error()})
 			}
-			wait.For(ctx, pause)
-			pause = min(2*pause, maxPause)
-			// What was missed is wanted now, and whether anything was.
+			wait.For(ctx, backoff)
+			backoff = min(2*backoff, maxBackoff)
+			// After a failure the next poll does not wait for a change, so that missed rows arrive at once.
 			p.Wait = 0
 			continue
 		}
@@ -190,17 +190,18 @@
 			event.ReplicaRegained.Write(f.config.Logger, log.Fields{"replica": address, "epoch": a.Epoch, "rows": len(a.Rows)})
 		}
 		answered()
-		pause = firstPause
+		backoff = firstBackoff
 		p.Wait = maxWait
 		p.Epoch, p.Revision, p.CatchingUp = a.Epoch, a.Revision, a.More
 		f.mu.Lock()
-		f.heard[address] = time.Now()
+		f.lastAnswer[address] = time.Now()
 		f.mu.Unlock()
 		f.config.Apply(address, a, sent)
 	}
 }
 
-// prepare completes a poll. What was left out while another replica relayed it is asked for again.
+// prepare completes a poll. When rows are no longer relayed by another replica, all rows are
+// requested again, since relayed ones were left out of the answers.
 func (f *follower) prepare(address string, p *Poll) {
 	if f.config.Prepare == nil {
 		return
@@ -212,8 +213,8 @@
 	}
 }
 
-func (f *follower) ask(ctx context.Context, address string, p Poll) (Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, p.Wait+answerSlack)
+func (f *follower) call(ctx context.Context, address string, p Poll) (Answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, p.Wait+answerMargin)
 	defer cancel()
 	return rpc.Call(ctx, f.config.Node, address, f.config.Method, p)
 }
--- a/internal/site/watch/rounds.go
+++ b/internal/site/watch/rounds.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// rounds are the moments at which changes are answered.
+// rounds schedules the times at which polls are answered.
 type rounds struct {
-	// last is the latest one that was asked for.
+	// last is the time of the latest scheduled round.
 	last time.Time
 }
 
-// next returns when a change that is there now is answered: with the round that is
-// being gathered, or in a moment when the last one is at least pause ago.
+// next returns when a change that exists now is answered: in the round that is
+// already scheduled, or after batchDelay when the last round is at least interval ago.
 //
-// Were each change gathered for as long as continual ones must be, an order or a
-// document that comes after a quiet time would wait for nothing.
-func (r *rounds) next(now time.Time, pause time.Duration) time.Time {
+// If each change were delayed for as long as continual ones must be, an order or a
+// document that arrives after a quiet time would wait for no benefit.
+func (r *rounds) next(now time.Time, interval time.Duration) time.Time {
 	if now.Before(r.last) {
 		return r.last
 	}
-	soon, due := now.Add(batchPause), r.last.Add(pause)
-	r.last = soon
-	if due.After(soon) {
-		r.last = due
+	batched, spaced := now.Add(batchDelay), r.last.Add(interval)
+	r.last = batched
+	if spaced.After(batched) {
+		r.last = spaced
 	}
 	return r.last
 }
--- a/internal/site/watch/server.go
+++ b/internal/site/watch/server.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// maxWait bounds a poll; a watcher that hears nothing for longer takes the replica for lost.
+	// maxWait bounds a poll; a watcher that gets no answer for longer considers the replica lost.
 	maxWait = time.Second
-	// batchPause lets changes that come together travel in one answer while few
-	// watch. The time between two rounds of answers grows with the square of the
-	// watchers, since with their number the changes become more as well as the answers
-	// to each, and mostPause bounds it: a change must be in force everywhere soon.
-	batchPause  = 3 * time.Millisecond
-	fewWatchers = 14
-	mostPause   = 400 * time.Millisecond
-	// watcherTimeout is how long a watcher counts after its last poll: some lost polls.
+	// batchDelay lets changes that occur together be sent in one answer while there are at most
+	// fewWatchers watchers. Beyond that the time between two rounds of answers grows with the square
+	// of the number of watchers, since both the changes and the answers to each grow with it.
+	// maxRoundInterval bounds it, because a change must take effect everywhere soon.
+	batchDelay       = 3 * time.Millisecond
+	fewWatchers      = 14
+	maxRoundInterval = 400 * time.Millisecond
+	// watcherTimeout is how long a watcher is counted after its last poll; it allows for some lost polls.
 	watcherTimeout = 12 * time.Second
 )
 
-// Config is what a Server needs.
+// Config configures a Server.
 type Config struct {
-	// Method is the call that is answered.
+	// Method is the RPC method that is served.
 	Method rpc.Method[Poll, Answer]
 	// Zone is the replica's availability zone.
 	Zone string
-	// Excluded returns whether rows of the topic are left out for watchers that get them from a relay; nil for none.
+	// Excluded returns whether rows of the topic are left out for watchers that get them from a relay; nil excludes none.
 	Excluded func(t rowtable.Topic) bool
-	// Pause returns the time between two rounds of answers to so many watchers; nil grows with their square.
+	// Pause returns the time between two rounds of answers to the given number of watchers; nil means that it grows with their square.
 	Pause func(watchers int) time.Duration
-	// Node takes the polls.
+	// Node serves the polls.
 	Node rpc.Node
 	// Table holds the rows.
 	Table rowtable.Table
-	// BatchReplicas has replicas answered in rounds too; else what they are told comes at once.
+	// BatchReplicas answers replicas in rounds too; otherwise they are answered after a short batching delay.
 	BatchReplicas bool
-	// CaughtUp says whether the replica is up to date.
+	// CaughtUp returns whether the replica is up to date.
 	CaughtUp func() bool
 	// Holder returns the fencing number of the lease that this replica holds, zero for none, and the servers' clock.
 	Holder func() (fencing uint64, clock int64)
@@ -48,30 +48,31 @@
 
 // Server answers polls.
 type Server interface {
-	// AwaitReplicas returns true once n other replicas have all rows up to number, false when ctx ends before.
-	AwaitReplicas(ctx context.Context, number uint64, n int) bool
-	// Entries returns how many entries polled lately.
+	// AwaitReplicas returns true once n other replicas have all rows up to revision, false when ctx ends first.
+	AwaitReplicas(ctx context.Context, revision uint64, n int) bool
+	// Entries returns how many entries polled recently.
 	Entries() int
-	// AcknowledgedRevision returns the number up to which all entries have the rows that polled within the given time, here or at a relay.
+	// AcknowledgedRevision returns the revision up to which all entries that polled within the given time, here or at a relay, have the rows.
 	AcknowledgedRevision(within time.Duration) uint64
 }
 
 type watcher struct {
-	entry  bool
-	number uint64
-	polled time.Time
-	// relayed and relay are as in a Poll; known is the relay's.
+	entry    bool
+	revision uint64
+	polledAt time.Time
+	// relayed, relay and acknowledged are as in a Poll.
 	relayed, relay bool
-	known          uint64
+	acknowledged   uint64
 }
 
-// has returns the number up to which the entries have the rows on stores and orders
-// that get them from this replica, directly or over the watcher; ok is false for none.
-func (w watcher) has() (number uint64, ok bool) {
+// entryRevision returns the revision up to which entries have the rows about stores and orders
+// that they get from this replica, either directly or through the watcher as their relay.
+// ok is false when the watcher represents no such entries.
+func (w watcher) entryRevision() (revision uint64, ok bool) {
 	if w.relay {
-		return w.known, true
+		return w.acknowledged, true
 	}
-	return w.number, w.entry && !w.relayed
+	return w.revision, w.entry && !w.relayed
 }
 
 type server struct {
@@ -82,11 +83,11 @@
 	rounds   rounds
 }
 
-// NewServer registers the call and returns its Server; it is called before the node serves.
+// NewServer registers the call and returns its Server; call it before the node serves.
 func NewServer(c Config) Server {
 	s := &server{Config: c, watchers: map[string]watcher{}, advanced: make(chan struct{})}
 	if s.Pause == nil {
-		s.Pause = pauseFor
+		s.Pause = defaultRoundInterval
 	}
 	rpc.Handle(c.Node, c.Method, s.watch)
 	return s
@@ -96,44 +97,44 @@
 	if p.Epoch != s.Table.Epoch() {
 		p.Revision = 0
 	}
-	s.note(p)
+	s.recordPoll(p)
 	ctx, cancel := context.WithTimeout(ctx, min(max(p.Wait, 0), maxWait))
 	defer cancel()
-	rows, number := s.await(ctx, p)
-	a := Answer{Epoch: s.Table.Epoch(), Revision: number, Rows: rows, More: s.Table.ChangedAfter(number), CaughtUp: s.CaughtUp(), Entries: s.Entries(), Zone: s.Zone}
+	rows, revision := s.await(ctx, p)
+	a := Answer{Epoch: s.Table.Epoch(), Revision: revision, Rows: rows, More: s.Table.ChangedAfter(revision), CaughtUp: s.CaughtUp(), Entries: s.Entries(), Zone: s.Zone}
 	a.Fencing, a.Clock = s.Holder()
 	return a, nil
 }
 
 // await returns the rows that the watcher lacks, as soon as there are any or ctx ends,
-// and the number up to which they go.
+// and the revision up to which they go.
 func (s *server) await(ctx context.Context, p Poll) ([]rowtable.Row, uint64) {
-	// Who has much to catch up with gets the next piece at once.
-	catching := p.CatchingUp && s.Table.ChangedAfter(p.Revision)
-	for number := p.Revision; ; {
-		s.Table.Wait(ctx, number)
-		if ctx.Err() == nil && !catching {
-			s.gather(p)
+	// A watcher that is catching up gets its next rows at once.
+	catchingUp := p.CatchingUp && s.Table.ChangedAfter(p.Revision)
+	for revision := p.Revision; ; {
+		s.Table.Wait(ctx, revision)
+		if ctx.Err() == nil && !catchingUp {
+			s.awaitRound(p)
 		}
 		var rows []rowtable.Row
-		rows, number = s.Table.Since(number)
+		rows, revision = s.Table.Since(revision)
 		if p.Relayed && s.Excluded != nil {
 			rows = slices.DeleteFunc(rows, func(r rowtable.Row) bool { return s.Excluded(r.Topic) })
 		}
 		if len(rows) > 0 || ctx.Err() != nil {
-			return rows, number
+			return rows, revision
 		}
 	}
 }
 
-// gather waits for the round in which the poll is answered. Replicas are few, and what
-// they are told they pass on.
-func (s *server) gather(p Poll) {
+// awaitRound waits for the round in which the poll is answered. Unless BatchReplicas is set,
+// replicas wait only batchDelay: they are few, and they relay the rows.
+func (s *server) awaitRound(p Poll) {
 	if !p.Entry && !s.BatchReplicas {
-		time.Sleep(batchPause)
+		time.Sleep(batchDelay)
 		return
 	}
-	// Rounds are mostPause or Pause apart at most, and the poll's caller waits for longer.
+	// Rounds are at most maxRoundInterval or Pause apart, and the poll's caller waits for longer.
 	time.Sleep(time.Until(s.nextRound(time.Now())))
 }
 
@@ -143,33 +144,33 @@
 	return s.rounds.next(now, s.Pause(len(s.watchers)))
 }
 
-// pauseFor returns how long changes are gathered for so many watchers.
-func pauseFor(watchers int) time.Duration {
+// defaultRoundInterval returns how long changes are batched for the given number of watchers.
+func defaultRoundInterval(watchers int) time.Duration {
 	if watchers <= fewWatchers {
-		return batchPause
+		return batchDelay
 	}
 	x := float64(watchers) / fewWatchers
-	return min(mostPause, time.Duration(x*x*float64(batchPause)))
+	return min(maxRoundInterval, time.Duration(x*x*float64(batchDelay)))
 }
 
-// note remembers how far the watcher is.
-func (s *server) note(p Poll) {
+// recordPoll records which revision the watcher has.
+func (s *server) recordPoll(p Poll) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.watchers[p.Watcher] = watcher{
-		entry: p.Entry, number: p.Revision, polled: time.Now(), relayed: p.Relayed, relay: p.Relay, known: p.Acknowledged,
+		entry: p.Entry, revision: p.Revision, polledAt: time.Now(), relayed: p.Relayed, relay: p.Relay, acknowledged: p.Acknowledged,
 	}
 	close(s.advanced)
 	s.advanced = make(chan struct{})
 }
 
 // AwaitReplicas implements Server.
-func (s *server) AwaitReplicas(ctx context.Context, number uint64, n int) bool {
+func (s *server) AwaitReplicas(ctx context.Context, revision uint64, n int) bool {
 	for {
 		s.mu.Lock()
 		have, advanced := 0, s.advanced
 		for _, w := range s.watchers {
-			if !w.entry && w.number >= number {
+			if !w.entry && w.revision >= revision {
 				have++
 			}
 		}
@@ -192,7 +193,7 @@
 	n := 0
 	for name, w := range s.watchers {
 		switch {
-		case time.Since(w.polled) > watcherTimeout:
+		case time.Since(w.polledAt) > watcherTimeout:
 			delete(s.watchers, name)
 		case w.entry:
 			n++
@@ -205,11 +206,11 @@
 func (s *server) AcknowledgedRevision(within time.Duration) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := ^uint64(0)
+	acknowledged := ^uint64(0)
 	for _, w := range s.watchers {
-		if number, ok := w.has(); ok && time.Since(w.polled) <= within {
-			known = min(known, number)
+		if revision, ok := w.entryRevision(); ok && time.Since(w.polledAt) <= within {
+			acknowledged = min(acknowledged, revision)
 		}
 	}
-	return known
+	return acknowledged
 }
--- a/internal/site/watch/watch_test.go
+++ b/internal/site/watch/watch_test.go
@@ -43,35 +43,35 @@
 	return n, s
 }
 
-// Guards against a single change waiting as long as continual ones, and continual ones being answered too often.
-func TestChangeAfterAQuietTimeIsAnsweredAtOnce(t *testing.T) {
+// Guards against a single change waiting as long as continual ones, and against answering continual ones too often.
+func TestChangeAfterQuietTimeIsAnsweredAtOnce(t *testing.T) {
 	var r rounds
-	next := func(now time.Time) time.Time { return r.next(now, pauseFor(300)) }
+	next := func(now time.Time) time.Time { return r.next(now, defaultRoundInterval(300)) }
 	start := time.Unix(100, 0)
-	if at := next(start); at.Sub(start) > batchPause {
+	if at := next(start); at.Sub(start) > batchDelay {
 		t.Errorf("the first change waits for %s", at.Sub(start))
 	}
 	answered := map[time.Time]bool{}
 	for ms := range 10_000 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
 		at := next(now)
-		if wait := at.Sub(now); wait > mostPause {
+		if wait := at.Sub(now); wait > maxRoundInterval {
 			t.Fatalf("a change waits for %s", wait)
 		}
 		answered[at] = true
 	}
-	if most := int(10*time.Second/mostPause) + 1; len(answered) > most {
-		t.Errorf("%d rounds of answers in ten seconds of continual changes, %d at most", len(answered), most)
+	if maxRounds := int(10*time.Second/maxRoundInterval) + 1; len(answered) > maxRounds {
+		t.Errorf("%d rounds of answers in ten seconds of continual changes, %d at most", len(answered), maxRounds)
 	}
 	quiet := start.Add(time.Minute)
-	if at := next(quiet); at.Sub(quiet) > batchPause {
+	if at := next(quiet); at.Sub(quiet) > batchDelay {
 		t.Errorf("a change after a quiet time waits for %s", at.Sub(quiet))
 	}
 }
 
-// Guards against relays answering each other at each change of their hints.
+// Guards against relays answering each other after each single change of their hints.
 func TestHintsBetweenRelaysComeInRounds(t *testing.T) {
-	// In 0.4 s there are two rounds, one before them and one that ends later.
+	// 0.4 s has two rounds, plus one before them and one that ends later.
 	const changes, pause, rounds = 40, 200 * time.Millisecond, 4
 	for allInRounds, enough := range map[bool]func(n int) bool{
 		true:  func(n int) bool { return n <= rounds },
@@ -97,15 +97,15 @@
 			p.Epoch, p.Revision = a.Epoch, a.Revision
 		}
 		if !enough(answers) {
-			t.Errorf("in rounds %v: %d answers to %d changes", allInRounds, answers, changes)
+			t.Errorf("BatchReplicas %v: %d answers to %d changes", allInRounds, answers, changes)
 		}
 	}
 }
 
-// A replica has just started and owes thousands of rows to every entry. Sent as
-// one answer they would not be through before the poll times out, the poll would
-// begin anew, and no entry would learn where any part lies.
-func TestThousandsOfRowsComeInPieces(t *testing.T) {
+// Guards against a single answer with all rows after a replica has started. Thousands of rows
+// wouldn't arrive before the poll times out, the poll would start again from the
+// beginning, and no entry would learn the location of any part.
+func TestThousandsOfRowsAreSplitIntoAnswers(t *testing.T) {
 	const rows = 8000
 	b := rowtable.New(1)
 	for i := range rows {
@@ -113,7 +113,7 @@
 	}
 	server, _ := serving(t, b)
 	var mu sync.Mutex
-	got, most := map[string]bool{}, 0
+	got, maxBytes := map[string]bool{}, 0
 	done := make(chan struct{})
 	f := NewFollower(FollowerConfig{Method: Watch, Node: node(t, keys.Entry), Watcher: "e", Entry: true, Apply: func(_ string, a Answer, _ time.Time) {
 		mu.Lock()
@@ -123,7 +123,7 @@
 			got[r.Key] = true
 			bytes += len(r.Key) + len(r.Value)
 		}
-		most = max(most, bytes)
+		maxBytes = max(maxBytes, bytes)
 		if len(got) == rows {
 			select {
 			case <-done:
@@ -137,39 +137,39 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Errorf("%d of %d rows came", len(got), rows)
+		t.Errorf("%d of %d rows arrived", len(got), rows)
 	}
 	cancel()
 	f.Wait()
-	if most > 64<<10 {
-		t.Errorf("one answer had %d bytes", most)
+	if maxBytes > 64<<10 {
+		t.Errorf("one answer had %d bytes", maxBytes)
 	}
 }
 
-// A server that leaves is acknowledged only once another replica has the news.
+// A leaving server's announcement is acknowledged only once another replica has its row.
 func TestAwaitReplicas(t *testing.T) {
 	b := rowtable.New(1)
 	server, s := serving(t, b)
-	number := b.Put(2, "s", []byte("leaving"))
-	short, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
+	revision := b.Put(2, "s", []byte("leaving"))
+	shortCtx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	if s.AwaitReplicas(short, number, 1) {
-		t.Fatal("nobody can have the news yet")
+	if s.AwaitReplicas(shortCtx, revision, 1) {
+		t.Fatal("no replica polled, but one is said to have the row")
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	f := NewFollower(FollowerConfig{Method: Watch, Node: node(t, keys.Control), Watcher: "r", Apply: func(string, Answer, time.Time) {}})
 	f.Follow(ctx, []string{server.Address()})
-	long, cancelLong := context.WithTimeout(t.Context(), 10*time.Second)
+	longCtx, cancelLong := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancelLong()
-	if !s.AwaitReplicas(long, number, 1) {
-		t.Error("the other replica never had the news")
+	if !s.AwaitReplicas(longCtx, revision, 1) {
+		t.Error("the other replica never got the row")
 	}
 	stop()
 	f.Wait()
 }
 
-// Guards against hundreds of entries that come back together asking all replicas at once.
-func TestReplicasAreAskedOneByOne(t *testing.T) {
+// Guards against hundreds of entries that restart together polling all replicas at once.
+func TestReplicasArePolledOneByOne(t *testing.T) {
 	const silent = 3
 	asked := make(chan string, 1000)
 	var addresses []string
@@ -196,17 +196,17 @@
 	defer cancel()
 	f.Follow(ctx, addresses)
 	seen := map[string]bool{}
-	half := time.After(firstPatience / 2)
+	halfTimeout := time.After(firstAnswerTimeout / 2)
 	for more := true; more; {
 		select {
 		case a := <-asked:
 			seen[a] = true
-		case <-half:
+		case <-halfTimeout:
 			more = false
 		}
 	}
 	if len(seen) != 1 {
-		t.Errorf("%d replicas were asked at once", len(seen))
+		t.Errorf("%d replicas were polled at once", len(seen))
 	}
 	end := time.After(10 * time.Second)
 	for len(seen) < silent {
@@ -214,7 +214,7 @@
 		case a := <-asked:
 			seen[a] = true
 		case <-end:
-			t.Fatalf("%d of %d replicas were asked while the others gave no answer", len(seen), silent)
+			t.Fatalf("%d of %d replicas were polled while the others gave no answer", len(seen), silent)
 		}
 	}
 }
