--- a/internal/site/rowtable/doc.go
+++ b/internal/site/rowtable/doc.go
@@ -1,3 +1,3 @@
-// Package rowtable holds rows that processes of a site watch: each row carries the
-// number of its last change, so that a watcher gets just what it lacks.
+// Package rowtable holds rows that processes of a site watch. Each row has the
+// revision of its last change, so that a watcher gets just the rows that it lacks.
 package rowtable
--- a/internal/site/rowtable/row.go
+++ b/internal/site/rowtable/row.go
@@ -1,16 +1,16 @@
 package rowtable
 
-// Row is one piece of what a replica believes.
+// Row is one record of a replica's table.
 type Row struct {
-	// Rows travel without the names of their fields: a large site has thousands.
+	// Rows are encoded without field names: a large site has thousands.
 	_ struct{} `cbor:",toarray"`
-	// Topic says what the value is.
+	// Topic determines the type of the value.
 	Topic Topic
-	// Key names the row within its topic.
+	// Key identifies the row within its topic.
 	Key string
-	// Value is the encoded value; empty when the row is gone.
+	// Value is the encoded value; empty when the row was removed.
 	Value []byte
 }
 
-// Topic is a kind of rows.
+// Topic is a kind of row.
 type Topic uint8
--- a/internal/site/rowtable/table.go
+++ b/internal/site/rowtable/table.go
@@ -7,130 +7,133 @@
 )
 
 // MaxAnswerBytes bounds the rows of one answer; the rest follows at once. A larger row
-// comes by itself and may not be through in time. An
-// answer has to be through before its poll times out, also when a replica that has
-// just started owes all rows to a hundred watchers: one that isn't begins anew, and
-// the watchers would never learn anything.
+// is sent alone and may not arrive in time.
+//
+// An answer has to arrive before its poll times out, even when a replica that has
+// just started sends all rows to a hundred watchers. Otherwise the poll would start again
+// from the beginning, and the watchers would never get any rows.
 const MaxAnswerBytes = 64 << 10
 
-// rowBytes is what a row takes besides its key and value.
+// rowBytes is the encoded size of a row besides its key and value.
 const rowBytes = 8
 
-// Table is a set of rows with the numbers of their changes.
+// Table is a set of rows with the revisions of their last changes.
 type Table interface {
-	// Epoch is a number that differs after each start of the process.
+	// Epoch returns a number that changes with each start of the process.
 	Epoch() uint64
-	// Put sets a row and returns the number of its last change; an equal value changes nothing.
+	// Put sets a row and returns the revision of its last change; an equal value changes nothing.
 	Put(topic Topic, key string, value []byte) uint64
-	// Since returns the rows that changed after the given number, the oldest first, and the number up to which they go.
-	Since(number uint64) ([]Row, uint64)
-	// ChangedAfter returns whether there are changes after number.
-	ChangedAfter(number uint64) bool
-	// Wait returns once there is a change after number, or ctx ends.
-	Wait(ctx context.Context, number uint64)
+	// Since returns the rows that changed after the given revision, the oldest change first, and the revision up to which they go.
+	Since(revision uint64) ([]Row, uint64)
+	// ChangedAfter returns whether there are changes after revision.
+	ChangedAfter(revision uint64) bool
+	// Wait returns once there is a change after revision, or ctx ends.
+	Wait(ctx context.Context, revision uint64)
 }
 
-type id struct {
+type rowID struct {
 	topic Topic
 	key   string
 }
 
-type entry struct {
-	row     Row
-	changed uint64
+// revisedRow is a row with the revision of its last change.
+type revisedRow struct {
+	row      Row
+	revision uint64
 }
 
-type board struct {
+type table struct {
 	epoch uint64
 	mu    sync.Mutex
-	rows  map[id]*entry
-	// order holds the rows by their last change; a row that changed again
-	// leaves a stale place behind that is passed over and swept now and then.
-	order  []place
-	last   uint64
-	signal chan struct{}
+	rows  map[rowID]*revisedRow
+	// changes holds the changes in their order. A row that changes again leaves a
+	// stale change behind, which is skipped and removed by compact later.
+	changes []change
+	last    uint64
+	signal  chan struct{}
 }
 
-type place struct {
-	id      id
-	changed uint64
+// change records that a row changed at a revision.
+type change struct {
+	id       rowID
+	revision uint64
 }
 
-// New returns an empty Board.
+// New returns an empty Table.
 func New(epoch uint64) Table {
-	return &board{epoch: epoch, rows: map[id]*entry{}, signal: make(chan struct{})}
+	return &table{epoch: epoch, rows: map[rowID]*revisedRow{}, signal: make(chan struct{})}
 }
 
-// Epoch implements Board.
-func (b *board) Epoch() uint64 {
-	return b.epoch
+// Epoch implements Table.
+func (t *table) Epoch() uint64 {
+	return t.epoch
 }
 
-// Put implements Board.
-func (b *board) Put(topic Topic, key string, value []byte) uint64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	i := id{topic, key}
-	e, ok := b.rows[i]
+// Put implements Table.
+func (t *table) Put(topic Topic, key string, value []byte) uint64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	id := rowID{topic, key}
+	e, ok := t.rows[id]
 	if ok && bytes.Equal(e.row.Value, value) {
-		return e.changed
+		return e.revision
 	}
 	if !ok {
-		e = &entry{}
-		b.rows[i] = e
+		e = &revisedRow{}
+		t.rows[id] = e
 	}
-	b.last++
+	t.last++
 	e.row = Row{Topic: topic, Key: key, Value: value}
-	e.changed = b.last
-	b.order = append(b.order, place{i, b.last})
-	b.sweep()
-	close(b.signal)
-	b.signal = make(chan struct{})
-	return b.last
+	e.revision = t.last
+	t.changes = append(t.changes, change{id, t.last})
+	t.compact()
+	close(t.signal)
+	t.signal = make(chan struct{})
+	return t.last
 }
 
-// sweep drops stale places once they outnumber the rows.
-func (b *board) sweep() {
+// compact removes stale changes once they outnumber the rows.
+func (t *table) compact() {
 	const slack = 64
-	if len(b.order) < 2*len(b.rows)+slack {
+	if len(t.changes) < 2*len(t.rows)+slack {
 		return
 	}
-	kept := b.order[:0]
-	for _, p := range b.order {
-		if b.rows[p.id].changed == p.changed {
-			kept = append(kept, p)
+	kept := t.changes[:0]
+	for _, c := range t.changes {
+		if t.rows[c.id].revision == c.revision {
+			kept = append(kept, c)
 		}
 	}
-	b.order = kept
+	t.changes = kept
 }
 
-// Since implements Board.
-func (b *board) Since(number uint64) ([]Row, uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Since implements Table.
+func (t *table) Since(revision uint64) ([]Row, uint64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var rows []Row
 	size := 0
-	for _, p := range b.order[b.after(number):] {
-		e := b.rows[p.id]
-		if e.changed != p.changed {
+	for _, c := range t.changes[t.after(revision):] {
+		e := t.rows[c.id]
+		if e.revision != c.revision {
 			continue
 		}
 		bytes := len(e.row.Key) + len(e.row.Value) + rowBytes
 		if size > 0 && size+bytes > MaxAnswerBytes {
-			return rows, p.changed - 1
+			return rows, c.revision - 1
 		}
 		size += bytes
 		rows = append(rows, e.row)
 	}
-	return rows, b.last
+	return rows, t.last
 }
 
-// after returns the first place of a change after number.
-func (b *board) after(number uint64) int {
-	low, high := 0, len(b.order)
+// after returns the index in changes of the first change after revision.
+func (t *table) after(revision uint64) int {
+	low, high := 0, len(t.changes)
 	for low < high {
 		middle := (low + high) / 2
-		if b.order[middle].changed > number {
+		if t.changes[middle].revision > revision {
 			high = middle
 		} else {
 			low = middle + 1
@@ -139,20 +142,20 @@
 	return low
 }
 
-// ChangedAfter implements Board.
-func (b *board) ChangedAfter(number uint64) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.last > number
+// ChangedAfter implements Table.
+func (t *table) ChangedAfter(revision uint64) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.last > revision
 }
 
-// Wait implements Board.
-func (b *board) Wait(ctx context.Context, number uint64) {
+// Wait implements Table.
+func (t *table) Wait(ctx context.Context, revision uint64) {
 	for {
-		b.mu.Lock()
-		last, signal := b.last, b.signal
-		b.mu.Unlock()
-		if last > number {
+		t.mu.Lock()
+		last, signal := t.last, t.signal
+		t.mu.Unlock()
+		if last > revision {
 			return
 		}
 		select {
