--- a/internal/site/topic/doc.go
+++ b/internal/site/topic/doc.go
@@ -1,3 +1,3 @@
-// Package topic names the rows that control replicas show on their boards and
-// the types of their values.
+// Package topic defines the topics of rows in the row tables of control replicas
+// and the types of their values.
 package topic
--- a/internal/site/topic/topic_test.go
+++ b/internal/site/topic/topic_test.go
@@ -6,10 +6,9 @@
 	"hornbeamwood/internal/site/rowtable"
 )
 
-// While a site is brought to a new release, processes of both talk to each other. One
-// that reads a row of another shape under a number that it knows takes it for what it
-// isn't, or knows no server at all; under a number that it doesn't know it passes it
-// over. So each topic has a number of its own, and none has that of a retired one.
+// Guards against a reused topic number. During an upgrade processes of two releases exchange
+// rows: one that gets a row of another format under a number that it knows misreads it, or
+// knows no server at all. A row under an unknown number is ignored.
 func TestNumbersAreNeverReused(t *testing.T) {
 	retired := map[rowtable.Topic]bool{1: true, 2: true, 5: true}
 	seen := map[rowtable.Topic]bool{}
@@ -17,7 +16,7 @@
 		DocumentChunks, Servers, Members, Versions, Parts, StoresUp, Weights, Busy, Prefills, Loads, Epochs, EngineCaches, NamedAt, StoreSummaries,
 	} {
 		if retired[x] || seen[x] {
-			t.Errorf("number %d is used again", x)
+			t.Errorf("number %d is reused", x)
 		}
 		seen[x] = true
 	}
