--- a/internal/site/parts/doc.go
+++ b/internal/site/parts/doc.go
@@ -1,4 +1,4 @@
-// Package parts keeps where pieces of prompts lie: whole in stores, as the
-// control replicas tell, and probably in the memory of engines, as this entry
-// remembers from what it sent there.
+// Package parts tracks which parts of prompts are cached in the memory of engines, as
+// engines report them and, where no report is available, as this entry infers them
+// from the requests that it sent.
 package parts
--- a/internal/site/parts/engine_cache.go
+++ b/internal/site/parts/engine_cache.go
@@ -5,96 +5,97 @@
 	"time"
 )
 
-// guess is a part that was sent to an engine.
-type guess struct {
+// assumedPart is a part of a request that was sent to an engine, which is assumed to have cached it.
+type assumedPart struct {
 	hash   uint64
 	tokens int
 	since  time.Time
 }
 
-// engine is what is known of one engine's memory.
-type engine struct {
-	// order holds the guesses, the latest used in front: what was used longest ago is gone first.
-	order   *list.List
-	guesses map[uint64]*list.Element
-	used    int
-	// kept is what the engine says of itself, of parts of at least so many tokens; nil when it isn't known.
-	kept  map[uint64]int
-	least int
+// engineCache is what is known of one engine's memory.
+type engineCache struct {
+	// lru holds the assumed parts, the most recently used first: the least recently used is evicted first.
+	lru           *list.List
+	assumed       map[uint64]*list.Element
+	assumedTokens int
+	// reported are the cached tokens of each part as the engine reports them, for parts of at least
+	// minReported tokens; nil when there is no report.
+	reported    map[uint64]int
+	minReported int
 }
 
-func newEngine() *engine {
-	return &engine{order: list.New(), guesses: map[uint64]*list.Element{}}
+func newEngineCache() *engineCache {
+	return &engineCache{lru: list.New(), assumed: map[uint64]*list.Element{}}
 }
 
-// note remembers a part that is sent there and returns those that must be gone for it.
-func (e *engine) note(h uint64, tokens, capacity int, now time.Time) (gone []uint64) {
-	if at, ok := e.guesses[h]; ok {
-		e.order.MoveToFront(at)
-		g := at.Value.(guess)
-		if e.followed(g.tokens) && now.Sub(g.since) > pendingFor {
-			at.Value = guess{h, tokens, now}
+// recordSent records a part that is sent to the engine and returns the parts that are assumed to be evicted for it.
+func (e *engineCache) recordSent(h uint64, tokens, capacity int, now time.Time) (evicted []uint64) {
+	if element, ok := e.assumed[h]; ok {
+		e.lru.MoveToFront(element)
+		part := element.Value.(assumedPart)
+		if e.reportsSize(part.tokens) && now.Sub(part.since) > pendingTimeout {
+			element.Value = assumedPart{h, tokens, now}
 		}
 		return nil
 	}
-	e.guesses[h] = e.order.PushFront(guess{h, tokens, now})
-	e.used += tokens
-	for e.used > int(memoryShare*float64(capacity)) && e.order.Len() > 1 {
-		last := e.order.Back().Value.(guess)
-		e.drop(last.hash)
-		if _, ok := e.kept[last.hash]; !ok {
-			gone = append(gone, last.hash)
+	e.assumed[h] = e.lru.PushFront(assumedPart{h, tokens, now})
+	e.assumedTokens += tokens
+	for e.assumedTokens > int(cachedShare*float64(capacity)) && e.lru.Len() > 1 {
+		oldest := e.lru.Back().Value.(assumedPart)
+		e.remove(oldest.hash)
+		if _, ok := e.reported[oldest.hash]; !ok {
+			evicted = append(evicted, oldest.hash)
 		}
 	}
-	return gone
+	return evicted
 }
 
-func (e *engine) drop(h uint64) {
-	at, ok := e.guesses[h]
+func (e *engineCache) remove(h uint64) {
+	element, ok := e.assumed[h]
 	if !ok {
 		return
 	}
-	e.used -= e.order.Remove(at).(guess).tokens
-	delete(e.guesses, h)
+	e.assumedTokens -= e.lru.Remove(element).(assumedPart).tokens
+	delete(e.assumed, h)
 }
 
-// followed returns whether the engine says of parts of that size whether it has them.
-func (e *engine) followed(tokens int) bool {
-	return e.kept != nil && tokens >= e.least
+// reportsSize returns whether the engine reports parts of that size.
+func (e *engineCache) reportsSize(tokens int) bool {
+	return e.reported != nil && tokens >= e.minReported
 }
 
-// confirm takes what the engine says of itself and returns the parts that it has dropped.
-func (e *engine) confirm(kept map[uint64]int, least int) (gone []uint64) {
-	for h := range e.kept {
-		if _, ok := kept[h]; !ok {
-			e.drop(h)
-			gone = append(gone, h)
+// applyReport applies a report of the engine and returns the parts that it has evicted.
+func (e *engineCache) applyReport(reported map[uint64]int, minReported int) (evicted []uint64) {
+	for h := range e.reported {
+		if _, ok := reported[h]; !ok {
+			e.remove(h)
+			evicted = append(evicted, h)
 		}
 	}
-	e.kept, e.least = kept, least
-	return gone
+	e.reported, e.minReported = reported, minReported
+	return evicted
 }
 
-// holds returns whether the engine has the part, and since when it is guessed to.
-func (e *engine) holds(h uint64, tokens int, now time.Time) (time.Time, bool) {
-	if n, ok := e.kept[h]; ok {
-		return time.Time{}, n+partialSlack >= tokens
+// holds returns whether the engine has the part, and for an assumed part since when.
+func (e *engineCache) holds(h uint64, tokens int, now time.Time) (time.Time, bool) {
+	if n, ok := e.reported[h]; ok {
+		return time.Time{}, n+maxMissingTokens >= tokens
 	}
-	at, ok := e.guesses[h]
+	element, ok := e.assumed[h]
 	if !ok {
 		return time.Time{}, false
 	}
-	since := at.Value.(guess).since
-	return since, !e.followed(tokens) || now.Sub(since) <= pendingFor
+	since := element.Value.(assumedPart).since
+	return since, !e.reportsSize(tokens) || now.Sub(since) <= pendingTimeout
 }
 
-// all returns every part that the engine has or is guessed to have.
-func (e *engine) all() []uint64 {
-	all := make([]uint64, 0, len(e.guesses)+len(e.kept))
-	for h := range e.guesses {
+// all returns every part that the engine has or is assumed to have.
+func (e *engineCache) all() []uint64 {
+	all := make([]uint64, 0, len(e.assumed)+len(e.reported))
+	for h := range e.assumed {
 		all = append(all, h)
 	}
-	for h := range e.kept {
+	for h := range e.reported {
 		all = append(all, h)
 	}
 	return all
--- a/internal/site/parts/residency.go
+++ b/internal/site/parts/residency.go
@@ -8,125 +8,125 @@
 )
 
 const (
-	// memoryShare is the part of an engine's memory that is taken for cached
-	// parts while the engine isn't followed; the rest holds running requests.
-	memoryShare = 0.55
-	// maxHolders bounds the engines that are remembered for a part.
+	// cachedShare is the share of an engine's memory that is assumed to hold cached
+	// parts while the engine doesn't report them; the rest holds running requests.
+	cachedShare = 0.55
+	// maxHolders bounds the engines that are recorded for a part.
 	maxHolders = 4
-	// pendingFor is how long a part counts as read that was sent to an engine and
-	// doesn't show up in what the engine says of itself: reading waits behind other
-	// prompts, and the word of it comes later still.
-	pendingFor = 2 * time.Second
-	// partialSlack is how many tokens of a part may be missing for it to count as
-	// kept: memory goes by blocks.
-	partialSlack = 64
+	// pendingTimeout is how long a part that was sent to an engine counts as cached although
+	// the engine hasn't reported it: its prefill waits behind other prompts, and the report
+	// arrives later still.
+	pendingTimeout = 2 * time.Second
+	// maxMissingTokens is how many tokens of a part may be missing for it to count as
+	// cached, since memory is allocated in blocks.
+	maxMissingTokens = 64
 )
 
-// Holder is an engine that has read a part, or is about to.
+// Holder is an engine that has cached a part or is about to.
 type Holder struct {
 	// Server is the engine's ID.
 	Server string
-	// Since is when it was sent there, zero when the engine itself says that it has the part.
+	// Since is when the part was sent to the engine, zero when the engine itself reports the part.
 	Since time.Time
 }
 
-// Residency tells what lies in the memory of engines: by what they say of
-// themselves, and where that isn't known by the requests that were sent there.
+// Residency tracks which parts are in the memory of engines: from their reports, and
+// without a report from the requests that were sent to them.
 type Residency interface {
-	// Note remembers that an engine of so many tokens reads the part.
+	// Note records that the part was sent to an engine with a memory of capacity tokens.
 	Note(server, salt, part string, tokens, capacity int, now time.Time)
-	// Confirm takes what an engine says that it keeps: the tokens of each part of at
-	// least so many, by stores.Part's hash; a nil map means that it isn't known any more.
-	Confirm(server string, kept map[uint64]int, least int)
-	// Holds returns whether the engine has the part, or will before a request that is sent now.
+	// Confirm applies an engine's report of the cached tokens of each part of at least
+	// minTokens, by the hash of its stores.Part. A nil map means that no report is available any more.
+	Confirm(server string, reported map[uint64]int, minTokens int)
+	// Holds returns whether the engine has the part, or will have it before a request that is sent now.
 	Holds(server, salt, part string, tokens int, now time.Time) bool
-	// Holders returns the engines that have the part, the latest first.
+	// Holders returns the engines that have the part, the most recent first.
 	Holders(salt, part string, tokens int, now time.Time) []Holder
-	// Forget drops what is remembered of an engine.
+	// Forget removes all records of an engine.
 	Forget(server string)
 }
 
-type memory struct {
+type residency struct {
 	mu      sync.Mutex
-	engines map[string]*engine
-	// holders are the engines by part, of guesses and of what engines say.
+	engines map[string]*engineCache
+	// holders are the engines by part, both assumed and reported.
 	holders map[uint64][]string
 }
 
-// NewResidency returns a Memory of nothing.
+// NewResidency returns an empty Residency.
 func NewResidency() Residency {
-	return &memory{engines: map[string]*engine{}, holders: map[uint64][]string{}}
+	return &residency{engines: map[string]*engineCache{}, holders: map[uint64][]string{}}
 }
 
 func hash(salt, part string) uint64 {
 	return stores.Part{Salt: salt, ID: part}.Hash()
 }
 
-// engine returns what is known of an engine; the caller holds the lock.
-func (m *memory) engine(server string) *engine {
-	e, ok := m.engines[server]
+// engine returns the record of an engine and creates it if needed; the caller holds the lock.
+func (r *residency) engine(server string) *engineCache {
+	e, ok := r.engines[server]
 	if !ok {
-		e = newEngine()
-		m.engines[server] = e
+		e = newEngineCache()
+		r.engines[server] = e
 	}
 	return e
 }
 
-// Note implements Memory.
-func (m *memory) Note(server, salt, part string, tokens, capacity int, now time.Time) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// Note implements Residency.
+func (r *residency) Note(server, salt, part string, tokens, capacity int, now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	h := hash(salt, part)
-	m.hold(h, server)
-	for _, gone := range m.engine(server).note(h, tokens, capacity, now) {
-		m.release(gone, server)
+	r.addHolder(h, server)
+	for _, evicted := range r.engine(server).recordSent(h, tokens, capacity, now) {
+		r.removeHolder(evicted, server)
 	}
 }
 
-// Confirm implements Memory.
-func (m *memory) Confirm(server string, kept map[uint64]int, least int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for _, gone := range m.engine(server).confirm(kept, least) {
-		m.release(gone, server)
+// Confirm implements Residency.
+func (r *residency) Confirm(server string, reported map[uint64]int, minTokens int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, evicted := range r.engine(server).applyReport(reported, minTokens) {
+		r.removeHolder(evicted, server)
 	}
-	for h := range kept {
-		m.hold(h, server)
+	for h := range reported {
+		r.addHolder(h, server)
 	}
 }
 
-// hold puts the engine in front of those that have the part.
-func (m *memory) hold(h uint64, server string) {
+// addHolder puts the engine in front of those that have the part.
+func (r *residency) addHolder(h uint64, server string) {
 	all := make([]string, 1, maxHolders)
 	all[0] = server
-	for _, o := range m.holders[h] {
+	for _, o := range r.holders[h] {
 		if o != server && len(all) < maxHolders {
 			all = append(all, o)
 		}
 	}
-	m.holders[h] = all
+	r.holders[h] = all
 }
 
-func (m *memory) release(h uint64, server string) {
-	all := m.holders[h]
-	kept := make([]string, 0, len(all))
+func (r *residency) removeHolder(h uint64, server string) {
+	all := r.holders[h]
+	remaining := make([]string, 0, len(all))
 	for _, o := range all {
 		if o != server {
-			kept = append(kept, o)
+			remaining = append(remaining, o)
 		}
 	}
-	if len(kept) == 0 {
-		delete(m.holders, h)
+	if len(remaining) == 0 {
+		delete(r.holders, h)
 		return
 	}
-	m.holders[h] = kept
+	r.holders[h] = remaining
 }
 
-// Holds implements Memory.
-func (m *memory) Holds(server, salt, part string, tokens int, now time.Time) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	e, ok := m.engines[server]
+// Holds implements Residency.
+func (r *residency) Holds(server, salt, part string, tokens int, now time.Time) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	e, ok := r.engines[server]
 	if !ok {
 		return false
 	}
@@ -134,30 +134,30 @@
 	return ok
 }
 
-// Holders implements Memory.
-func (m *memory) Holders(salt, part string, tokens int, now time.Time) []Holder {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// Holders implements Residency.
+func (r *residency) Holders(salt, part string, tokens int, now time.Time) []Holder {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	h := hash(salt, part)
 	var all []Holder
-	for _, server := range m.holders[h] {
-		if since, ok := m.engines[server].holds(h, tokens, now); ok {
+	for _, server := range r.holders[h] {
+		if since, ok := r.engines[server].holds(h, tokens, now); ok {
 			all = append(all, Holder{Server: server, Since: since})
 		}
 	}
 	return all
 }
 
-// Forget implements Memory.
-func (m *memory) Forget(server string) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	e, ok := m.engines[server]
+// Forget implements Residency.
+func (r *residency) Forget(server string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	e, ok := r.engines[server]
 	if !ok {
 		return
 	}
 	for _, h := range e.all() {
-		m.release(h, server)
+		r.removeHolder(h, server)
 	}
-	delete(m.engines, server)
+	delete(r.engines, server)
 }
--- a/internal/site/parts/residency_test.go
+++ b/internal/site/parts/residency_test.go
@@ -7,58 +7,56 @@
 	"hornbeamwood/internal/site/stores"
 )
 
-// An engine's memory is small: what it read long ago has made room for other
-// prompts. An entry that believes it there sends the next prompt to it for
-// nothing, and the part is read again beside a store that has it.
-func TestOldPartsAreForgotten(t *testing.T) {
-	m, now := NewResidency(), time.Unix(1, 0)
+// Guards against routing to a part that was evicted from an engine's memory long ago: the part
+// would be prefilled again although a store has it.
+func TestLeastRecentlyUsedPartsAreEvicted(t *testing.T) {
+	r, now := NewResidency(), time.Unix(1, 0)
 	for _, id := range []string{"a", "b", "c"} {
-		m.Note("s", "x", id, 300, 1000, now)
+		r.Note("s", "x", id, 300, 1000, now)
 	}
-	if m.Holds("s", "x", "a", 300, now) || len(m.Holders("x", "a", 300, now)) != 0 || !m.Holds("s", "x", "c", 300, now) {
-		t.Error("the oldest part should be gone, the newest be there")
+	if r.Holds("s", "x", "a", 300, now) || len(r.Holders("x", "a", 300, now)) != 0 || !r.Holds("s", "x", "c", 300, now) {
+		t.Error("the oldest part should be evicted and the newest cached")
 	}
-	m.Note("t", "x", "c", 300, 1000, now.Add(time.Second))
-	if h := m.Holders("x", "c", 300, now); len(h) != 2 || h[0].Server != "t" {
+	r.Note("t", "x", "c", 300, 1000, now.Add(time.Second))
+	if h := r.Holders("x", "c", 300, now); len(h) != 2 || h[0].Server != "t" {
 		t.Errorf("holders %v", h)
 	}
-	m.Forget("t")
-	if h := m.Holders("x", "c", 300, now); len(h) != 1 || h[0].Server != "s" {
-		t.Errorf("holders %v after one was lost", h)
+	r.Forget("t")
+	if h := r.Holders("x", "c", 300, now); len(h) != 1 || h[0].Server != "s" {
+		t.Errorf("holders %v after one was removed", h)
 	}
 }
 
-// An engine drops a part to make room for a request that runs. An entry that
-// goes by what it sent there sends the next prompt to it, the whole part is read
-// again, and the caller's first event comes late. What the engine itself says
-// counts for more, in both directions.
-func TestEnginesOwnWordCountsForMore(t *testing.T) {
-	const least, size = 1000, 4000
-	m, now := NewResidency(), time.Unix(1, 0)
+// Guards against trusting what was sent to an engine over the engine's own report. An engine
+// evicts parts for running requests; a prompt routed to it by an assumption has its whole part
+// prefilled again, and the caller's first event comes late. A report takes precedence both ways.
+func TestReportTakesPrecedenceOverAssumption(t *testing.T) {
+	const minTokens, size = 1000, 4000
+	r, now := NewResidency(), time.Unix(1, 0)
 	part := stores.Part{Salt: "x", ID: "a"}
-	m.Note("s", "x", "a", size, 100_000, now)
-	m.Confirm("s", map[uint64]int{part.Hash(): size}, least)
-	if h := m.Holders("x", "a", size, now); len(h) != 1 || !h[0].Since.IsZero() {
+	r.Note("s", "x", "a", size, 100_000, now)
+	r.Confirm("s", map[uint64]int{part.Hash(): size}, minTokens)
+	if h := r.Holders("x", "a", size, now); len(h) != 1 || !h[0].Since.IsZero() {
 		t.Errorf("holders %v", h)
 	}
-	m.Confirm("s", map[uint64]int{part.Hash(): size / 2}, least)
-	if m.Holds("s", "x", "a", size, now) {
-		t.Error("half a part counts as the whole")
+	r.Confirm("s", map[uint64]int{part.Hash(): size / 2}, minTokens)
+	if r.Holds("s", "x", "a", size, now) {
+		t.Error("half a part counts as cached")
 	}
-	m.Confirm("s", map[uint64]int{}, least)
-	if m.Holds("s", "x", "a", size, now) || len(m.Holders("x", "a", size, now)) != 0 {
-		t.Error("a part that the engine has dropped is still believed to be there")
+	r.Confirm("s", map[uint64]int{}, minTokens)
+	if r.Holds("s", "x", "a", size, now) || len(r.Holders("x", "a", size, now)) != 0 {
+		t.Error("a part that the engine has evicted still counts as cached")
 	}
-	m.Note("s", "x", "a", size, 100_000, now)
-	if !m.Holds("s", "x", "a", size, now.Add(pendingFor)) || m.Holds("s", "x", "a", size, now.Add(pendingFor+1)) {
-		t.Error("a part that was just sent there should count for a while, without the engine's word no longer")
+	r.Note("s", "x", "a", size, 100_000, now)
+	if !r.Holds("s", "x", "a", size, now.Add(pendingTimeout)) || r.Holds("s", "x", "a", size, now.Add(pendingTimeout+1)) {
+		t.Error("a part that was just sent should count for pendingTimeout, and without a report no longer")
 	}
-	m.Note("s", "x", "short", 300, 100_000, now)
-	if !m.Holds("s", "x", "short", 300, now.Add(time.Hour)) {
-		t.Error("nothing is said of short parts; the guess should count")
+	r.Note("s", "x", "short", 300, 100_000, now)
+	if !r.Holds("s", "x", "short", 300, now.Add(time.Hour)) {
+		t.Error("short parts are not reported; the assumption should count")
 	}
-	m.Confirm("s", nil, 0)
-	if !m.Holds("s", "x", "a", size, now.Add(time.Hour)) {
-		t.Error("without the engine's word the guess should count")
+	r.Confirm("s", nil, 0)
+	if !r.Holds("s", "x", "a", size, now.Add(time.Hour)) {
+		t.Error("without a report the assumption should count")
 	}
 }
