--- a/internal/site/weights/client.go
+++ b/internal/site/weights/client.go
@@ -6,28 +6,28 @@
 	"hornbeamwood/internal/site/directory"
 )
 
-// Report is what an engine says of itself; it may be a few hundred milliseconds old.
+// Report is an engine's status; it may be a few hundred milliseconds old.
 type Report struct {
 	// Sequence counts the orders that the engine has accepted since its start.
 	Sequence int64
-	// Busy says that it carries out an order.
+	// Busy says that the engine is executing an order.
 	Busy bool
-	// Running and Waiting count its requests.
+	// Running and Waiting are the numbers of its requests.
 	Running, Waiting int
 	// Versions are the versions of its weights by model.
 	Versions map[string]int64
 }
 
-// Order asks an engine for other weights.
+// Order tells an engine to load a version of weights.
 type Order struct {
-	// Model and Version name the weights.
+	// Model and Version identify the weights.
 	Model   string
 	Version int64
-	// Holder and Fencing are those of the lease under which the order is given.
+	// Holder and Fencing are those of the lease under which the order is sent.
 	Holder  string
 	Fencing uint64
-	// Sequence must be the engine's for the order to count, so that one that is
-	// carried out late, after others, changes nothing.
+	// Sequence must equal the engine's for the order to be accepted, so that an order that
+	// arrives late, after others, has no effect.
 	Sequence int64
 }
 
@@ -35,19 +35,19 @@
 type Outcome int
 
 const (
-	// Unanswered means that the order may have been accepted, or may be carried out later.
+	// Unanswered means that the order may have been accepted or may still be executed.
 	Unanswered Outcome = iota
-	// Accepted means that it is being carried out.
+	// Accepted means that the engine is executing the order.
 	Accepted
-	// AlreadyLoaded means that the engine has those weights already.
+	// AlreadyLoaded means that the engine already has those weights.
 	AlreadyLoaded
-	// Conflict means that another order is under way or the sequence differs.
+	// Conflict means that another order is being executed or the sequence differs.
 	Conflict
-	// Fenced means that a higher fencing number has been seen.
+	// Fenced means that the engine has seen a higher fencing number.
 	Fenced
 	// Misdirected means that another server has the address.
 	Misdirected
-	// Refused means that the engine can't carry it out.
+	// Refused means that the engine can't execute the order.
 	Refused
 )
 
@@ -56,10 +56,10 @@
 	return [...]string{"unanswered", "accepted", "held", "conflict", "fenced", "misdirected", "refused"}[o]
 }
 
-// Client speaks to engines.
+// Client calls engines.
 type Client interface {
-	// Report asks an engine what it has.
+	// Report returns an engine's status.
 	Report(ctx context.Context, s directory.Server) (Report, error)
-	// Order gives an order; an error comes with Unanswered.
+	// Order sends an order; an error is returned with Unanswered.
 	Order(ctx context.Context, s directory.Server, o Order) (Outcome, error)
 }
--- a/internal/site/weights/doc.go
+++ b/internal/site/weights/doc.go
@@ -1,2 +1,2 @@
-// Package weights brings engines to the named versions of their models' weights.
+// Package weights rolls out the target versions of models' weights to engines.
 package weights
--- a/internal/site/weights/drain.go
+++ b/internal/site/weights/drain.go
@@ -8,50 +8,50 @@
 	"hornbeamwood/internal/site/directory"
 )
 
-// drainTime returns how long an engine may be drained while so many are still to load.
+// drainTime returns how long an engine may be drained while the given number of engines have yet to load.
 //
-// Where engines load quickly and new weights must be everywhere soon, draining
-// takes most of the time; the last engines would begin requests on old weights
-// after that. The last ones still have to load once they are drained.
-func (r *rollout) drainTime(model string, engines, most int) time.Duration {
+// When engines load quickly and the deadline is short, draining takes most of the
+// time, and the last engines would still begin requests on old weights after the
+// deadline. The estimate reserves time for these engines to load after their drain.
+func (r *rollout) drainTime(model string, engines, limit int) time.Duration {
 	if r.Deadline <= 0 {
-		return drainMost
+		return maxDrain
 	}
-	left := time.Duration(finishedBy*float64(r.Deadline)) - time.Since(r.noticed[model].at) - r.learnt()
-	rounds := (engines + most - 1) / most
-	return max(drainLeast, min(drainMost, left/time.Duration(rounds)))
+	left := time.Duration(finishShare*float64(r.Deadline)) - time.Since(r.targets[model].at) - r.measuredLoadTime()
+	rounds := (engines + limit - 1) / limit
+	return max(minDrain, min(maxDrain, left/time.Duration(rounds)))
 }
 
-// early returns whether those that load have begun so lately that the next ones
-// would be drained long before a place is free: an engine that waits drained
-// serves nobody.
-func (r *rollout) early(most int, drain time.Duration) bool {
+// tooEarly returns whether the current loads have started so recently that the next engines
+// would be drained long before a slot is free. A drained engine that waits for a slot
+// serves no requests.
+func (r *rollout) tooEarly(limit int, drain time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	lead, lately := r.pace.load-drain, 0
-	for _, at := range r.began {
-		if time.Since(at) < lead {
-			lately++
+	leadTime, recent := r.loadEstimate.mean-drain, 0
+	for _, at := range r.loadStarted {
+		if time.Since(at) < leadTime {
+			recent++
 		}
 	}
-	return lately+len(r.draining) >= most
+	return recent+len(r.draining) >= limit
 }
 
-// drain waits until the engine's requests have ended, or for as long as it may
-// take; it returns false when the engine doesn't answer.
-func (r *rollout) drain(ctx context.Context, s directory.Server, most time.Duration) bool {
-	began := time.Now()
+// drain waits until the engine's requests have ended or the timeout has passed.
+// It returns false when the engine doesn't answer.
+func (r *rollout) drain(ctx context.Context, s directory.Server, timeout time.Duration) bool {
+	started := time.Now()
 	for ctx.Err() == nil {
 		p, err := r.report(ctx, s)
 		if err != nil {
-			r.notAsked(s, err)
+			r.handleCallError(s, err)
 			return false
 		}
-		took := time.Since(began)
-		if took >= drainLeast && (p.Running+p.Waiting == 0 || took >= most) {
+		took := time.Since(started)
+		if took >= minDrain && (p.Running+p.Waiting == 0 || took >= timeout) {
 			return true
 		}
-		wait.For(ctx, max(lookInterval, drainLeast-took))
+		wait.For(ctx, max(pollInterval, minDrain-took))
 	}
 	return false
 }
--- a/internal/site/weights/rollout.go
+++ b/internal/site/weights/rollout.go
@@ -15,90 +15,89 @@
 )
 
 const (
-	// atOnce is how many engines load weights at once at least, and atOnceShare
-	// the part of a site's engines that do so where it has more. Beyond a fifth of
-	// the engines the weight store makes all loads slower.
-	atOnce      = 2
-	atOnceShare = 0.19
-	// mostAtOnce bounds the places for engines that are drained.
-	mostAtOnce = 256
-	// drainLeast is how long entries keep away from an engine before its order,
-	// so that the running requests end while others load.
-	drainLeast = 400 * time.Millisecond
-	// drainMost is how long an order waits for them at most; the engine waits for the rest itself.
-	drainMost = 1600 * time.Millisecond
-	// finishedBy is the part of the time within which engines must have named
-	// weights that a roll-out takes when draining is cut short for it; the rest is
-	// for engines that fail and for the next giver of orders.
-	finishedBy = 0.6
-	// askAgainAfter is how long an engine is left alone that couldn't be asked.
-	askAgainAfter = time.Second
-	// placePause is the time between two looks for a place to load.
-	placePause = 20 * time.Millisecond
-	// lookInterval is the time between two questions to an engine that is drained or loads.
-	lookInterval = 200 * time.Millisecond
+	// minConcurrent is the number of engines that may load weights concurrently on a small site.
+	// On larger sites the limit is concurrentShare of the engines: beyond a fifth of
+	// the engines, the weight store slows down all loads.
+	minConcurrent   = 2
+	concurrentShare = 0.19
+	// maxDraining bounds the number of engines that are drained.
+	maxDraining = 256
+	// minDrain is how long entries send an engine no requests before its order at least,
+	// so that its running requests end while other engines load.
+	minDrain = 400 * time.Millisecond
+	// maxDrain is how long an order waits for these requests at most; the engine itself waits for the rest.
+	maxDrain = 1600 * time.Millisecond
+	// finishShare is the share of the deadline that a rollout uses when drains are shortened
+	// for it. The rest is reserved for engines that fail and for a change of the lease holder.
+	finishShare = 0.6
+	// unreachableBackoff is how long an engine is skipped after a call to it has failed.
+	unreachableBackoff = time.Second
+	// slotInterval is the time between two attempts to acquire a load slot.
+	slotInterval = 20 * time.Millisecond
+	// pollInterval is the time between two polls of an engine that is drained or loads.
+	pollInterval = 200 * time.Millisecond
 	// callTimeout bounds one call to an engine.
 	callTimeout = time.Second
-	// loadMost is how long an engine may take until the order is looked into anew.
-	loadMost = 12 * time.Second
-	// tick is the time between two looks for engines with older weights.
-	tick = 100 * time.Millisecond
+	// loadTimeout is how long a load may take until the engine is considered again by a later scan.
+	loadTimeout = 12 * time.Second
+	// scanInterval is the time between two scans for engines with outdated weights.
+	scanInterval = 100 * time.Millisecond
 )
 
-// Site is what a Rollout knows and tells.
+// Site gives a Rollout the state of the site and takes its updates.
 type Site interface {
-	// TargetVersions returns the named version of each model.
+	// TargetVersions returns the target version of each model.
 	TargetVersions() map[string]int64
 	// Engines returns the ready servers that have models.
 	Engines() []directory.Server
-	// Holder returns the name and the fencing number under which orders are given, and false while none may be.
+	// Holder returns the name and the fencing number under which orders are sent, and false while none may be sent.
 	Holder() (name string, fencing uint64, ok bool)
-	// ObserveFencing tells that a higher fencing number has been seen.
+	// ObserveFencing reports that an engine has seen a higher fencing number than the given one.
 	ObserveFencing(fencing uint64)
-	// SetBusy tells entries whether an engine takes no requests.
+	// SetBusy reports to entries whether an engine takes no requests.
 	SetBusy(server string, busy bool)
-	// ReportLoaded tells entries which weights an engine has now.
+	// ReportLoaded reports to entries which weights an engine has now.
 	ReportLoaded(s directory.Server, model string, version int64)
 	// Version returns the newest version of the model that the engine is known to have.
 	Version(s directory.Server, model string) int64
 }
 
-// Config is what a Rollout needs.
+// Config configures a Rollout.
 type Config struct {
-	// Client speaks to engines.
+	// Client calls engines.
 	Client Client
-	// Site is what is known.
+	// Site is the site.
 	Site Site
-	// Deadline is how long after they were named all engines must have weights; zero for no bound.
+	// Deadline is how long after a target version was set all engines must have loaded it; zero for no bound.
 	Deadline time.Duration
 	// Logger takes the events.
 	Logger log.Interface
 }
 
-// Rollout brings engines to the named versions while this process holds the lease.
+// Rollout has engines load the target versions while this process holds the lease.
 type Rollout interface {
-	// Run works until ctx ends.
+	// Run runs until ctx ends.
 	Run(ctx context.Context)
 }
 
 type rollout struct {
 	Config
-	// draining holds a place for each engine that is drained.
+	// draining holds an element for each engine that is drained.
 	draining chan struct{}
 	mu       sync.Mutex
-	underWay map[string]bool
-	// began is when each engine that loads began to.
-	began map[string]time.Time
-	// failed is when each engine last couldn't be asked.
-	failed map[string]time.Time
-	// noticed is when this process saw the present version of each model.
-	noticed map[string]notice
-	pace    pace
-	ended   sync.WaitGroup
+	updating map[string]bool
+	// loadStarted is when each engine that is loading started to.
+	loadStarted map[string]time.Time
+	// unreachableAt is when a call to each engine last failed.
+	unreachableAt map[string]time.Time
+	// targets are the target versions and when this process first saw them, by model.
+	targets      map[string]target
+	loadEstimate loadEstimate
+	ended        sync.WaitGroup
 }
 
-// notice is a named version with when this process saw it.
-type notice struct {
+// target is a target version and when this process first saw it.
+type target struct {
 	version int64
 	at      time.Time
 }
@@ -106,122 +105,123 @@
 // New returns a Rollout.
 func New(c Config) Rollout {
 	return &rollout{
-		Config: c, underWay: map[string]bool{}, began: map[string]time.Time{},
-		failed: map[string]time.Time{}, noticed: map[string]notice{}, pace: newPace(),
-		draining: make(chan struct{}, mostAtOnce),
+		Config: c, updating: map[string]bool{}, loadStarted: map[string]time.Time{},
+		unreachableAt: map[string]time.Time{}, targets: map[string]target{}, loadEstimate: newLoadEstimate(),
+		draining: make(chan struct{}, maxDraining),
 	}
 }
 
 // Run implements Rollout.
 func (r *rollout) Run(ctx context.Context) {
 	defer r.ended.Wait()
-	t := time.NewTicker(tick)
+	t := time.NewTicker(scanInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			r.look(ctx)
+			r.scan(ctx)
 		}
 	}
 }
 
-// due is an engine that is to load.
-type due struct {
+// outdatedEngine is an engine that has an older version than the target.
+type outdatedEngine struct {
 	server  directory.Server
 	model   string
 	version int64
-	// has is the version that it has.
-	has int64
+	// current is the version that the engine has.
+	current int64
 }
 
-// look begins with engines that have older weights than named, as places are free.
-func (r *rollout) look(ctx context.Context) {
-	r.notice()
+// scan starts updates of outdated engines while there are free slots.
+func (r *rollout) scan(ctx context.Context) {
+	r.recordTargets()
 	if _, _, ok := r.Site.Holder(); !ok {
 		return
 	}
-	most := max(atOnce, int(atOnceShare*float64(len(r.Site.Engines()))))
-	all := r.order()
+	limit := max(minConcurrent, int(concurrentShare*float64(len(r.Site.Engines()))))
+	all := r.outdatedEngines()
 	for _, d := range all {
-		drain := r.drainTime(d.model, len(all), most)
-		if len(r.draining) >= most || r.early(most, drain) {
+		drain := r.drainTime(d.model, len(all), limit)
+		if len(r.draining) >= limit || r.tooEarly(limit, drain) {
 			return
 		}
 		r.draining <- struct{}{}
-		r.set(d.server.ID, true)
+		r.setUpdating(d.server.ID, true)
 		r.ended.Go(func() {
-			defer r.set(d.server.ID, false)
-			r.bring(ctx, d, drain, most)
+			defer r.setUpdating(d.server.ID, false)
+			r.update(ctx, d, drain, limit)
 		})
 	}
 }
 
-// notice notes which versions are named and since when, also while another process gives the orders.
-func (r *rollout) notice() {
+// recordTargets records new target versions and when they were first seen. It also does so while another process holds the lease.
+func (r *rollout) recordTargets() {
 	for model, version := range r.Site.TargetVersions() {
-		if r.noticed[model].version != version {
-			r.noticed[model] = notice{version, time.Now()}
+		if r.targets[model].version != version {
+			r.targets[model] = target{version, time.Now()}
 		}
 	}
 }
 
-// order returns the engines that are to load, those with the oldest weights first.
+// outdatedEngines returns the engines that have yet to load and can be updated now, the ones
+// that are most versions behind first.
 //
-// A version may be named before the one before it is everywhere. An engine that
-// has that one already can wait; the requests of one that is two versions behind
-// have been answered from old weights for longest.
-func (r *rollout) order() []due {
-	named := r.Site.TargetVersions()
-	var all []due
+// A new target may be set before the previous one is loaded everywhere. An engine that
+// has the previous one can wait; one that is two versions behind has answered
+// requests from old weights for longest.
+func (r *rollout) outdatedEngines() []outdatedEngine {
+	targets := r.Site.TargetVersions()
+	var all []outdatedEngine
 	for _, s := range r.Site.Engines() {
-		if d, ok := r.behind(s, named); ok && r.free(s.ID) {
+		if d, ok := r.outdated(s, targets); ok && r.available(s.ID) {
 			all = append(all, d)
 		}
 	}
-	slices.SortStableFunc(all, func(a, b due) int { return cmp.Compare(b.version-b.has, a.version-a.has) })
+	slices.SortStableFunc(all, func(a, b outdatedEngine) int { return cmp.Compare(b.version-b.current, a.version-a.current) })
 	return all
 }
 
-// behind returns the first model of which the engine has an older version than the named one.
-func (r *rollout) behind(s directory.Server, named map[string]int64) (due, bool) {
+// outdated returns the first model of which the engine has an older version than the target.
+func (r *rollout) outdated(s directory.Server, targets map[string]int64) (outdatedEngine, bool) {
 	for _, w := range s.Models {
-		has := r.Site.Version(s, w.Model)
-		if v := named[w.Model]; v > has {
-			return due{server: s, model: w.Model, version: v, has: has}, true
+		current := r.Site.Version(s, w.Model)
+		if v := targets[w.Model]; v > current {
+			return outdatedEngine{server: s, model: w.Model, version: v, current: current}, true
 		}
 	}
-	return due{}, false
+	return outdatedEngine{}, false
 }
 
-// free returns whether the engine can be brought to other weights now. One that
-// has crashed would keep a place from those that work again and again.
-func (r *rollout) free(id string) bool {
+// available returns whether an update of the engine can start now. Without the backoff a crashed
+// engine would repeatedly take a slot from engines that work.
+func (r *rollout) available(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.underWay[id] && time.Since(r.failed[id]) >= askAgainAfter
+	return !r.updating[id] && time.Since(r.unreachableAt[id]) >= unreachableBackoff
 }
 
-// fail notes that the engine couldn't be asked.
-func (r *rollout) fail(id string) {
+// recordUnreachable records that a call to the engine failed.
+func (r *rollout) recordUnreachable(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.failed[id] = time.Now()
+	r.unreachableAt[id] = time.Now()
 }
 
-func (r *rollout) set(id string, working bool) {
+func (r *rollout) setUpdating(id string, updating bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if working {
-		r.underWay[id] = true
+	if updating {
+		r.updating[id] = true
 		return
 	}
-	delete(r.underWay, id)
+	delete(r.updating, id)
 }
 
-// bring drains an engine and has it load; it holds a place in each phase.
-func (r *rollout) bring(ctx context.Context, d due, drain time.Duration, most int) {
+// update drains an engine and has it load; the engine occupies a slot in each phase.
+func (r *rollout) update(ctx context.Context, d outdatedEngine, drain time.Duration, limit int) {
 	s := d.server
 	r.Site.SetBusy(s.ID, true)
 	defer r.Site.SetBusy(s.ID, false)
@@ -229,37 +229,37 @@
 		<-r.draining
 		return
 	}
-	for !r.takePlace(s.ID, most) {
+	for !r.acquireSlot(s.ID, limit) {
 		if ctx.Err() != nil {
 			<-r.draining
 			return
 		}
-		wait.For(ctx, placePause)
+		wait.For(ctx, slotInterval)
 	}
 	<-r.draining
-	defer r.leavePlace(s.ID)
+	defer r.releaseSlot(s.ID)
 	r.load(ctx, s, d.model, d.version)
 }
 
-// takePlace returns whether the engine may load now.
-func (r *rollout) takePlace(id string, most int) bool {
+// acquireSlot takes a load slot for the engine and returns whether one was free.
+func (r *rollout) acquireSlot(id string, limit int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.began) >= most {
+	if len(r.loadStarted) >= limit {
 		return false
 	}
-	r.began[id] = time.Now()
+	r.loadStarted[id] = time.Now()
 	return true
 }
 
-func (r *rollout) leavePlace(id string) {
+func (r *rollout) releaseSlot(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.began, id)
+	delete(r.loadStarted, id)
 }
 
-func (r *rollout) notAsked(s directory.Server, err error) {
-	r.fail(s.ID)
+func (r *rollout) handleCallError(s directory.Server, err error) {
+	r.recordUnreachable(s.ID)
 	event.EngineNotAsked.Write(r.Logger, log.Fields{"server": s.ID, "error": err.Error()})
 }
 
@@ -269,32 +269,32 @@
 	return r.Client.Report(ctx, s)
 }
 
-// load gives the order, again if need be, and returns once the engine has the weights or can't be brought to them now.
+// load sends the order, again if necessary, and returns once the engine has the weights or can't load them now.
 //
-// The order names the sequence that was read right before. One that got no
-// answer is given again only after another look: if the engine has accepted it
-// meanwhile the sequence has moved, and the second one counts for nothing.
+// The order has the sequence of the report right before it. An order without an
+// answer is sent again only after another report. If the engine accepts the first one
+// meanwhile, its sequence has increased, and the second order has no effect.
 func (r *rollout) load(ctx context.Context, s directory.Server, model string, version int64) {
-	began := time.Now()
-	for ctx.Err() == nil && time.Since(began) < loadMost {
+	started := time.Now()
+	for ctx.Err() == nil && time.Since(started) < loadTimeout {
 		p, err := r.report(ctx, s)
 		switch {
 		case err != nil:
-			r.notAsked(s, err)
+			r.handleCallError(s, err)
 			return
 		case p.Versions[model] >= version && !p.Busy:
-			r.learn(time.Since(began))
+			r.recordLoad(time.Since(started))
 			r.Site.ReportLoaded(s, model, p.Versions[model])
 			return
-		case !p.Busy && !r.give(ctx, s, Order{Model: model, Version: version, Sequence: p.Sequence}):
+		case !p.Busy && !r.sendOrder(ctx, s, Order{Model: model, Version: version, Sequence: p.Sequence}):
 			return
 		}
-		wait.For(ctx, lookInterval)
+		wait.For(ctx, pollInterval)
 	}
 }
 
-// give gives one order and returns whether it makes sense to go on.
-func (r *rollout) give(ctx context.Context, s directory.Server, o Order) bool {
+// sendOrder sends one order and returns whether the load may still succeed.
+func (r *rollout) sendOrder(ctx context.Context, s directory.Server, o Order) bool {
 	holder, fencing, ok := r.Site.Holder()
 	if !ok {
 		return false
