--- a/internal/site/directory/directory.go
+++ b/internal/site/directory/directory.go
@@ -5,17 +5,17 @@
 	"sync/atomic"
 )
 
-// Directory merges announcements in whatever order they come.
+// Directory merges server announcements, which may arrive in any order.
 type Directory interface {
-	// Merge takes a row and returns whether it replaced what was known and whether that matters to routing.
+	// Merge merges a row. newer is true when it replaced the known one, matters when the change affects routing.
 	Merge(s Server) (newer, matters bool)
-	// Get returns the newest incarnation of id.
+	// Get returns the row of the newest incarnation of id.
 	Get(id string) (Server, bool)
 	// All returns every row.
 	All() []Server
-	// Forget drops a row.
+	// Forget removes a row.
 	Forget(id string)
-	// View returns the present picture.
+	// View returns the current view.
 	View() *View
 }
 
@@ -36,12 +36,12 @@
 func (d *directory) Merge(s Server) (newer, matters bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	o, known := d.rows[s.ID]
-	if known && !s.Newer(o) {
+	other, known := d.rows[s.ID]
+	if known && !s.Newer(other) {
 		return false, false
 	}
 	d.rows[s.ID] = s
-	if known && s.SameRouting(o) {
+	if known && s.SameRouting(other) {
 		return true, false
 	}
 	d.view.Store(newView(d.rows))
--- a/internal/site/directory/directory_test.go
+++ b/internal/site/directory/directory_test.go
@@ -8,23 +8,21 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// A server says that it leaves, and an older announcement of it that was held
-// up by a cut comes afterwards. Requests that were sent to it then would be cut
-// off when it ends.
+// Guards against an announcement that was delayed by a network partition making a leaving
+// server available again: requests sent to it would be broken off when it stops.
 func TestLateAnnouncementDoesNotBringBackALeavingServer(t *testing.T) {
 	d := New()
 	d.Merge(Server{ID: "a", StartedAt: 1, Sequence: 4, State: Leaving, Service: "s"})
 	if newer, _ := d.Merge(Server{ID: "a", StartedAt: 1, Sequence: 5, Service: "s"}); newer || len(d.View().Service("s")) != 0 {
-		t.Error("the server takes requests again")
+		t.Error("the leaving server is available again")
 	}
 	if newer, _ := d.Merge(Server{ID: "a", StartedAt: 2, Sequence: 1, Service: "s"}); !newer || len(d.View().Service("s")) != 1 {
-		t.Error("a new start under the same id is not used")
+		t.Error("a new incarnation under the same ID is not available")
 	}
 }
 
-// A server crashed, another one has its address now. What the first one said
-// before it crashed arrives late; its requests would run at a server of another
-// service.
+// Guards against a late announcement of a crashed server whose address belongs to another
+// server now: its requests would be sent to a server of another service.
 func TestLatestStartOwnsTheAddress(t *testing.T) {
 	d := New()
 	d.Merge(Server{ID: "new", StartedAt: 9, Sequence: 1, Service: "b", Address: "1:1"})
@@ -34,11 +32,11 @@
 	}
 }
 
-// Announcements reach the replicas in different orders; all of them must end
-// with the same picture, or some entries go on sending to a server that left.
+// Announcements reach the replicas in different orders. All replicas must end with
+// the same state, or some entries would continue to send requests to a server that left.
 func TestOrderDoesNotMatter(t *testing.T) {
 	p := gopter.NewProperties(nil)
-	p.Property("same picture", prop.ForAll(func(steps []uint16, seed int) bool {
+	p.Property("same state", prop.ForAll(func(steps []uint16, seed int) bool {
 		forward, backward := New(), New()
 		rows := make([]Server, len(steps))
 		for i, s := range steps {
--- a/internal/site/directory/doc.go
+++ b/internal/site/directory/doc.go
@@ -1,3 +1,3 @@
-// Package directory holds what backend servers announce of themselves: which
-// incarnation is the newest, whether it leaves, and who lives at an address.
+// Package directory holds the announcements of backend servers: the newest incarnation
+// of each server, whether it is leaving, and which server has an address.
 package directory
--- a/internal/site/directory/server.go
+++ b/internal/site/directory/server.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Server is what is known of one backend server.
+// Server is the directory's row of one backend server.
 type Server struct {
-	// Servers travel without the names of their fields: after a loss of all processes
-	// each replica owes those of the whole site to every entry.
+	// Servers are encoded without field names: after all processes were lost,
+	// each replica sends the rows of the whole site to every entry.
 	_ struct{} `cbor:",toarray"`
-	// ID names the server; it may return under the same one after a restart.
+	// ID identifies the server, which may have the same one after a restart.
 	ID string
-	// StartedAt is the start of the incarnation in Unix milliseconds; a later start is another server.
+	// StartedAt is the start time of the incarnation in Unix milliseconds; a later start is another incarnation.
 	StartedAt int64
-	// Sequence counts the announcements of the incarnation.
+	// Sequence is the number of the announcement within the incarnation.
 	Sequence int64
-	// Service is the service that it belongs to.
+	// Service is the service that the server belongs to.
 	Service string
 	// Address is its IP and port.
 	Address string
@@ -21,17 +21,17 @@
 	Zone string
 	// Software is the version of its software.
 	Software string
-	// Slots is how many requests it processes at once.
+	// Slots is how many requests it processes concurrently.
 	Slots int
-	// State is ready, leaving or gone.
+	// State is the readiness that the server announces.
 	State State
-	// Silent says that announcements have stopped coming.
+	// Silent says that announcements have stopped arriving.
 	Silent bool
-	// WarmUp is how long it stays slow after the announcement.
+	// WarmUp is how long the server stays slow after the announcement.
 	WarmUp time.Duration
-	// Models are the weights that it has.
+	// Models are the weights that it has loaded.
 	Models []Weights
-	// Home is the control replica that it announces itself to.
+	// Home is the control replica to which it announces itself.
 	Home string
 }
 
@@ -40,19 +40,19 @@
 	_ struct{} `cbor:",toarray"`
 	// Model names the model.
 	Model string
-	// Version is the number of the weights.
+	// Version is the version of the weights.
 	Version int64
 }
 
-// State is what a server says of its readiness.
+// State is a server's announced readiness.
 type State uint8
 
 const (
 	// Ready servers take requests.
 	Ready State = iota
-	// Leaving servers finish what they have and take no new requests.
+	// Leaving servers finish their requests and take no new ones.
 	Leaving
-	// Gone servers have said that they end.
+	// Gone servers have announced that they stop.
 	Gone
 )
 
@@ -73,31 +73,31 @@
 
 // Newer returns whether s replaces o, which has the same ID.
 //
-// A start is newer than all of an earlier one, whatever its numbers. Within an
-// incarnation leaving is final: an announcement that was held up on the way
-// must not bring back a server that others are told to leave alone.
-func (s Server) Newer(o Server) bool {
+// A row of a later incarnation is newer than any row of an earlier one, whatever its sequence.
+// Within an incarnation leaving is final: a delayed announcement
+// must not make a leaving server available to entries again.
+func (s Server) Newer(other Server) bool {
 	switch {
-	case s.StartedAt != o.StartedAt:
-		return s.StartedAt > o.StartedAt
-	case s.State != o.State:
-		return s.State > o.State
-	case s.Sequence != o.Sequence:
-		return s.Sequence > o.Sequence
+	case s.StartedAt != other.StartedAt:
+		return s.StartedAt > other.StartedAt
+	case s.State != other.State:
+		return s.State > other.State
+	case s.Sequence != other.Sequence:
+		return s.Sequence > other.Sequence
 	}
-	return s.Silent && !o.Silent
+	return s.Silent && !other.Silent
 }
 
-// SameRouting returns whether o tells routing nothing that s does not.
-func (s Server) SameRouting(o Server) bool {
-	if len(s.Models) != len(o.Models) {
+// SameRouting returns whether s and o are the same for routing.
+func (s Server) SameRouting(other Server) bool {
+	if len(s.Models) != len(other.Models) {
 		return false
 	}
 	for i := range s.Models {
-		if s.Models[i] != o.Models[i] {
+		if s.Models[i] != other.Models[i] {
 			return false
 		}
 	}
-	return s.ID == o.ID && s.StartedAt == o.StartedAt && s.Service == o.Service && s.Address == o.Address && s.Zone == o.Zone &&
-		s.Slots == o.Slots && s.State == o.State && s.Silent == o.Silent && s.Home == o.Home && (s.WarmUp > 0) == (o.WarmUp > 0)
+	return s.ID == other.ID && s.StartedAt == other.StartedAt && s.Service == other.Service && s.Address == other.Address && s.Zone == other.Zone &&
+		s.Slots == other.Slots && s.State == other.State && s.Silent == other.Silent && s.Home == other.Home && (s.WarmUp > 0) == (other.WarmUp > 0)
 }
--- a/internal/site/directory/view.go
+++ b/internal/site/directory/view.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// View is an immutable picture of the directory.
+// View is an immutable snapshot of the directory.
 type View struct {
 	services map[string][]Server
 	servers  map[string]Server
 }
 
-// Service returns the servers of a service that may be used, in the order of their IDs: those that announce themselves as ready.
+// Service returns the ready servers of a service, sorted by ID.
 func (v *View) Service(name string) []Server {
 	return v.services[name]
 }
@@ -19,14 +19,14 @@
 	return s, ok
 }
 
-// newView keeps, of the servers at one address, only the one that started last:
-// the others are gone, even when nobody has said so.
+// newView returns the view of rows. Of several servers at one address, a service contains at most
+// the one that started last: the others are gone, even if they haven't announced it.
 func newView(rows map[string]Server) *View {
 	v := &View{services: map[string][]Server{}, servers: make(map[string]Server, len(rows))}
 	latest := map[string]Server{}
 	for _, s := range rows {
 		v.servers[s.ID] = s
-		if o, ok := latest[s.Address]; !ok || s.StartedAt > o.StartedAt {
+		if other, ok := latest[s.Address]; !ok || s.StartedAt > other.StartedAt {
 			latest[s.Address] = s
 		}
 	}
