--- a/internal/site/host/doc.go
+++ b/internal/site/host/doc.go
@@ -1,3 +1,3 @@
 // Package host describes the VM that a process of a site runs on and the
-// bounds that the site's operator has set.
+// bounds that the site's operator has configured.
 package host
--- a/internal/site/host/host.go
+++ b/internal/site/host/host.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// Host is what a process is told about its place at start; all of it may change while it runs.
+// Host holds a process's settings about its VM and its site. All of them may change while the process runs.
 type Host struct {
 	// Name names the VM in logs.
 	Name string
 	// Zone is its availability zone.
 	Zone string
-	// Listen is the IP and port for operators and backend servers at a control replica, and for callers at an entry.
+	// Listen is the IP and port that a control replica serves operators and backend servers on, and an entry serves callers on.
 	Listen string
-	// Ready is the IP and port that answers readiness checks at an entry.
+	// Ready is the IP and port on which an entry answers readiness checks.
 	Ready string
-	// Metrics is the IP and port that serves metrics.
+	// Metrics is the IP and port on which metrics are served.
 	Metrics string
-	// Internal is the IP and port for the system's own processes.
+	// Internal is the IP and port for calls between the system's own processes.
 	Internal string
 	// Seeds are the internal addresses of some control replicas.
 	Seeds []string
 	// FirstStart says that the site starts for the first time, with blank disks.
 	FirstStart bool
-	// DataFolder is where a control replica keeps its state.
+	// DataFolder is the folder in which a control replica stores its state.
 	DataFolder string
-	// MemoryBytes is the most memory that the process may use.
+	// MemoryBytes is the memory limit of the process.
 	MemoryBytes int64
-	// Bounds are the site's promises.
+	// Bounds are the time bounds and retry limits of the site.
 	Bounds Bounds
 }
 
-// Bounds are the site's promises to its callers, servers and operators.
+// Bounds are the time bounds and retry limits that the site guarantees to its callers, servers and operators.
 type Bounds struct {
-	// Heartbeat is about how often a server announces itself.
+	// Heartbeat is the approximate interval at which a server announces itself.
 	Heartbeat time.Duration
-	// Grace is how long a process may run on after the signal to stop.
+	// Grace is how long a process may keep running after the signal to stop.
 	Grace time.Duration
-	// Lease is how long the giver of orders counts after its last sign of life.
+	// Lease is how long the holder of the order lease keeps it without a renewal.
 	Lease time.Duration
-	// WeightsDeadline is how long after new weights were named no request may begin on older ones; zero for no bound.
+	// WeightsDeadline is how long after new weights were named requests may still begin on older ones; zero for no bound.
 	WeightsDeadline time.Duration
-	// RetryRatio is the part of a service's requests that may be repeated within RetryWindow.
+	// RetryRatio is the share of a service's requests that may be retried within RetryWindow.
 	RetryRatio float64
-	// RetryWindow is the span that repeats are counted in.
+	// RetryWindow is the time window in which retries are counted.
 	RetryWindow time.Duration
-	// RetrySlack is how many more repeats the whole fleet may make in RetryWindow.
+	// RetrySlack is how many retries beyond that ratio the whole fleet may make in RetryWindow.
 	RetrySlack float64
 }
--- a/internal/site/host/watch.go
+++ b/internal/site/host/watch.go
@@ -13,22 +13,22 @@
 	"hornbeamwood/internal/base/event"
 )
 
-// lookInterval is how often the settings are read without a signal: a small
-// file, well within the seconds that a change may take.
-const lookInterval = 2 * time.Second
+// reloadInterval is how often the settings are read without a signal. The file is
+// small, and the interval is well within the seconds that a change may take.
+const reloadInterval = 2 * time.Second
 
-// Load reads the settings that a process was started with.
+// Load reads the process's settings from where it got them at its start.
 type Load func() (Host, error)
 
-// Watch calls changed with each new Host until ctx ends; the settings may change with SIGHUP or without.
+// Watch calls changed with each new Host until ctx ends. Settings are reloaded on SIGHUP and at an interval.
 //
-// Settings that can't be read leave the earlier ones in place: half a file
-// would take a running process off the site.
-func Watch(ctx context.Context, present Host, load Load, changed func(Host), logger log.Interface) {
+// When settings can't be read, the earlier ones stay in effect: a partially written file
+// would otherwise remove a running process from the site.
+func Watch(ctx context.Context, current Host, load Load, changed func(Host), logger log.Interface) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	t := time.NewTicker(lookInterval)
+	t := time.NewTicker(reloadInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -42,10 +42,10 @@
 			event.SettingsReloaded.Write(logger, log.Fields{"error": err.Error()})
 			continue
 		}
-		if reflect.DeepEqual(h, present) {
+		if reflect.DeepEqual(h, current) {
 			continue
 		}
-		present = h
+		current = h
 		event.SettingsReloaded.Write(logger, log.Fields{"seeds": h.Seeds})
 		changed(h)
 	}
