--- /dev/null
+++ b/internal/site/section/active_document.go
@@ -0,0 +1,64 @@
+package section
+
+import (
+	"hornbeamwood/internal/base/codec"
+	"hornbeamwood/internal/site/chunk"
+	"hornbeamwood/internal/site/document"
+)
+
+// ActiveDocument is the active document; it is immutable.
+type ActiveDocument struct {
+	// Document is the decoded document.
+	Document document.Document
+	// Chunks are the chunks of the document's encoding.
+	Chunks []chunk.Chunk
+
+	source   []chunk.Chunk
+	byDigest map[chunk.Digest]chunk.Chunk
+}
+
+// newActiveDocument decodes a document from its chunks.
+func newActiveDocument(encoded, source []chunk.Chunk) (ActiveDocument, error) {
+	text, err := chunk.Join(encoded)
+	if err != nil {
+		return ActiveDocument{}, err
+	}
+	d, err := codec.Unmarshal[document.Document](text)
+	if err != nil {
+		return ActiveDocument{}, err
+	}
+	active := ActiveDocument{Document: d, Chunks: encoded, source: source, byDigest: map[chunk.Digest]chunk.Chunk{}}
+	for _, all := range [][]chunk.Chunk{encoded, source} {
+		for _, c := range all {
+			active.byDigest[c.Digest] = c
+		}
+	}
+	return active, nil
+}
+
+// Source returns the document as the operator sent it.
+func (a ActiveDocument) Source() ([]byte, error) {
+	return chunk.Join(a.source)
+}
+
+// Chunk returns a chunk of the document or of its source by its digest.
+func (a ActiveDocument) Chunk(d chunk.Digest) (chunk.Chunk, bool) {
+	c, ok := a.byDigest[d]
+	return c, ok
+}
+
+// fill returns the chunks of a command with the data that it left out, and false if a chunk is unknown.
+func (a ActiveDocument) fill(all []chunk.Chunk) ([]chunk.Chunk, bool) {
+	filled := make([]chunk.Chunk, 0, len(all))
+	for _, c := range all {
+		if len(c.Data) == 0 {
+			known, ok := a.Chunk(c.Digest)
+			if !ok {
+				return nil, false
+			}
+			c = known
+		}
+		filled = append(filled, c)
+	}
+	return filled, true
+}
--- a/internal/site/section/command.go
+++ b/internal/site/section/command.go
@@ -5,59 +5,59 @@
 	"hornbeamwood/internal/site/document"
 )
 
-// Name is the section's name in the control log.
+// Name is the name of the section in the control log.
 const Name = "site"
 
-// Command is one change; exactly one field is set.
+// Command is one change of the section; exactly one field is set.
 type Command struct {
-	// Put brings a document into force; logs of earlier releases hold it.
+	// Put activates a document; it occurs only in logs of earlier releases.
 	Put *Put `cbor:"put,omitempty"`
-	// PutChunks brings a document into force.
+	// PutChunks activates a document.
 	PutChunks *PutChunks `cbor:"put-chunks,omitempty"`
-	// SetTargetVersion names new weights.
+	// SetTargetVersion sets the target version of a model's weights.
 	SetTargetVersion *SetTargetVersion `cbor:"name-version,omitempty"`
 }
 
-// Put brings a document into force unless one with its number or a higher one is.
+// Put activates a document unless one with the same or a higher revision is active.
 type Put struct {
 	// Document is the decoded document, checked before it is proposed.
 	Document document.Document `cbor:"document"`
-	// Source is what the operator sent; reads return it unchanged.
+	// Source is the document as the operator sent it; reads return it unchanged.
 	Source []byte `cbor:"source"`
 }
 
-// PutChunks brings a document into force unless one with its number or a higher one is.
+// PutChunks activates a document unless one with the same or a higher revision is active.
 //
-// Chunks without data are those of the document in force when the command was made.
-// A log entry with all of a large document takes the leader's link for longer than
-// heartbeats may be late, and another replica is elected while it is under way.
+// Chunks without data are chunks of the document that was active when the command was created.
+// A log entry with all of a large document would occupy the leader's link for longer than
+// heartbeats may be delayed, and another replica would be elected during its transfer.
 type PutChunks struct {
-	// Revision is the document's.
+	// Revision is the document's revision.
 	Revision int64 `cbor:"number"`
-	// Document is the decoded document, checked before it is proposed, in its encoding.
+	// Document is the encoded document, checked before it is proposed.
 	Document []chunk.Chunk `cbor:"document"`
-	// Source is what the operator sent; reads return it unchanged.
+	// Source is the document as the operator sent it; reads return it unchanged.
 	Source []chunk.Chunk `cbor:"source"`
 }
 
-// SetTargetVersion names the weights that the engines shall have.
+// SetTargetVersion sets the version of a model's weights that the engines should load.
 type SetTargetVersion struct {
-	// Model is the model.
+	// Model is the name of the model.
 	Model string `cbor:"model"`
-	// Version is the number of its weights; a lower one than the present changes nothing.
+	// Version is the version of its weights; one that is not higher than the current target changes nothing.
 	Version int64 `cbor:"version"`
-	// At is when it was named by the servers' clock in Unix milliseconds, zero where that isn't known.
+	// At is when the target was set, by the servers' clock in Unix milliseconds; zero when that is unknown.
 	At int64 `cbor:"at,omitempty"`
 }
 
-// Result is what a Command returns.
+// Result is the result of a Command.
 type Result struct {
-	// Taken says that the command was read; also one that changed nothing is.
+	// Taken says that the command was valid, even if it changed nothing.
 	Taken bool `cbor:"taken"`
-	// MissingChunks says that the command left out chunks that aren't held any more; it has changed nothing and is sent again with all of them.
+	// MissingChunks says that the command left out chunks that are no longer stored. It has changed nothing, and the caller sends it again with all chunks.
 	MissingChunks bool `cbor:"lacking,omitempty"`
-	// Changed says that the state is another one now.
+	// Changed says that the command changed the state.
 	Changed bool `cbor:"changed"`
-	// Revision is the number of the document in force.
+	// Revision is the revision of the active document.
 	Revision int64 `cbor:"number"`
 }
--- a/internal/site/section/doc.go
+++ b/internal/site/section/doc.go
@@ -1,3 +1,3 @@
-// Package section is the part of the control log that holds the operator's
-// document and the named versions of model weights.
+// Package section is the section of the control log's state that holds the operator's
+// document and the target versions of model weights.
 package section
--- a/internal/site/section/put.go
+++ b/internal/site/section/put.go
@@ -6,23 +6,23 @@
 	"hornbeamwood/internal/site/document"
 )
 
-// NewPutChunks returns the command that brings d into force where h is: without the data of the chunks that both share.
-func NewPutChunks(d document.Document, source []byte, h ActiveDocument) (PutChunks, error) {
+// NewPutChunks returns the command that activates d where active is the active document. It leaves out the data of the chunks that both share.
+func NewPutChunks(d document.Document, source []byte, active ActiveDocument) (PutChunks, error) {
 	encoded, err := codec.Marshal(d)
 	if err != nil {
 		return PutChunks{}, err
 	}
 	p := PutChunks{Revision: d.Revision}
-	if p.Document, err = cut(encoded, h); err != nil {
+	if p.Document, err = cutWithoutKnown(encoded, active); err != nil {
 		return PutChunks{}, err
 	}
-	p.Source, err = cut(source, h)
+	p.Source, err = cutWithoutKnown(source, active)
 	return p, err
 }
 
-func cut(text []byte, h ActiveDocument) ([]chunk.Chunk, error) {
+func cutWithoutKnown(text []byte, active ActiveDocument) ([]chunk.Chunk, error) {
 	return chunk.Cut(text, func(d chunk.Digest) (chunk.Chunk, bool) {
-		c, ok := h.Chunk(d)
+		c, ok := active.Chunk(d)
 		return c.WithoutData(), ok
 	})
 }
--- a/internal/site/section/section.go
+++ b/internal/site/section/section.go
@@ -10,46 +10,46 @@
 	"hornbeamwood/internal/control/state"
 )
 
-var errNoQueries = errors.New("site: the section has no queries; read it in the process that holds it")
+var errNoQueries = errors.New("site: the section supports no queries; its state is read in the replica's process")
 
-// Section holds the operator's document and the named versions.
+// Section holds the operator's document and the target versions.
 type Section interface {
 	state.Section
-	// Active returns the document in force and false while there is none.
+	// Active returns the active document, and false while there is none.
 	Active() (ActiveDocument, bool)
-	// TargetVersions returns the named version of each model.
+	// TargetVersions returns the target version of each model.
 	TargetVersions() map[string]int64
-	// TargetVersionTimes returns when each model's version was named by the servers' clock in Unix milliseconds, where that is known.
+	// TargetVersionTimes returns when each model's target was set, by the servers' clock in Unix milliseconds, if that is known.
 	TargetVersionTimes() map[string]int64
 }
 
-// Config is what a Section is made from.
+// Config configures a Section.
 type Config struct {
-	// Changed is called after each change of the state; nil for none.
+	// Changed, if set, is called after each change of the state.
 	Changed func()
 }
 
 type section struct {
 	config Config
 	mu     sync.RWMutex
-	// held is the document in force, nil while there is none.
-	held     *ActiveDocument
-	versions map[string]int64
-	namedAt  map[string]int64
+	// active is the active document, nil while there is none.
+	active       *ActiveDocument
+	versions     map[string]int64
+	versionTimes map[string]int64
 }
 
-// image is the snapshot of the section.
-type image struct {
-	// Held is set in snapshots of earlier releases.
-	Held     *Put             `cbor:"held,omitempty"`
-	Chunks   *PutChunks       `cbor:"chunks,omitempty"`
-	Versions map[string]int64 `cbor:"versions"`
-	NamedAt  map[string]int64 `cbor:"named-at,omitempty"`
+// snapshot is the encoded state of the section.
+type snapshot struct {
+	// Put occurs only in snapshots of earlier releases.
+	Put          *Put             `cbor:"held,omitempty"`
+	PutChunks    *PutChunks       `cbor:"chunks,omitempty"`
+	Versions     map[string]int64 `cbor:"versions"`
+	VersionTimes map[string]int64 `cbor:"named-at,omitempty"`
 }
 
 // New returns the empty section.
 func New(c Config) Section {
-	return &section{config: c, versions: map[string]int64{}, namedAt: map[string]int64{}}
+	return &section{config: c, versions: map[string]int64{}, versionTimes: map[string]int64{}}
 }
 
 // Name implements state.Section.
@@ -79,61 +79,61 @@
 	r := Result{}
 	switch {
 	case c.Put != nil:
-		r = s.putWhole(*c.Put)
+		r = s.applyPut(*c.Put)
 	case c.PutChunks != nil:
-		r = s.put(*c.PutChunks)
+		r = s.applyPutChunks(*c.PutChunks)
 	case c.SetTargetVersion != nil:
-		r = s.nameVersion(*c.SetTargetVersion)
+		r = s.setTargetVersion(*c.SetTargetVersion)
 	}
-	if s.held != nil {
-		r.Revision = s.held.Document.Revision
+	if s.active != nil {
+		r.Revision = s.active.Document.Revision
 	}
 	return r
 }
 
-// put takes a document with a higher number than the one in force.
+// applyPutChunks activates a document with a higher revision than the active one.
 //
-// A resend of an accepted document, or one that a higher number has overtaken,
-// is answered like the first time and changes nothing: an older document that
-// arrives late would otherwise undo a newer one.
-func (s *section) put(p PutChunks) Result {
-	var before ActiveDocument
-	if s.held != nil {
-		before = *s.held
-	}
-	if s.held != nil && p.Revision <= before.Document.Revision {
+// A resend of an accepted document, or a document that a higher revision has overtaken,
+// is answered like the first time and changes nothing. An older document that
+// arrives late would otherwise revert a newer one.
+func (s *section) applyPutChunks(p PutChunks) Result {
+	var previous ActiveDocument
+	if s.active != nil {
+		previous = *s.active
+	}
+	if s.active != nil && p.Revision <= previous.Document.Revision {
 		return Result{Taken: true}
 	}
-	encoded, whole := before.fill(p.Document)
-	source, sourceWhole := before.fill(p.Source)
-	if !whole || !sourceWhole {
+	encoded, encodedComplete := previous.fill(p.Document)
+	source, sourceComplete := previous.fill(p.Source)
+	if !encodedComplete || !sourceComplete {
 		return Result{Taken: true, MissingChunks: true}
 	}
-	h, err := newHeld(encoded, source)
+	active, err := newActiveDocument(encoded, source)
 	if err != nil {
 		return Result{}
 	}
-	s.held = &h
+	s.active = &active
 	return Result{Taken: true, Changed: true}
 }
 
-// putWhole takes a document as logs of earlier releases hold it.
-func (s *section) putWhole(p Put) Result {
+// applyPut activates a document from a log of an earlier release.
+func (s *section) applyPut(p Put) Result {
 	c, err := NewPutChunks(p.Document, p.Source, ActiveDocument{})
 	if err != nil {
 		return Result{}
 	}
-	return s.put(c)
+	return s.applyPutChunks(c)
 }
 
-func (s *section) nameVersion(n SetTargetVersion) Result {
+func (s *section) setTargetVersion(n SetTargetVersion) Result {
 	if n.Model == "" || n.Version <= s.versions[n.Model] {
 		return Result{Taken: n.Model != ""}
 	}
 	s.versions[n.Model] = n.Version
-	delete(s.namedAt, n.Model)
+	delete(s.versionTimes, n.Model)
 	if n.At > 0 {
-		s.namedAt[n.Model] = n.At
+		s.versionTimes[n.Model] = n.At
 	}
 	return Result{Taken: true, Changed: true}
 }
@@ -148,10 +148,10 @@
 func (s *section) Active() (ActiveDocument, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	if s.held == nil {
+	if s.active == nil {
 		return ActiveDocument{}, false
 	}
-	return *s.held, true
+	return *s.active, true
 }
 
 // TargetVersions implements Section.
@@ -165,7 +165,7 @@
 func (s *section) TargetVersionTimes() map[string]int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return maps.Clone(s.namedAt)
+	return maps.Clone(s.versionTimes)
 }
 
 // Query implements state.Section.
@@ -177,41 +177,41 @@
 func (s *section) Snapshot() ([]byte, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	i := image{Versions: s.versions, NamedAt: s.namedAt}
-	if s.held != nil {
-		i.Chunks = &PutChunks{Revision: s.held.Document.Revision, Document: s.held.Chunks, Source: s.held.source}
+	snap := snapshot{Versions: s.versions, VersionTimes: s.versionTimes}
+	if s.active != nil {
+		snap.PutChunks = &PutChunks{Revision: s.active.Document.Revision, Document: s.active.Chunks, Source: s.active.source}
 	}
-	return codec.Marshal(i)
+	return codec.Marshal(snap)
 }
 
 // Restore implements state.Section.
-func (s *section) Restore(snapshot []byte) error {
-	i, err := codec.Unmarshal[image](snapshot)
+func (s *section) Restore(data []byte) error {
+	snap, err := codec.Unmarshal[snapshot](data)
 	if err != nil {
 		return err
 	}
-	held, err := i.held()
+	active, err := snap.activeDocument()
 	if err != nil {
 		return err
 	}
-	if i.Versions == nil {
-		i.Versions = map[string]int64{}
+	if snap.Versions == nil {
+		snap.Versions = map[string]int64{}
 	}
-	if i.NamedAt == nil {
-		i.NamedAt = map[string]int64{}
+	if snap.VersionTimes == nil {
+		snap.VersionTimes = map[string]int64{}
 	}
 	s.mu.Lock()
-	s.held, s.versions, s.namedAt = held, i.Versions, i.NamedAt
+	s.active, s.versions, s.versionTimes = active, snap.Versions, snap.VersionTimes
 	s.mu.Unlock()
 	s.changed()
 	return nil
 }
 
-// held returns the document of a snapshot, nil where there is none.
-func (i image) held() (*ActiveDocument, error) {
-	c := i.Chunks
-	if i.Held != nil {
-		whole, err := NewPutChunks(i.Held.Document, i.Held.Source, ActiveDocument{})
+// activeDocument returns the document of a snapshot, nil when there is none.
+func (s snapshot) activeDocument() (*ActiveDocument, error) {
+	c := s.PutChunks
+	if s.Put != nil {
+		whole, err := NewPutChunks(s.Put.Document, s.Put.Source, ActiveDocument{})
 		if err != nil {
 			return nil, err
 		}
@@ -220,6 +220,6 @@
 	if c == nil {
 		return nil, nil
 	}
-	h, err := newHeld(c.Document, c.Source)
-	return &h, err
+	active, err := newActiveDocument(c.Document, c.Source)
+	return &active, err
 }
--- a/internal/site/section/section_test.go
+++ b/internal/site/section/section_test.go
@@ -9,17 +9,16 @@
 	"hornbeamwood/internal/site/document"
 )
 
-// Two operators send changes at the same time and one of them sends again
-// after a lost answer, when the other's higher number is in force already. The
-// late one must be answered, and nobody's requests may be handled by the older
-// document again.
+// Guards against a resend that reverts a newer document: two operators send changes at the same
+// time, and one resends after a lost answer when the other's higher revision is already
+// active. The resend must be answered without activating the older document again.
 func TestLateDocumentChangesNothing(t *testing.T) {
 	s := New(Config{})
 	steps := []struct {
-		number  int64
-		source  string
-		changed bool
-		held    string
+		revision int64
+		source   string
+		changed  bool
+		active   string
 	}{
 		{7, "seven", true, "seven"},
 		{9, "nine", true, "nine"},
@@ -28,17 +27,17 @@
 		{9, "other nine", false, "nine"},
 		{8, "eight", false, "nine"},
 	}
-	for _, p := range steps {
-		h, _ := s.Active()
-		r := apply(t, s, put(t, document.Document{Revision: p.number}, p.source, h))
-		if got := source(t, s); !r.Taken || r.Changed != p.changed || got != p.held {
-			t.Errorf("%d %s: %+v, held %s", p.number, p.source, r, got)
+	for _, step := range steps {
+		active, _ := s.Active()
+		r := apply(t, s, put(t, document.Document{Revision: step.revision}, step.source, active))
+		if got := source(t, s); !r.Taken || r.Changed != step.changed || got != step.active {
+			t.Errorf("%d %s: %+v, active %s", step.revision, step.source, r, got)
 		}
 	}
 }
 
-// A replica that was away for long gets a snapshot in place of the log; what
-// was accepted meanwhile must be in force there as well.
+// A replica that was down for long gets a snapshot instead of the log. All changes
+// that were accepted meanwhile must be in effect there as well.
 func TestSnapshotHoldsEverything(t *testing.T) {
 	s := New(Config{})
 	apply(t, s, put(t, document.Document{Revision: 4}, "x", ActiveDocument{}))
@@ -48,67 +47,67 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := false
-	o := New(Config{Changed: func() { told = true }})
-	if err := o.Restore(b); err != nil {
+	changed := false
+	restored := New(Config{Changed: func() { changed = true }})
+	if err := restored.Restore(b); err != nil {
 		t.Fatal(err)
 	}
-	h, ok := o.Active()
-	if !ok || h.Document.Revision != 4 || source(t, o) != "x" || o.TargetVersions()["m"] != 3 || !told {
-		t.Errorf("restored %+v %v %v", h, o.TargetVersions(), told)
+	active, ok := restored.Active()
+	if !ok || active.Document.Revision != 4 || source(t, restored) != "x" || restored.TargetVersions()["m"] != 3 || !changed {
+		t.Errorf("restored %+v %v %v", active, restored.TargetVersions(), changed)
 	}
 }
 
-// A change leaves out the chunks that it shares with the document in force; when
-// another change has come in between, they aren't held any more and must be sent.
-func TestChangeOverAnotherDocumentIsSentWhole(t *testing.T) {
+// A change leaves out the chunks that it shares with the active document. After
+// another change in between they are no longer stored and must be sent.
+func TestChangeWithMissingChunksIsSentWhole(t *testing.T) {
 	s := New(Config{})
 	apply(t, s, put(t, document.Document{Revision: 1, Routes: routes(500)}, "one", ActiveDocument{}))
-	h, _ := s.Active()
-	late := put(t, document.Document{Revision: 3, Routes: routes(500)}, "three", h)
-	apply(t, s, put(t, document.Document{Revision: 2}, "two", h))
+	active, _ := s.Active()
+	late := put(t, document.Document{Revision: 3, Routes: routes(500)}, "three", active)
+	apply(t, s, put(t, document.Document{Revision: 2}, "two", active))
 	if r := apply(t, s, late); !r.MissingChunks || r.Changed || source(t, s) != "two" {
-		t.Errorf("%+v, held %s", r, source(t, s))
+		t.Errorf("%+v, active %s", r, source(t, s))
 	}
 	if r := apply(t, s, put(t, document.Document{Revision: 3, Routes: routes(500)}, "three", ActiveDocument{})); !r.Changed || source(t, s) != "three" {
-		t.Errorf("%+v, held %s", r, source(t, s))
+		t.Errorf("%+v, active %s", r, source(t, s))
 	}
 }
 
 // A replica is started with a new release on the data of an earlier one, whose
-// log and snapshots hold documents whole; none of them may be lost.
+// log and snapshots contain documents without chunks. None of them may be lost.
 func TestDocumentsOfEarlierReleasesAreRead(t *testing.T) {
-	whole := Put{Document: document.Document{Revision: 6, Routes: routes(3)}, Source: []byte("six")}
+	legacy := Put{Document: document.Document{Revision: 6, Routes: routes(3)}, Source: []byte("six")}
 	s := New(Config{})
-	if r := apply(t, s, Command{Put: &whole}); !r.Changed || source(t, s) != "six" {
-		t.Errorf("log: %+v, held %s", r, source(t, s))
+	if r := apply(t, s, Command{Put: &legacy}); !r.Changed || source(t, s) != "six" {
+		t.Errorf("log: %+v, active %s", r, source(t, s))
 	}
-	b, err := codec.Marshal(image{Held: &whole})
+	b, err := codec.Marshal(snapshot{Put: &legacy})
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := New(Config{})
-	if err := o.Restore(b); err != nil {
+	restored := New(Config{})
+	if err := restored.Restore(b); err != nil {
 		t.Fatal(err)
 	}
-	if h, _ := o.Active(); source(t, o) != "six" || len(h.Document.Routes) != 3 {
-		t.Errorf("snapshot: %+v", h.Document)
+	if active, _ := restored.Active(); source(t, restored) != "six" || len(active.Document.Routes) != 3 {
+		t.Errorf("snapshot: %+v", active.Document)
 	}
 }
 
-// One route in place of another in a large document must not send the log all of it.
+// Replacing one route of a large document must not write the whole document to the log.
 func TestSmallChangeIsASmallCommand(t *testing.T) {
-	const most = 64 << 10 // a document of 4,000 routes has ten times as much
+	const maxBytes = 64 << 10 // a document of 4,000 routes is ten times as large
 	s := New(Config{})
 	all := routes(4000)
 	apply(t, s, put(t, document.Document{Revision: 1, Routes: all}, "one", ActiveDocument{}))
-	h, _ := s.Active()
+	active, _ := s.Active()
 	all[2000].Prefix = "/other/"
-	b, err := codec.Marshal(put(t, document.Document{Revision: 2, Routes: all}, "two", h))
+	b, err := codec.Marshal(put(t, document.Document{Revision: 2, Routes: all}, "two", active))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(b) > most {
+	if len(b) > maxBytes {
 		t.Errorf("the command has %d bytes", len(b))
 	}
 }
@@ -121,9 +120,9 @@
 	return all
 }
 
-func put(t *testing.T, d document.Document, source string, h ActiveDocument) Command {
+func put(t *testing.T, d document.Document, source string, active ActiveDocument) Command {
 	t.Helper()
-	c, err := NewPutChunks(d, []byte(source), h)
+	c, err := NewPutChunks(d, []byte(source), active)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,8 +131,8 @@
 
 func source(t *testing.T, s Section) string {
 	t.Helper()
-	h, _ := s.Active()
-	b, err := h.Source()
+	active, _ := s.Active()
+	b, err := active.Source()
 	if err != nil {
 		t.Fatal(err)
 	}
