--- a/internal/site/document/check.go
+++ b/internal/site/document/check.go
@@ -5,15 +5,15 @@
 	"fmt"
 )
 
-// ErrInvalid is what every problem of a document wraps.
+// ErrInvalid is wrapped by every error of Document.Check.
 var ErrInvalid = errors.New("the document is invalid")
 
-// Check returns why the document can't be in force, nil when it can.
+// Check returns an error that wraps ErrInvalid if the document can't be activated.
 func (d Document) Check() error {
 	return errors.Join(d.checkServices(), d.checkRoutes(), d.checkKeys())
 }
 
-func problem(format string, args ...any) error {
+func invalid(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrInvalid, fmt.Sprintf(format, args...))
 }
 
@@ -21,7 +21,7 @@
 	seen := map[string]bool{}
 	for _, s := range d.Services {
 		if s.Name == "" || seen[s.Name] {
-			return problem("service %q stands twice or has no name", s.Name)
+			return invalid("service %q is defined twice or has no name", s.Name)
 		}
 		seen[s.Name] = true
 	}
@@ -33,17 +33,17 @@
 	for _, s := range d.Services {
 		services[s.Name] = true
 	}
-	type place struct{ host, prefix string }
-	places := map[place]string{}
+	type hostPrefix struct{ host, prefix string }
+	routesByPrefix := map[hostPrefix]string{}
 	for _, r := range d.Routes {
 		if err := r.check(services); err != nil {
 			return err
 		}
-		p := place{host: r.Host, prefix: r.Prefix}
-		if other, ok := places[p]; ok {
-			return problem("routes %s and %s share host %s and prefix %s", other, r.Name, r.Host, r.Prefix)
+		key := hostPrefix{host: r.Host, prefix: r.Prefix}
+		if other, ok := routesByPrefix[key]; ok {
+			return invalid("routes %s and %s share host %s and prefix %s", other, r.Name, r.Host, r.Prefix)
 		}
-		places[p] = r.Name
+		routesByPrefix[key] = r.Name
 	}
 	return nil
 }
@@ -51,34 +51,34 @@
 func (r Route) check(services map[string]bool) error {
 	switch {
 	case r.Prefix == "" || r.Prefix[0] != '/' || r.Prefix[len(r.Prefix)-1] != '/':
-		return problem("route %s: prefix %q does not begin and end with a slash", r.Name, r.Prefix)
+		return invalid("route %s: prefix %q does not begin and end with a slash", r.Name, r.Prefix)
 	case r.Timeout <= 0:
-		return problem("route %s has no timeout", r.Name)
+		return invalid("route %s has no timeout", r.Name)
 	case r.Kind != Idempotent && r.Kind != NonIdempotent && r.Kind != Streaming:
-		return problem("route %s: kind %q is unknown", r.Name, r.Kind)
+		return invalid("route %s: kind %q is unknown", r.Name, r.Kind)
 	}
 	for _, s := range r.Shares {
 		if !services[s.Service] {
-			return problem("route %s names the unknown service %q", r.Name, s.Service)
+			return invalid("route %s refers to the unknown service %q", r.Name, s.Service)
 		}
 		if s.Weight < 0 {
-			return problem("route %s: the weight of %s is negative", r.Name, s.Service)
+			return invalid("route %s: the weight of %s is negative", r.Name, s.Service)
 		}
 	}
 	if r.weight() <= 0 {
-		return problem("route %s: the weights add up to 0", r.Name)
+		return invalid("route %s: the weights add up to 0", r.Name)
 	}
 	return nil
 }
 
 func (d Document) checkKeys() error {
-	holders := map[string]string{}
+	workspaces := map[string]string{}
 	for _, w := range d.Workspaces {
 		for _, k := range w.Keys {
-			if other, ok := holders[k]; ok && other != w.Name {
-				return problem("workspaces %s and %s share a key", other, w.Name)
+			if other, ok := workspaces[k]; ok && other != w.Name {
+				return invalid("workspaces %s and %s share a key", other, w.Name)
 			}
-			holders[k] = w.Name
+			workspaces[k] = w.Name
 		}
 	}
 	return nil
--- a/internal/site/document/document.go
+++ b/internal/site/document/document.go
@@ -2,16 +2,16 @@
 
 // Document is one complete, immutable description of a site.
 type Document struct {
-	// Revision orders documents; the highest one is in force.
+	// Revision orders documents; the one with the highest revision is active.
 	Revision int64 `cbor:"number"`
-	// Routes say where requests go.
+	// Routes assign requests to services.
 	Routes []Route `cbor:"routes"`
-	// Services are the groups of equal backend servers.
+	// Services are the groups of interchangeable backend servers.
 	Services []Service `cbor:"services"`
-	// Stores keep KV cache beside the engines.
+	// Stores store KV cache outside the engines.
 	Stores []Store `cbor:"stores"`
-	// Limits bound what a caller may send.
+	// Limits bound the requests of callers.
 	Limits Limits `cbor:"limits"`
-	// Workspaces are the customers with their keys; none means that no key is asked for.
+	// Workspaces are the customers with their API keys; without any, no key is required.
 	Workspaces []Workspace `cbor:"workspaces"`
 }
--- a/internal/site/document/document_test.go
+++ b/internal/site/document/document_test.go
@@ -18,16 +18,15 @@
 	}
 }
 
-// A document that names a service nobody has, or sends two routes to one
-// place, can't be obeyed; in force, it would turn every request of the route
-// away, or send it where only chance decides.
+// Guards against activating a document with an unknown service or two routes with the same host
+// and prefix: every request of such a route would be refused, or routed arbitrarily.
 func TestInvalidDocuments(t *testing.T) {
 	if err := valid().Check(); err != nil {
 		t.Fatal(err)
 	}
-	broken := map[string]func(*Document){
+	mutations := map[string]func(*Document){
 		"unknown service": func(d *Document) { d.Routes[0].Shares[0].Service = "c" },
-		"same place":      func(d *Document) { d.Routes[1].Prefix = "/x/" },
+		"same prefix":     func(d *Document) { d.Routes[1].Prefix = "/x/" },
 		"no weight":       func(d *Document) { d.Routes[1].Shares = []Share{{"a", 0}, {"b", 0}} },
 		"no shares":       func(d *Document) { d.Routes[1].Shares = nil },
 		"no timeout":      func(d *Document) { d.Routes[0].Timeout = 0 },
@@ -35,9 +34,9 @@
 		"unknown kind":    func(d *Document) { d.Routes[0].Kind = "other" },
 		"bare prefix":     func(d *Document) { d.Routes[0].Prefix = "/x" },
 	}
-	for name, breakIt := range broken {
+	for name, invalidate := range mutations {
 		d := valid()
-		breakIt(&d)
+		invalidate(&d)
 		if err := d.Check(); !errors.Is(err, ErrInvalid) {
 			t.Errorf("%s: got %v", name, err)
 		}
@@ -54,13 +53,13 @@
 		}
 	}
 	if _, ok := table.Route("other", "/x/"); ok {
-		t.Error("a route of another host was found")
+		t.Error("a route of a different host was found")
 	}
 }
 
 func TestSharesFollowWeights(t *testing.T) {
 	r := valid().Routes[1]
 	if r.ServiceAt(0.899) != "a" || r.ServiceAt(0.901) != "b" || r.ServiceAt(0.9999999) != "b" {
-		t.Error("the shares don't follow the weights")
+		t.Error("the shares are not proportional to the weights")
 	}
 }
--- a/internal/site/document/kind.go
+++ b/internal/site/document/kind.go
@@ -1,6 +1,6 @@
 package document
 
-// Kind says what may be repeated.
+// Kind determines whether requests may be retried.
 type Kind string
 
 const (
--- a/internal/site/document/route.go
+++ b/internal/site/document/route.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// Route sends the requests of one host and path prefix to services.
+// Route assigns the requests of one host and path prefix to services.
 type Route struct {
-	// Name names the route in logs.
+	// Name identifies the route, also in logs.
 	Name string `cbor:"name"`
-	// Host is the host that requests name.
+	// Host is the host of the requests.
 	Host string `cbor:"host"`
-	// Prefix begins the paths of the route; it begins and ends with a slash.
+	// Prefix is the path prefix of the route; it begins and ends with a slash.
 	Prefix string `cbor:"prefix"`
-	// Kind says what may be repeated.
+	// Kind determines whether requests may be retried.
 	Kind Kind `cbor:"kind"`
-	// Timeout is the longest time that a request is kept waiting.
+	// Timeout is the longest time that a request may wait for its answer.
 	Timeout time.Duration `cbor:"timeout"`
-	// LatencyTarget is the latency within which an answer has its full worth; for streams up to the first event.
+	// LatencyTarget is the latency up to which an answer has its full value; for streams that of the first event.
 	LatencyTarget time.Duration `cbor:"target"`
-	// EventGapTarget is the longest pause between events at which a stream is on time; zero for none.
+	// EventGapTarget is the longest gap between two events within which a stream meets its target; zero for none.
 	EventGapTarget time.Duration `cbor:"gap"`
-	// Silence is how long callers of a stream wait for its next event, the first one too, before they leave; zero where it isn't known.
+	// Silence is how long callers of a stream wait for its next event, including the first, before they disconnect; zero when that is unknown.
 	Silence time.Duration `cbor:"silence"`
-	// Priority is the rank, 0 the most urgent.
+	// Priority is the priority of the requests; 0 is the most urgent.
 	Priority int `cbor:"priority"`
 	// Shares are the services with their weights.
 	Shares []Share `cbor:"shares"`
-	// MaxAttempts is the most servers that one attempt of a caller may run on.
+	// MaxAttempts is the largest number of servers on which one attempt of a caller may run.
 	MaxAttempts int `cbor:"max-attempts"`
-	// Public says that no key is asked for.
+	// Public says that no API key is required.
 	Public bool `cbor:"public"`
-	// Prompts says that requests carry prompts for engines.
+	// Prompts says that requests contain prompts for engines.
 	Prompts bool `cbor:"prompts"`
-	// Resumable says that a stream may go on at another server.
+	// Resumable says that a stream may be resumed on another server.
 	Resumable bool `cbor:"resumable"`
 }
 
-// Share is a service's part of a route.
+// Share is a service's share of a route's requests.
 type Share struct {
-	// Service names the service.
+	// Service is the name of the service.
 	Service string `cbor:"service"`
-	// Weight is the part relative to the other weights of the route.
+	// Weight is the share relative to the other weights of the route.
 	Weight float64 `cbor:"weight"`
 }
 
@@ -56,14 +56,14 @@
 	return sum
 }
 
-// ServiceAt returns the service at the point x of the weights, 0 <= x < 1.
+// ServiceAt returns the service at the fraction x of the cumulative weights, 0 <= x < 1.
 func (r Route) ServiceAt(x float64) string {
-	left := x * r.weight()
+	rest := x * r.weight()
 	for _, s := range r.Shares {
-		if left < s.Weight {
+		if rest < s.Weight {
 			return s.Service
 		}
-		left -= s.Weight
+		rest -= s.Weight
 	}
 	for i := len(r.Shares) - 1; i >= 0; i-- {
 		if r.Shares[i].Weight > 0 {
--- a/internal/site/document/store.go
+++ b/internal/site/document/store.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Store keeps KV cache beside the engines.
+// Store stores KV cache outside the engines.
 type Store struct {
-	// Name names the store.
+	// Name identifies the store.
 	Name string `cbor:"name"`
 	// Address is its IP and port.
 	Address string `cbor:"address"`
 	// Zone is its availability zone.
 	Zone string `cbor:"zone"`
-	// CapacityTokens is its room.
+	// CapacityTokens is its capacity in tokens.
 	CapacityTokens int `cbor:"tokens"`
-	// LinkRate is what its link carries, in bytes per second.
+	// LinkRate is the rate of its link, in bytes per second.
 	LinkRate float64 `cbor:"link-rate"`
-	// Latency is what each transfer waits at least.
+	// Latency is the minimum delay of each transfer.
 	Latency time.Duration `cbor:"first"`
 	// Managed says that it keeps parts until they are freed.
 	Managed bool `cbor:"managed"`
-	// MaxFeeds is how many polls for cache events it holds at once.
+	// MaxFeeds is how many concurrent polls for cache events it accepts.
 	MaxFeeds int `cbor:"max-feeds"`
 }
--- a/internal/site/document/table.go
+++ b/internal/site/document/table.go
@@ -2,15 +2,15 @@
 
 import "strings"
 
-// Table answers the questions that each request asks of a document.
+// Table provides the look-ups in a document that each request needs.
 type Table interface {
-	// Document returns the document that the table was made from.
+	// Document returns the document of the table.
 	Document() Document
 	// Route returns the route with the longest prefix of path at host.
 	Route(host, path string) (Route, bool)
-	// Workspace returns the workspace that holds the key.
+	// Workspace returns the workspace of an API key.
 	Workspace(key string) (Workspace, bool)
-	// Service returns the service of that name.
+	// Service returns the service with the given name.
 	Service(name string) (Service, bool)
 }
 
@@ -21,7 +21,7 @@
 	services   map[string]int
 }
 
-// NewTable returns the Table of a document that Check has passed.
+// NewTable returns the Table of a document that has passed Check.
 func NewTable(d Document) Table {
 	t := &table{document: d, hosts: map[string]map[string]int{}, workspaces: map[string]int{}, services: map[string]int{}}
 	for i, r := range d.Routes {
@@ -49,9 +49,9 @@
 
 // Route implements Table.
 //
-// Prefixes end with a slash, so the candidates are the path's beginnings up to
-// each slash, the longest first: as many look-ups as the path has slashes,
-// however many routes the document has.
+// Prefixes end with a slash, so the candidates are the path's prefixes up to
+// each slash, the longest first. The number of look-ups is the number of slashes in the path
+// and independent of the number of routes.
 func (t *table) Route(host, path string) (Route, bool) {
 	prefixes := t.hosts[strings.ToLower(host)]
 	for prefixes != nil {
