--- a/internal/site/chunk/chunk.go
+++ b/internal/site/chunk/chunk.go
@@ -5,9 +5,9 @@
 	"encoding/hex"
 )
 
-const digestBytes = 16 // of a SHA-256: no two chunks share them by accident
+const digestBytes = 16 // the first bytes of a SHA-256, enough to rule out accidental collisions
 
-// Digest names a chunk by its content.
+// Digest identifies a chunk by its content.
 type Digest [digestBytes]byte
 
 // String returns the digest in hexadecimal.
@@ -20,25 +20,25 @@
 	return Digest(sum[:digestBytes])
 }
 
-// Chunk is a stretch of a text; it is immutable.
+// Chunk is a section of a text; it is immutable.
 type Chunk struct {
-	// Chunks travel without the names of their fields.
+	// Chunks are encoded without field names.
 	_ struct{} `cbor:",toarray"`
-	// Digest names the chunk.
+	// Digest identifies the chunk.
 	Digest Digest
-	// Size is the length of the stretch in bytes.
+	// Size is the uncompressed length of the section in bytes.
 	Size int
-	// Data is the stretch, deflated; empty where the receiver has the chunk.
+	// Data is the section, compressed with DEFLATE; empty when the receiver has the chunk.
 	Data []byte
 }
 
-// WithoutData returns the chunk's name and size alone.
+// WithoutData returns the chunk with only its digest and size.
 func (c Chunk) WithoutData() Chunk {
 	c.Data = nil
 	return c
 }
 
-// Digests returns the names of the chunks in their order.
+// Digests returns the digests of the chunks in order.
 func Digests(all []Chunk) []Digest {
 	digests := make([]Digest, 0, len(all))
 	for _, c := range all {
--- a/internal/site/chunk/chunk_test.go
+++ b/internal/site/chunk/chunk_test.go
@@ -11,9 +11,9 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-func none(Digest) (Chunk, bool) { return Chunk{}, false }
+func findNone(Digest) (Chunk, bool) { return Chunk{}, false }
 
-func lines(n int, seed uint64) []byte {
+func randomRecords(n int, seed uint64) []byte {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var b bytes.Buffer
 	for i := range n {
@@ -23,11 +23,11 @@
 }
 
 func TestJoinGivesBackTheText(t *testing.T) {
-	p := gopter.NewProperties(gopter.DefaultTestParameters())
-	p.Property("join of cut is the text", prop.ForAll(
+	properties := gopter.NewProperties(gopter.DefaultTestParameters())
+	properties.Property("joining the chunks of a text returns the text", prop.ForAll(
 		func(n int, seed uint64) bool {
-			text := lines(n, seed)
-			all, err := Cut(text, none)
+			text := randomRecords(n, seed)
+			all, err := Cut(text, findNone)
 			if err != nil {
 				return false
 			}
@@ -36,40 +36,40 @@
 		},
 		gen.IntRange(0, 600), gen.UInt64(),
 	))
-	p.TestingRun(t)
+	properties.TestingRun(t)
 }
 
-// A text that changes in one place has few chunks that its predecessor lacks.
+// A text that changes in one place has only a few chunks that its previous version lacks.
 func TestVersionsShareChunks(t *testing.T) {
-	before := lines(4000, 7)
-	held := map[Digest]Chunk{}
-	all, err := Cut(before, none)
+	before := randomRecords(4000, 7)
+	known := map[Digest]Chunk{}
+	all, err := Cut(before, findNone)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range all {
-		held[c.Digest] = c
+		known[c.Digest] = c
 	}
 	for name, at := range map[string]int{"start": 0, "middle": len(before) / 2, "end": len(before)} {
 		after := bytes.Join([][]byte{before[:at], []byte("something else"), before[at:]}, nil)
-		lacking := 0
+		missing := 0
 		if _, err := Cut(after, func(d Digest) (Chunk, bool) {
-			c, ok := held[d]
+			c, ok := known[d]
 			if !ok {
-				lacking++
+				missing++
 			}
 			return c, ok
 		}); err != nil {
 			t.Fatal(err)
 		}
-		if lacking > 3 {
-			t.Errorf("%s: %d of %d chunks are new", name, lacking, len(all))
+		if missing > 3 {
+			t.Errorf("%s: %d of %d chunks are new", name, missing, len(all))
 		}
 	}
 }
 
-func TestJoinRefusesWhatIsNotItsName(t *testing.T) {
-	all, err := Cut(lines(500, 3), none)
+func TestJoinRefusesContentThatDoesNotMatchItsDigest(t *testing.T) {
+	all, err := Cut(randomRecords(500, 3), findNone)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,12 +79,12 @@
 	huge.Size = maxBytes + 1
 	for name, c := range map[string]Chunk{"another content": other, "no content": all[0].WithoutData(), "a size beyond the limit": huge} {
 		if _, err := Join([]Chunk{c}); err == nil {
-			t.Errorf("%s was taken", name)
+			t.Errorf("%s was accepted", name)
 		}
 	}
-	cut := all[0]
-	cut.Data = cut.Data[:len(cut.Data)/2]
-	if _, err := Join([]Chunk{cut}); err == nil {
-		t.Error("half of a chunk was taken")
+	truncated := all[0]
+	truncated.Data = truncated.Data[:len(truncated.Data)/2]
+	if _, err := Join([]Chunk{truncated}); err == nil {
+		t.Error("a truncated chunk was accepted")
 	}
 }
--- a/internal/site/chunk/cut.go
+++ b/internal/site/chunk/cut.go
@@ -11,37 +11,37 @@
 )
 
 const (
-	// polynomial is an irreducible one of degree 53; texts share chunks only if they were cut with the same one.
+	// polynomial is an irreducible polynomial of degree 53. Texts share chunks only if they were cut with the same one.
 	polynomial = chunker.Pol(0x3DA3358B4DC173)
-	// minBytes and maxBytes bound a chunk, which has 2^averageBits bytes beyond the least on average.
+	// minBytes and maxBytes bound the size of a chunk. The average is 2^averageBits bytes above minBytes.
 	minBytes    = 4 << 10
 	maxBytes    = 64 << 10
 	averageBits = 13
 )
 
-// Finder returns a chunk that is already there by its name.
+// Finder returns an existing chunk by its digest.
 type Finder func(Digest) (Chunk, bool)
 
-// Cut returns the chunks of a text; those that find knows are not compressed again.
+// Cut returns the chunks of a text. Chunks that find returns are not compressed again.
 func Cut(text []byte, find Finder) ([]Chunk, error) {
-	cutter := chunker.NewWithBoundaries(bytes.NewReader(text), polynomial, minBytes, maxBytes)
-	cutter.SetAverageBits(averageBits)
+	splitter := chunker.NewWithBoundaries(bytes.NewReader(text), polynomial, minBytes, maxBytes)
+	splitter.SetAverageBits(averageBits)
 	w, err := flate.NewWriter(nil, flate.DefaultCompression)
 	if err != nil {
 		return nil, fmt.Errorf("chunk: %w", err)
 	}
 	var all []Chunk
-	stretch := make([]byte, maxBytes)
+	buffer := make([]byte, maxBytes)
 	for {
-		next, err := cutter.Next(stretch)
+		next, err := splitter.Next(buffer)
 		if errors.Is(err, io.EOF) {
 			return all, nil
 		}
 		if err != nil {
-			return nil, fmt.Errorf("chunk: cut: %w", err)
+			return nil, fmt.Errorf("chunk: split: %w", err)
 		}
-		c, known := find(digestOf(next.Data))
-		if !known {
+		c, found := find(digestOf(next.Data))
+		if !found {
 			if c, err = deflate(w, next.Data); err != nil {
 				return nil, err
 			}
