--- a/internal/site/directory/server.go
+++ b/internal/site/directory/server.go
@@ -38,7 +38,7 @@
 // Weights is a model with the version of its weights.
 type Weights struct {
 	_ struct{} `cbor:",toarray"`
-	// Model names the model.
+	// Model is the name of the model.
 	Model string
 	// Version is the version of the weights.
 	Version int64
--- a/internal/site/host/host.go
+++ b/internal/site/host/host.go
@@ -4,7 +4,7 @@
 
 // Host holds a process's settings about its VM and its site. All of them may change while the process runs.
 type Host struct {
-	// Name names the VM in logs.
+	// Name is the name of the VM in logs.
 	Name string
 	// Zone is its availability zone.
 	Zone string
