--- a/internal/site/chunk/cut.go
+++ b/internal/site/chunk/split.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// polynomial is an irreducible polynomial of degree 53. Texts share chunks only if they were cut with the same one.
+	// polynomial is an irreducible polynomial of degree 53. Texts share chunks only if they were split with the same one.
 	polynomial = chunker.Pol(0x3DA3358B4DC173)
 	// minBytes and maxBytes bound the size of a chunk. The average is 2^averageBits bytes above minBytes.
 	minBytes    = 4 << 10
--- a/internal/site/section/put.go
+++ b/internal/site/section/put.go
@@ -13,14 +13,14 @@
 		return PutChunks{}, err
 	}
 	p := PutChunks{Revision: d.Revision}
-	if p.Document, err = cutWithoutKnown(encoded, active); err != nil {
+	if p.Document, err = splitWithoutKnown(encoded, active); err != nil {
 		return PutChunks{}, err
 	}
-	p.Source, err = cutWithoutKnown(source, active)
+	p.Source, err = splitWithoutKnown(source, active)
 	return p, err
 }
 
-func cutWithoutKnown(text []byte, active ActiveDocument) ([]chunk.Chunk, error) {
+func splitWithoutKnown(text []byte, active ActiveDocument) ([]chunk.Chunk, error) {
 	return chunk.Cut(text, func(d chunk.Digest) (chunk.Chunk, bool) {
 		c, ok := active.Chunk(d)
 		return c.WithoutData(), ok
