--- a/internal/site/stores/clock.go
+++ b/internal/site/stores/clock.go
@@ -11,10 +11,10 @@
 // it arrived. Of two timestamps the one that gives the larger offset is more accurate.
 // The wall clock of this VM may jump and is not used.
 type Clock struct {
-	mu        sync.Mutex
-	offset    time.Duration
-	start     time.Time
-	confirmed bool
+	mu     sync.Mutex
+	offset time.Duration
+	start  time.Time
+	known  bool
 }
 
 // NewClock returns a Clock without an estimate.
@@ -30,8 +30,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	offset := time.Duration(millis)*time.Millisecond - time.Since(c.start)
-	if !c.confirmed || offset > c.offset {
-		c.offset, c.confirmed = offset, true
+	if !c.known || offset > c.offset {
+		c.offset, c.known = offset, true
 	}
 }
 
@@ -39,7 +39,7 @@
 func (c *Clock) Now() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.confirmed {
+	if !c.known {
 		return 0
 	}
 	return (c.offset + time.Since(c.start)).Milliseconds()
--- a/internal/site/stores/engine_inventory.go
+++ b/internal/site/stores/engine_inventory.go
@@ -16,42 +16,42 @@
 }
 
 // Next returns the cursor of the next poll.
-func (c *EngineInventory) Next() int64 {
-	return c.next
+func (i *EngineInventory) Next() int64 {
+	return i.next
 }
 
 // Parts returns how many tokens of each part the engine has cached, by the part's hash.
-func (c *EngineInventory) Parts() map[uint64]int {
-	return c.parts
+func (i *EngineInventory) Parts() map[uint64]int {
+	return i.parts
 }
 
 // ApplyFeed applies the changes of a feed. It returns false when a full listing is needed
 // because changes were lost or the engine has restarted since the last poll.
-func (c *EngineInventory) ApplyFeed(feed Feed) bool {
-	if feed.Lost || c.started && feed.Epoch != c.epoch {
+func (i *EngineInventory) ApplyFeed(feed Feed) bool {
+	if feed.Lost || i.started && feed.Epoch != i.epoch {
 		return false
 	}
-	c.epoch, c.next, c.started = feed.Epoch, feed.Next, true
+	i.epoch, i.next, i.started = feed.Epoch, feed.Next, true
 	for _, change := range feed.Changes {
-		c.set(change.Part, change.Tokens)
+		i.set(change.Part, change.Tokens)
 	}
 	return true
 }
 
 // ApplyListing replaces the recorded parts by those of a full listing.
-func (c *EngineInventory) ApplyListing(listing Listing) {
-	c.epoch, c.next, c.started = listing.Epoch, listing.Next, true
-	clear(c.parts)
+func (i *EngineInventory) ApplyListing(listing Listing) {
+	i.epoch, i.next, i.started = listing.Epoch, listing.Next, true
+	clear(i.parts)
 	for p, tokens := range listing.Held {
-		c.set(p, tokens)
+		i.set(p, tokens)
 	}
 }
 
 // set records how many tokens of a part are cached. An engine that evicts the end of a part keeps its beginning.
-func (c *EngineInventory) set(p Part, tokens int) {
-	if tokens < c.minTokens {
-		delete(c.parts, p.Hash())
+func (i *EngineInventory) set(p Part, tokens int) {
+	if tokens < i.minTokens {
+		delete(i.parts, p.Hash())
 		return
 	}
-	c.parts[p.Hash()] = tokens
+	i.parts[p.Hash()] = tokens
 }
--- a/internal/site/stores/store_inventory.go
+++ b/internal/site/stores/store_inventory.go
@@ -83,13 +83,13 @@
 }
 
 func (s *StoreInventory) set(p Part, held bool, tokens int, now time.Time) bool {
-	old, acknowledged := s.parts[p]
+	old, known := s.parts[p]
 	switch {
-	case held && !acknowledged:
+	case held && !known:
 		s.parts[p] = &storedPart{tokens: tokens, lastUsed: now}
 		s.hashes[p.Hash()] = p
 		return true
-	case !held && acknowledged:
+	case !held && known:
 		s.remove(p)
 		return old.withdrawnAt.IsZero()
 	}
--- a/internal/site/watch/mirrors.go
+++ b/internal/site/watch/mirrors.go
@@ -88,25 +88,25 @@
 func (x *mirrors) Apply(address string, a Answer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	c, ok := x.replicas[address]
-	if !ok || c.epoch != a.Epoch {
-		c = &replicaMirror{epoch: a.Epoch, table: rowtable.New(uint64(time.Now().UnixNano())), entries: map[string]position{}}
-		x.replicas[address] = c
+	m, ok := x.replicas[address]
+	if !ok || m.epoch != a.Epoch {
+		m = &replicaMirror{epoch: a.Epoch, table: rowtable.New(uint64(time.Now().UnixNano())), entries: map[string]position{}}
+		x.replicas[address] = m
 	}
 	changed := false
 	for _, r := range a.Rows {
 		if x.Relayed(r.Topic) {
-			c.last = max(c.last, c.table.Put(r.Topic, r.Key, r.Value))
+			m.last = max(m.last, m.table.Put(r.Topic, r.Key, r.Value))
 			changed = true
 		}
 	}
-	c.recordRevision(a.Revision)
+	m.recordRevision(a.Revision)
 	if a.Fencing != 0 {
-		changed = changed || a.Fencing != c.fencing
-		c.fencing = a.Fencing
+		changed = changed || a.Fencing != m.fencing
+		m.fencing = a.Fencing
 	}
 	if a.Fencing != 0 && !a.More {
-		c.polledAt = x.polledAt[address]
+		m.polledAt = x.polledAt[address]
 	}
 	if changed {
 		close(x.signal)
@@ -118,19 +118,19 @@
 func (x *mirrors) AcknowledgedRevision(address string, within time.Duration) uint64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	c, ok := x.replicas[address]
+	m, ok := x.replicas[address]
 	if !ok {
 		return 0
 	}
-	least := c.last
-	for name, p := range c.entries {
+	least := m.last
+	for name, p := range m.entries {
 		if x.now()-p.polledAt > within {
-			delete(c.entries, name)
+			delete(m.entries, name)
 			continue
 		}
 		least = min(least, p.revision)
 	}
-	return c.sourceRevision(least)
+	return m.sourceRevision(least)
 }
 
 // serveHolderStates answers the poll of an entry.
@@ -153,9 +153,9 @@
 	defer x.mu.Unlock()
 	var all []HolderState
 	for _, address := range x.holders() {
-		c := x.replicas[address]
-		state := c.holderState(address, positions[address])
-		state.Age = x.now() - c.polledAt
+		m := x.replicas[address]
+		state := m.holderState(address, positions[address])
+		state.Age = x.now() - m.polledAt
 		all = append(all, state)
 	}
 	return all
@@ -165,8 +165,8 @@
 // first; the caller holds the lock.
 func (x *mirrors) holders() []string {
 	var all []string
-	for address, c := range x.replicas {
-		if c.fencing != 0 {
+	for address, m := range x.replicas {
+		if m.fencing != 0 {
 			all = append(all, address)
 		}
 	}
@@ -185,12 +185,12 @@
 			delete(x.entries, name)
 		}
 	}
-	for address, c := range x.replicas {
+	for address, m := range x.replicas {
 		revision := uint64(0)
-		if k := p.Positions[address]; k.Epoch == c.table.Epoch() {
+		if k := p.Positions[address]; k.Epoch == m.table.Epoch() {
 			revision = k.Revision
 		}
-		c.entries[p.Watcher] = position{revision, now}
+		m.entries[p.Watcher] = position{revision, now}
 	}
 }
 
@@ -214,8 +214,8 @@
 // behind returns whether the entry lacks any rows; the caller holds the lock.
 func (x *mirrors) behind(p HolderStatesPoll) bool {
 	for _, address := range x.holders() {
-		c, k := x.replicas[address], p.Positions[address]
-		if k.Epoch != c.table.Epoch() || c.table.ChangedAfter(k.Revision) {
+		m, k := x.replicas[address], p.Positions[address]
+		if k.Epoch != m.table.Epoch() || m.table.ChangedAfter(k.Revision) {
 			return true
 		}
 	}
--- a/internal/site/watch/replica_mirror.go
+++ b/internal/site/watch/replica_mirror.go
@@ -35,21 +35,21 @@
 }
 
 // recordRevision records that the mirror has all changes of the replica up to the source revision.
-func (c *replicaMirror) recordRevision(source uint64) {
-	if n := len(c.steps); n > 0 && c.steps[n-1].revision == c.last {
-		c.steps[n-1].source = max(c.steps[n-1].source, source)
+func (m *replicaMirror) recordRevision(source uint64) {
+	if n := len(m.steps); n > 0 && m.steps[n-1].revision == m.last {
+		m.steps[n-1].source = max(m.steps[n-1].source, source)
 		return
 	}
-	c.steps = append(c.steps, revisionStep{c.last, source})
-	if len(c.steps) > maxSteps {
-		c.steps = append([]revisionStep(nil), c.steps[maxSteps/2:]...)
+	m.steps = append(m.steps, revisionStep{m.last, source})
+	if len(m.steps) > maxSteps {
+		m.steps = append([]revisionStep(nil), m.steps[maxSteps/2:]...)
 	}
 }
 
 // sourceRevision returns the replica's revision up to which an entry has the rows when it has the mirror's up to revision.
-func (c *replicaMirror) sourceRevision(revision uint64) uint64 {
+func (m *replicaMirror) sourceRevision(revision uint64) uint64 {
 	found := uint64(0)
-	for _, s := range c.steps {
+	for _, s := range m.steps {
 		if s.revision > revision {
 			break
 		}
@@ -59,13 +59,13 @@
 }
 
 // holderState returns the rows that a watcher at the position lacks.
-func (c *replicaMirror) holderState(address string, at Position) HolderState {
+func (m *replicaMirror) holderState(address string, at Position) HolderState {
 	revision := at.Revision
-	if at.Epoch != c.table.Epoch() {
+	if at.Epoch != m.table.Epoch() {
 		revision = 0
 	}
-	state := HolderState{Address: address, Epoch: c.epoch, Fencing: c.fencing, Position: Position{Epoch: c.table.Epoch()}}
-	state.Rows, state.Position.Revision = c.table.Since(revision)
-	state.More = c.table.ChangedAfter(state.Position.Revision)
+	state := HolderState{Address: address, Epoch: m.epoch, Fencing: m.fencing, Position: Position{Epoch: m.table.Epoch()}}
+	state.Rows, state.Position.Revision = m.table.Since(revision)
+	state.More = m.table.ChangedAfter(state.Position.Revision)
 	return state
 }
--- a/internal/site/watch/rounds.go
+++ b/internal/site/watch/rounds.go
@@ -11,8 +11,8 @@
 // next returns when a change that exists now is answered: in the round that is
 // already scheduled, or after batchDelay when the last round is at least interval ago.
 //
-// If each change were delayed for as long as continual ones must be, an order or a
-// document that arrives after a quiet time would wait for no benefit.
+// Continual changes must be delayed for longer than a single one. Delaying every change for that
+// long would hold up an order or a document after a quiet time without any benefit.
 func (r *rounds) next(now time.Time, interval time.Duration) time.Time {
 	if now.Before(r.last) {
 		return r.last
