--- a/internal/process/siteentry/conns.go
+++ b/internal/process/siteentry/conns.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// defaultHeaderTimeout is how long a caller's headers may take when no document says otherwise.
+	// defaultHeaderTimeout is the timeout for a caller's headers while no document sets one.
 	defaultHeaderTimeout = 5 * time.Second
-	// defaultIdleTimeout is how long an idle connection of a caller is kept when no document says otherwise.
+	// defaultIdleTimeout is the timeout for a caller's idle connection while no document sets one.
 	defaultIdleTimeout = 40 * time.Second
-	// expireInterval is the time between two looks for connections whose time is
-	// up; callers are promised at least the timeout, not its exact end.
+	// expireInterval is the interval of the check for expired connections. Callers are promised at least the
+	// timeout, not its exact end.
 	expireInterval = 250 * time.Millisecond
 )
 
-// conns are the open connections of callers.
+// conns tracks the open connections of callers.
 type conns struct {
 	mu  sync.Mutex
 	all map[*conn]struct{}
@@ -30,7 +30,7 @@
 	return &conns{all: map[*conn]struct{}{}}
 }
 
-// listener hands out connections that can be closed while they are idle.
+// listener returns connections that can be closed while they are idle.
 type listener struct {
 	net.Listener
 	conns *conns
@@ -42,24 +42,24 @@
 	if err != nil {
 		return nil, err
 	}
-	x := &conn{Conn: c, phase: resting, since: time.Now()}
+	x := &conn{Conn: c, phase: phaseIdle, since: time.Now()}
 	l.conns.mu.Lock()
 	l.conns.all[x] = struct{}{}
 	l.conns.mu.Unlock()
 	return x, nil
 }
 
-// changed follows the server's view of a connection.
-func (s *conns) changed(c net.Conn, state http.ConnState) {
+// stateChanged applies a state change that the HTTP server reports for a connection.
+func (s *conns) stateChanged(c net.Conn, state http.ConnState) {
 	x, ok := c.(*conn)
 	if !ok {
 		return
 	}
 	switch state {
 	case http.StateActive:
-		x.enter(serving)
+		x.setPhase(phaseServing)
 	case http.StateIdle:
-		x.enter(resting)
+		x.setPhase(phaseIdle)
 	case http.StateClosed, http.StateHijacked:
 		s.mu.Lock()
 		delete(s.all, x)
@@ -67,7 +67,7 @@
 	}
 }
 
-// count returns how many connections are open.
+// count returns the number of open connections.
 func (s *conns) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,12 +83,12 @@
 	}
 }
 
-// expire closes the connections that have rested, or whose headers have been on
-// their way, for longer than the limits allow.
+// expire closes the connections that have been idle, or have been sending headers, for longer than the limits
+// allow.
 //
-// The limits come with each document, and a server of the standard library fixes
-// its own at the start. Kept shorter than the document says, a caller's next
-// request would cross the closing of its connection.
+// The limits may change with each document, but the timeouts of an http.Server are fixed when it starts. With an
+// idle timeout shorter than the document's, the server could close a connection while a caller sends its next
+// request on it.
 func (s *conns) expire(now time.Time, l document.Limits) {
 	header, idle := l.HeaderTimeout, l.IdleTimeout
 	if header <= 0 {
@@ -100,13 +100,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.all {
-		c.closeAfter(resting, now.Add(-idle))
-		c.closeAfter(heading, now.Add(-header))
+		c.closeAfter(phaseIdle, now.Add(-idle))
+		c.closeAfter(phaseHeader, now.Add(-header))
 	}
 }
 
-// expireAll applies the limits of the document in force until ctx ends.
-func (p *process) expireAll(ctx context.Context) {
+// expireConns applies the connection limits of the document in force until ctx ends.
+func (p *process) expireConns(ctx context.Context) {
 	t := time.NewTicker(expireInterval)
 	defer t.Stop()
 	for {
@@ -119,24 +119,23 @@
 	}
 }
 
-// phase is what a connection is doing.
+// phase is the state of a connection.
 type phase int
 
 const (
-	// resting connections wait for the first byte of a request.
-	resting phase = iota
-	// heading connections have a part of a request's headers.
-	heading
-	// serving connections have a request whose answer isn't complete.
-	serving
+	// phaseIdle connections wait for the first byte of a request.
+	phaseIdle phase = iota
+	// phaseHeader connections have received a part of a request's headers.
+	phaseHeader
+	// phaseServing connections have a request whose response isn't complete.
+	phaseServing
 )
 
 // conn is a connection of a caller.
 //
-// The standard server calls a connection idle until it has read a whole head. A
-// request that is being read when the idle connections are closed is served all
-// the same, and its caller never gets the answer. Here the first byte decides:
-// either the connection is closed and nothing more is read from it, or it isn't.
+// The HTTP server regards a connection as idle until it has read all headers of a request. If idle connections
+// are closed while headers are being read, that request is still handled, but its caller never gets the
+// response. Here the first byte decides: a connection is either closed and never read again, or it stays open.
 type conn struct {
 	net.Conn
 	mu     sync.Mutex
@@ -145,8 +144,8 @@
 	closed bool
 }
 
-// enter notes that the connection goes over to another phase.
-func (c *conn) enter(p phase) {
+// setPhase records that the connection has entered another phase.
+func (c *conn) setPhase(p phase) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.phase, c.since = p, time.Now()
@@ -160,17 +159,17 @@
 	if c.closed {
 		return 0, net.ErrClosed
 	}
-	if n > 0 && c.phase == resting {
-		c.phase, c.since = heading, time.Now()
+	if n > 0 && c.phase == phaseIdle {
+		c.phase, c.since = phaseHeader, time.Now()
 	}
 	return n, err
 }
 
 func (c *conn) closeIdle() {
-	c.closeAfter(resting, time.Now())
+	c.closeAfter(phaseIdle, time.Now())
 }
 
-// closeAfter closes the connection if it has been in the phase since the given time or longer.
+// closeAfter closes the connection if it has been in phase p since the given time or longer.
 func (c *conn) closeAfter(p phase, since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,6 +177,6 @@
 		return
 	}
 	c.closed = true
-	// The caller opens another connection; there is nothing to tell it.
+	// The caller opens another connection, so the error doesn't matter.
 	_ = c.Conn.Close()
 }
--- a/internal/process/siteentry/conns_test.go
+++ b/internal/process/siteentry/conns_test.go
@@ -13,18 +13,17 @@
 	"hornbeamwood/internal/site/host"
 )
 
-// A process is told to stop and closes its idle connections at the very moment
-// at which a request arrives on one. Either the caller finds its connection
-// closed and nothing was done, or it gets its answer; a request that is passed
-// on although its connection is closed runs for nobody.
-func TestRequestThatCrossesTheClosingIsNotRead(t *testing.T) {
-	idle, busy, s := openConn(t), openConn(t), newConns()
-	for _, c := range []*testConn{idle, busy} {
+// A process that is stopping closes its idle connections just as a request arrives on one. Either the caller
+// finds its connection closed and the request has not run, or it gets its response. A request that is passed on
+// although its connection is closed runs for nothing.
+func TestRequestDuringIdleCloseIsNotRead(t *testing.T) {
+	idle, active, s := openConn(t), openConn(t), newConns()
+	for _, c := range []*testConn{idle, active} {
 		s.all[c.conn] = struct{}{}
-		s.changed(c.conn, http.StateIdle)
+		s.stateChanged(c.conn, http.StateIdle)
 	}
-	go func() { _, _ = busy.far.Write([]byte("G")) }()
-	if n, err := busy.conn.Read(make([]byte, 1)); n != 1 || err != nil {
+	go func() { _, _ = active.peer.Write([]byte("G")) }()
+	if n, err := active.conn.Read(make([]byte, 1)); n != 1 || err != nil {
 		t.Fatal(n, err)
 	}
 	read := make(chan error)
@@ -36,41 +35,40 @@
 	if err := <-read; !errors.Is(err, net.ErrClosed) {
 		t.Errorf("the idle connection was read: %v", err)
 	}
-	go func() { _, _ = busy.far.Write([]byte("E")) }()
-	if n, err := busy.conn.Read(make([]byte, 1)); n != 1 || err != nil {
-		t.Error("the connection with half a request was closed", n, err)
+	go func() { _, _ = active.peer.Write([]byte("E")) }()
+	if n, err := active.conn.Read(make([]byte, 1)); n != 1 || err != nil {
+		t.Error("the connection with a partial request was closed", n, err)
 	}
 }
 
 type testConn struct {
 	conn *conn
-	far  net.Conn
+	peer net.Conn
 }
 
 func openConn(t *testing.T) *testConn {
-	near, far := net.Pipe()
-	t.Cleanup(func() { _ = far.Close() })
-	return &testConn{conn: &conn{Conn: near, since: time.Now()}, far: far}
+	local, peer := net.Pipe()
+	t.Cleanup(func() { _ = peer.Close() })
+	return &testConn{conn: &conn{Conn: local, since: time.Now()}, peer: peer}
 }
 
-// An operator lets callers keep idle connections for a minute. An entry that
-// closes them sooner, by a bound of its own, crosses the next requests of callers
-// who keep to what they were told. One that never closes them runs out of
-// descriptors, as it does with callers that send half a head and stop.
-func TestDocumentSaysHowLongConnectionsAreKept(t *testing.T) {
+// An operator sets an idle timeout of a minute. An entry that closes idle connections sooner, by a limit of its
+// own, does so while callers that rely on the setting send their next requests. One that never closes them runs
+// out of file descriptors, as it does with callers that stop in the middle of the headers.
+func TestDocumentSetsConnectionTimeouts(t *testing.T) {
 	limits := document.Limits{IdleTimeout: time.Minute, HeaderTimeout: 10 * time.Second}
 	s := newConns()
-	idle, half, busy := openConn(t), openConn(t), openConn(t)
-	for _, c := range []*testConn{idle, half, busy} {
+	idle, partial, active := openConn(t), openConn(t), openConn(t)
+	for _, c := range []*testConn{idle, partial, active} {
 		s.all[c.conn] = struct{}{}
 	}
-	for _, c := range []*testConn{half, busy} {
-		go func() { _, _ = c.far.Write([]byte("G")) }()
+	for _, c := range []*testConn{partial, active} {
+		go func() { _, _ = c.peer.Write([]byte("G")) }()
 		if _, err := c.conn.Read(make([]byte, 1)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s.changed(busy.conn, http.StateActive)
+	s.stateChanged(active.conn, http.StateActive)
 	now := time.Now()
 	for _, x := range []struct {
 		after              time.Duration
@@ -82,30 +80,29 @@
 		{61 * time.Second, true, true, false},
 	} {
 		s.expire(now.Add(x.after), limits)
-		if idle.conn.closed != x.idle || half.conn.closed != x.half || busy.conn.closed != x.served {
-			t.Errorf("after %v closed are idle %t, half a head %t, serving %t", x.after, idle.conn.closed, half.conn.closed, busy.conn.closed)
+		if idle.conn.closed != x.idle || partial.conn.closed != x.half || active.conn.closed != x.served {
+			t.Errorf("after %v: idle closed %t, partial headers closed %t, serving closed %t", x.after, idle.conn.closed, partial.conn.closed, active.conn.closed)
 		}
 	}
 }
 
-// No document has come yet: connections are kept, but not for ever.
+// Without a document connections are kept, but not indefinitely.
 func TestConnectionsAreBoundedWithoutADocument(t *testing.T) {
 	s, idle := newConns(), openConn(t)
 	s.all[idle.conn] = struct{}{}
 	s.expire(time.Now().Add(defaultIdleTimeout-time.Second), document.Limits{})
 	if idle.conn.closed {
-		t.Error("closed too soon")
+		t.Error("the idle connection was closed too early")
 	}
 	s.expire(time.Now().Add(defaultIdleTimeout+time.Second), document.Limits{})
 	if !idle.conn.closed {
-		t.Error("never closed")
+		t.Error("the idle connection was not closed")
 	}
 }
 
-// The balancer asks every second on a connection of its own. Each one that stays
-// in the entry's books costs memory, and after some days the entry reports
-// thousands of callers.
-func TestChecksOfTheBalancerLeaveNothingBehind(t *testing.T) {
+// The load balancer checks every second on a connection of its own. If closed connections stay tracked, they
+// cost memory, and after some days the entry reports thousands of callers.
+func TestBalancerChecksLeaveNoConnections(t *testing.T) {
 	p := &process{conns: newConns(), config: Config{Host: host.Host{}}}
 	ctx, cancel := context.WithCancel(t.Context())
 	address := freeAddress(t)
@@ -122,13 +119,13 @@
 		_ = r.Body.Close()
 	}
 	if n := p.conns.count(); n != 0 {
-		t.Errorf("%d connections are followed", n)
+		t.Errorf("%d connections are still tracked", n)
 	}
 	cancel()
 	p.loops.Wait()
 }
 
-// freeAddress returns a loopback address that was free a moment ago.
+// freeAddress returns a loopback address that was free at the time of the call.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	s := httptest.NewServer(http.NotFoundHandler())
--- a/internal/process/siteentry/doc.go
+++ b/internal/process/siteentry/doc.go
@@ -1,3 +1,2 @@
-// Package siteentry is the entry process of a site: it follows the control
-// replicas and answers callers.
+// Package siteentry is the entry process of a site. It polls the control replicas and serves callers.
 package siteentry
--- a/internal/process/siteentry/documents.go
+++ b/internal/process/siteentry/documents.go
@@ -18,92 +18,94 @@
 )
 
 const (
-	// chunksTimeout bounds one answer with chunks; what came before it stays.
+	// chunksTimeout bounds one call for chunks. Chunks that were received before it expires are kept.
 	chunksTimeout = 700 * time.Millisecond
-	// gatherPause is how long an entry that has a document waits after it was shown
-	// another one: the replicas show it within that time, and the first of them
-	// would serve all entries.
-	gatherPause = 50 * time.Millisecond
-	// fetchPause and maxFetchPause bound the pause after a failure; it doubles.
-	fetchPause    = 20 * time.Millisecond
-	maxFetchPause = 300 * time.Millisecond
+	// gatherDelay is how long an entry that already has a document waits after a newer one is announced. All
+	// replicas announce it within that time; without the delay the first of them would serve all entries.
+	gatherDelay = 50 * time.Millisecond
+	// fetchBackoff is the first delay after a failed fetch. It doubles up to maxFetchBackoff.
+	fetchBackoff    = 20 * time.Millisecond
+	maxFetchBackoff = 300 * time.Millisecond
 )
 
-// documentsConfig is what documents needs.
+// documentsConfig holds the dependencies of documents.
 type documentsConfig struct {
-	// fetch gets chunks from the replica at address; some may be left out.
+	// fetch gets chunks from the replica at address. It may return only some of them.
 	fetch func(ctx context.Context, address string, wanted []chunk.Digest) ([]chunk.Chunk, error)
-	// take brings a document into force; the fields tell where it came from.
-	take func(d document.Document, origin log.Fields)
-	// news is told the latest time at which news were asked for that have come, with the document that was among them in force.
-	news   func(asked time.Time)
-	logger log.Interface
+	// apply brings a document into force. The fields say where it came from.
+	apply func(d document.Document, origin log.Fields)
+	// updated is called with the send time of the latest answered poll once the newest document from the answers
+	// is in force.
+	updated func(sent time.Time)
+	logger  log.Interface
 }
 
-// documents brings the newest document into force that any replica has shown: it
-// gets the chunks that the entry lacks, each from one replica, and keeps them over
-// failures, so that a fetch never begins anew.
+// documents brings the newest document that any replica has announced into force. It fetches the missing chunks,
+// each from one replica, and keeps them across failures, so that a fetch never starts over.
 type documents struct {
 	documentsConfig
-	shown chan struct{}
+	offered chan struct{}
 
 	mu sync.Mutex
-	// wanted is the newest document that was shown, at the time since, by the replicas in sources.
-	wanted  topic.Document
-	since   time.Time
-	sources []string
-	// inForce is the number of the document in force.
+	// wanted is the newest announced document, wantedSince the time of its first announcement, sources the
+	// replicas that have it.
+	wanted      topic.Document
+	wantedSince time.Time
+	sources     []string
+	// inForce is the revision of the document in force.
 	inForce int64
-	// asked is when the latest news were asked for that have come.
-	asked time.Time
-
-	// What follows is used by run only: the chunks that are here, the bytes that were
-	// received since the last document, and who answered last or failed last.
-	chunks   map[chunk.Digest]chunk.Chunk
-	received int
-	answered string
-	failed   string
+	// lastPollSent is the send time of the latest answered poll.
+	lastPollSent time.Time
+
+	// The following fields are used by run only: the chunks that are present, the bytes received since the last
+	// document, and the replicas that last delivered and last failed.
+	chunks       map[chunk.Digest]chunk.Chunk
+	received     int
+	lastSource   string
+	failedSource string
 }
 
 func newDocuments(c documentsConfig) *documents {
 	return &documents{
 		documentsConfig: c,
-		shown:           make(chan struct{}, 1),
-		wanted:          topic.Document{Revision: none},
-		inForce:         none,
+		offered:         make(chan struct{}, 1),
+		wanted:          topic.Document{Revision: noRevision},
+		inForce:         noRevision,
 		chunks:          map[chunk.Digest]chunk.Chunk{},
 	}
 }
 
-// show notes which document the replica at address shows; one that lags behind shows older ones.
-func (d *documents) show(address string, m topic.Document) {
+// offer records the document that the replica at address announces. A replica that lags behind announces older
+// ones.
+func (d *documents) offer(address string, m topic.Document) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if m.Revision < d.wanted.Revision {
 		return
 	}
 	if m.Revision > d.wanted.Revision {
-		d.wanted, d.since, d.sources = m, time.Now(), nil
+		d.wanted, d.wantedSince, d.sources = m, time.Now(), nil
 	}
 	if !slices.Contains(d.sources, address) {
 		d.sources = append(d.sources, address)
 	}
 	select {
-	case d.shown <- struct{}{}:
+	case d.offered <- struct{}{}:
 	default:
 	}
 }
 
-// heard notes that news have come that were asked for at that time; show has been called with the document among them.
-func (d *documents) heard(asked time.Time) {
+// pollAnswered records the answer to a poll that was sent at that time. The document in the answer has already
+// been passed to offer.
+func (d *documents) pollAnswered(sent time.Time) {
 	d.mu.Lock()
-	if asked.After(d.asked) {
-		d.asked = asked
+	if sent.After(d.lastPollSent) {
+		d.lastPollSent = sent
 	}
 	behind := d.wanted.Revision > d.inForce
 	d.mu.Unlock()
 	if !behind {
-		d.news(asked)
+		d.updated(sent)
 	}
 }
 
@@ -113,40 +115,41 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.shown:
+		case <-d.offered:
 			d.catchUp(ctx)
 		}
 	}
 }
 
-// catchUp returns once the newest document that was shown is in force, or ctx ends.
+// catchUp returns once the newest announced document is in force, or ctx ends.
 func (d *documents) catchUp(ctx context.Context) {
 	if d.hasOlder() {
-		wait.For(ctx, gatherPause)
+		wait.For(ctx, gatherDelay)
 	}
-	pause := fetchPause
+	backoff := fetchBackoff
 	for ctx.Err() == nil {
 		m, source, behind := d.target()
 		if !behind {
 			return
 		}
 		if d.advance(ctx, m, source) {
-			pause = fetchPause
+			backoff = fetchBackoff
 			continue
 		}
-		wait.For(ctx, pause)
-		pause = min(2*pause, maxFetchPause)
+		wait.For(ctx, backoff)
+		backoff = min(2*backoff, maxFetchBackoff)
 	}
 }
 
-// hasOlder returns whether a document is in force that a newer one was shown after.
+// hasOlder reports whether a document is in force that is older than the wanted one.
 func (d *documents) hasOlder() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.inForce != none && d.inForce < d.wanted.Revision
+	return d.inForce != noRevision && d.inForce < d.wanted.Revision
 }
 
-// target returns the newest document that was shown, a replica to ask, and whether it isn't in force yet.
+// target returns the newest announced document, a replica to fetch it from, and whether it is newer than the one
+// in force.
 func (d *documents) target() (m topic.Document, source string, behind bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,24 +158,24 @@
 	}
 	sources := slices.Clone(d.sources)
 	if len(sources) > 1 {
-		sources = slices.DeleteFunc(sources, func(a string) bool { return a == d.failed })
+		sources = slices.DeleteFunc(sources, func(a string) bool { return a == d.failedSource })
 	}
 	return d.wanted, sources[rand.IntN(len(sources))], true
 }
 
-// advance brings m into force, or gets some of what it lacks, and returns whether that was possible.
+// advance brings m into force or fetches some of its missing chunks. It reports whether there was progress.
 func (d *documents) advance(ctx context.Context, m topic.Document, source string) bool {
-	lacking := d.lacking(m)
-	if len(lacking) == 0 {
-		return d.complete(m)
+	missing := d.missing(m)
+	if len(missing) == 0 {
+		return d.install(m)
 	}
-	err := d.get(ctx, source, lacking)
-	if err == nil && len(d.lacking(m)) < len(lacking) {
-		d.answered, d.failed = source, ""
+	err := d.fetchChunks(ctx, source, missing)
+	if err == nil && len(d.missing(m)) < len(missing) {
+		d.lastSource, d.failedSource = source, ""
 		return true
 	}
-	d.failed = source
-	f := log.Fields{"replica": source, "number": m.Revision, "lacking": len(lacking)}
+	d.failedSource = source
+	f := log.Fields{"replica": source, "number": m.Revision, "lacking": len(missing)}
 	if err != nil {
 		f["error"] = err.Error()
 	}
@@ -180,16 +183,16 @@
 	return false
 }
 
-// lacking returns the names of the chunks of m that aren't here.
-func (d *documents) lacking(m topic.Document) []chunk.Digest {
+// missing returns the digests of the chunks of m that aren't present.
+func (d *documents) missing(m topic.Document) []chunk.Digest {
 	return slices.DeleteFunc(slices.Clone(m.Chunks), func(x chunk.Digest) bool {
 		_, ok := d.chunks[x]
 		return ok
 	})
 }
 
-// get asks the replica for chunks and keeps those that come.
-func (d *documents) get(ctx context.Context, source string, wanted []chunk.Digest) error {
+// fetchChunks fetches chunks from the replica and keeps those that are received.
+func (d *documents) fetchChunks(ctx context.Context, source string, wanted []chunk.Digest) error {
 	ctx, cancel := context.WithTimeout(ctx, chunksTimeout)
 	defer cancel()
 	all, err := d.fetch(ctx, source, wanted)
@@ -200,9 +203,9 @@
 	return err
 }
 
-// complete brings m into force, whose chunks are all here.
-func (d *documents) complete(m topic.Document) bool {
-	began := time.Now()
+// install brings m into force. All of its chunks must be present.
+func (d *documents) install(m topic.Document) bool {
+	startedAt := time.Now()
 	kept := make(map[chunk.Digest]chunk.Chunk, len(m.Chunks))
 	all := make([]chunk.Chunk, 0, len(m.Chunks))
 	for _, x := range m.Chunks {
@@ -211,34 +214,34 @@
 	}
 	v, err := decodeDocument(all)
 	if err != nil {
-		// One of them isn't what it should be: all are fetched again.
+		// At least one chunk is corrupt: all are fetched again.
 		d.chunks = map[chunk.Digest]chunk.Chunk{}
-		event.DocumentNotFetched.Write(d.logger, log.Fields{"replica": d.answered, "number": m.Revision, "error": err.Error()})
+		event.DocumentNotFetched.Write(d.logger, log.Fields{"replica": d.lastSource, "number": m.Revision, "error": err.Error()})
 		return false
 	}
 	d.mu.Lock()
-	since := d.since
+	since := d.wantedSince
 	d.mu.Unlock()
-	d.take(v, log.Fields{
-		"replica": d.answered, "bytes": d.received, "shown-ms": time.Since(since).Milliseconds(), "reading-ms": time.Since(began).Milliseconds(),
+	d.apply(v, log.Fields{
+		"replica": d.lastSource, "bytes": d.received, "shown-ms": time.Since(since).Milliseconds(), "reading-ms": time.Since(startedAt).Milliseconds(),
 	})
 	d.chunks, d.received = kept, 0
-	if asked, newest := d.setInForce(m.Revision); newest {
-		d.news(asked)
+	if sent, newest := d.setInForce(m.Revision); newest {
+		d.updated(sent)
 	}
 	return true
 }
 
-// setInForce notes which document is in force; it returns when the latest news were
-// asked for, and whether no newer document was among them.
-func (d *documents) setInForce(number int64) (asked time.Time, newest bool) {
+// setInForce records the revision of the document in force. It returns the send time of the latest answered poll
+// and whether no newer document has been announced.
+func (d *documents) setInForce(revision int64) (sent time.Time, newest bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.inForce = number
-	return d.asked, d.wanted.Revision <= number
+	d.inForce = revision
+	return d.lastPollSent, d.wanted.Revision <= revision
 }
 
-// decodeDocument returns the document that the chunks hold.
+// decodeDocument returns the document that the chunks contain.
 func decodeDocument(all []chunk.Chunk) (document.Document, error) {
 	text, err := chunk.Join(all)
 	if err != nil {
--- a/internal/process/siteentry/entry.go
+++ b/internal/process/siteentry/entry.go
@@ -33,38 +33,40 @@
 )
 
 const (
-	// headerTimeout bounds how long the headers of a check by the balancer or the collector of metrics may take.
+	// headerTimeout bounds reading the headers of a health check by the load balancer or a metrics scrape.
 	headerTimeout = 5 * time.Second
-	// maxHeaderBytes bounds the headers that are read before the document's limit is looked at.
+	// maxHeaderBytes bounds the headers that are read before the document's limit is applied.
 	maxHeaderBytes = 1 << 20
-	// closeIdleAfter is how long after the signal to stop the idle connections of
-	// callers are closed: the balancer asks every second and turns away after two
-	// answers, so that their next connections go to other entries.
+	// closeIdleAfter is the delay from the stop signal to closing the idle connections of callers. The load
+	// balancer checks every second and stops sending connections after two failed checks, so the callers' next
+	// connections go to other entries.
 	closeIdleAfter = 2300 * time.Millisecond
-	// refuseAfter is how long after the signal new requests are refused. A stream
-	// lasts seconds; one that began later could be cut off by the end of the process.
+	// refuseAfter is the delay from the stop signal to refusing new requests. A stream lasts seconds; one that
+	// started later could be cut off by the end of the process.
 	refuseAfter = 2800 * time.Millisecond
-	// lastCut is how long before its end a process leaves the requests that still run.
-	lastCut = 300 * time.Millisecond
-	// seedsAfter is how long no replica must have answered until the seeds are asked again.
-	seedsAfter = 4 * time.Second
-	// followInterval is the time between two looks whom to poll.
+	// cutoffMargin is how long before the end of its grace period a process abandons the requests that still
+	// run.
+	cutoffMargin = 300 * time.Millisecond
+	// seedsFallbackAfter is how long no replica may have answered before the seeds are polled again.
+	seedsFallbackAfter = 4 * time.Second
+	// followInterval is the interval at which the set of polled replicas is updated.
 	followInterval = time.Second
-	// stopLook is the time between two looks whether the last request has ended.
-	stopLook = 50 * time.Millisecond
+	// stopCheckInterval is the interval of the check whether the last request has ended.
+	stopCheckInterval = 50 * time.Millisecond
 )
 
-// Config is what a Process needs.
+// Config holds the settings and dependencies of a Process.
 type Config struct {
-	// Host is the VM's place in the site.
+	// Host is the VM's configuration and place in the site.
 	Host host.Host
-	// Load reads the host's settings anew.
+	// Load reads the host's settings again.
 	Load host.Load
 	// Codec translates headers.
 	Codec caller.Codec
-	// Ready answers the balancer's check whether the process takes new connections; it is given that answer.
+	// Ready returns the handler of the load balancer's health check. Its argument reports whether the process
+	// takes new connections.
 	Ready func(ready func() bool) http.Handler
-	// Logger takes the events.
+	// Logger receives the events.
 	Logger log.Interface
 }
 
@@ -90,18 +92,18 @@
 	seeds    atomic.Pointer[[]string]
 	running  atomic.Int64
 	conns    *conns
-	line     waitqueue.Queue
-	// stopped is when the process was told to stop, nil before.
-	stopped atomic.Pointer[time.Time]
+	queue    waitqueue.Queue
+	// stoppedAt is when the process received the signal to stop, nil before.
+	stoppedAt atomic.Pointer[time.Time]
 }
 
 // New opens the sockets of an entry process.
 func New(c Config) (Process, error) {
-	memory, waiting := parts.NewResidency(), waitqueue.New()
+	residency, queue := parts.NewResidency(), waitqueue.New()
 	watcher := fmt.Sprintf("%s/%d", c.Host.Internal, time.Now().UnixNano())
-	others := share.NewPeerLoads(watcher)
-	p := &process{config: c, site: newSite(c.Logger, memory, others, waiting.SharedCapacityFreed), tracker: observe.New(), conns: newConns(), line: waiting, metrics: metrics.NewSet()}
-	p.site.weights = c.Host.Bounds.WeightsDeadline
+	peerLoads := share.NewPeerLoads(watcher)
+	p := &process{config: c, site: newSite(c.Logger, residency, peerLoads, queue.SharedCapacityFreed), tracker: observe.New(), conns: newConns(), queue: queue, metrics: metrics.NewSet()}
+	p.site.weightsDeadline = c.Host.Bounds.WeightsDeadline
 	p.seeds.Store(&c.Host.Seeds)
 	ring, err := keys.NewOpenRing(c.Host.Internal, keys.Entry)
 	if err != nil {
@@ -110,26 +112,26 @@
 	if p.node, err = rpc.New(rpc.Config{Listen: c.Host.Internal, Ring: ring, Logger: c.Logger, Metrics: p.metrics}); err != nil {
 		return nil, err
 	}
-	p.site.documents = newDocuments(documentsConfig{fetch: p.fetch, take: p.site.takeDocument, news: p.site.thaw.heard, logger: c.Logger})
+	p.site.documents = newDocuments(documentsConfig{fetch: p.fetch, apply: p.site.applyDocument, updated: p.site.suspension.pollAnswered, logger: c.Logger})
 	p.hints = newHints(p, watcher)
 	p.follower = watch.NewFollower(watch.FollowerConfig{
-		Method: watch.Watch, Node: p.node, Watcher: watcher, Entry: true, Apply: p.take, Logger: c.Logger,
+		Method: watch.Watch, Node: p.node, Watcher: watcher, Entry: true, Apply: p.apply, Logger: c.Logger,
 		Sequential: true,
 		Prepare:    func(_ string, q *watch.Poll) { q.Relayed = p.site.isRelayed() },
 	})
-	dialled := p.metrics.NewCounter("hornbeamwood_site_dialled_total")
+	dials := p.metrics.NewCounter("hornbeamwood_site_dialled_total")
 	p.client = backend.New(backend.Config{
 		Belongs: func(attempt string, h http.Header) bool {
-			told := c.Codec.Answer(h).Attempt
-			return told == "" || told == attempt
+			answered := c.Codec.Answer(h).Attempt
+			return answered == "" || answered == attempt
 		},
-		Dialled: dialled.Inc,
+		Dialled: dials.Inc,
 	})
 	b := c.Host.Bounds
 	p.budget = retry.NewBudget(retry.Terms{Ratio: b.RetryRatio, Window: b.RetryWindow, Slack: b.RetrySlack})
-	p.limits = limit.New(limit.Config{Random: rand.Float64, OnCapacity: waiting.LocalCapacityFreed, Logger: c.Logger})
+	p.limits = limit.New(limit.Config{Random: rand.Float64, OnCapacity: queue.LocalCapacityFreed, Logger: c.Logger})
 	p.handler = caller.New(caller.Config{
-		Zone: c.Host.Zone, Codec: c.Codec, Site: p.site, Client: p.client, Tracker: p.tracker, Residency: memory, PeerLoads: others, Queue: waiting,
+		Zone: c.Host.Zone, Codec: c.Codec, Site: p.site, Client: p.client, Tracker: p.tracker, Residency: residency, PeerLoads: peerLoads, Queue: queue,
 		Budget: p.budget, Limits: p.limits, Stopping: p.stopping, Refusing: p.refusing, Metrics: p.metrics, Logger: c.Logger,
 	})
 	p.gauges()
@@ -138,7 +140,7 @@
 
 func (p *process) gauges() {
 	p.metrics.NewGauge("hornbeamwood_site_running", func() float64 { return float64(p.running.Load()) })
-	p.metrics.NewGauge("hornbeamwood_site_waiting", func() float64 { return float64(p.line.Len()) })
+	p.metrics.NewGauge("hornbeamwood_site_waiting", func() float64 { return float64(p.queue.Len()) })
 	p.metrics.NewGauge("hornbeamwood_site_connections", func() float64 { return float64(p.conns.count()) })
 	p.metrics.NewGauge("hornbeamwood_site_limited_servers", func() float64 { return float64(p.limits.Len()) })
 	p.metrics.NewGauge("hornbeamwood_site_document", func() float64 {
@@ -150,9 +152,9 @@
 	p.metrics.NewGauge("hornbeamwood_quic_sent_bytes", func() float64 { return float64(p.node.BytesSent()) })
 }
 
-func (p *process) take(address string, a watch.Answer, sent time.Time) {
-	p.site.take(address, a)
-	p.site.documents.heard(sent)
+func (p *process) apply(address string, a watch.Answer, sent time.Time) {
+	p.site.apply(address, a)
+	p.site.documents.pollAnswered(sent)
 	p.budget.SetEntries(p.site.Entries())
 	p.limits.SetEntries(p.site.Entries())
 }
@@ -162,20 +164,20 @@
 	return rpc.Call(ctx, p.node, address, watch.Chunks, wanted)
 }
 
-// stopping returns whether the process was told to stop.
+// stopping reports whether the process has received the signal to stop.
 func (p *process) stopping() bool {
-	return p.stopped.Load() != nil
+	return p.stoppedAt.Load() != nil
 }
 
-// refusing returns whether the process ends so soon that a new request would be cut off.
+// refusing reports whether the process ends so soon that a new request would be cut off.
 func (p *process) refusing() bool {
-	at := p.stopped.Load()
+	at := p.stoppedAt.Load()
 	return at != nil && time.Since(*at) > refuseAfter
 }
 
-// ready returns whether the balancer may send new connections.
+// ready reports whether the load balancer may send new connections.
 func (p *process) ready() bool {
-	return !p.stopping() && p.site.current()
+	return !p.stopping() && p.site.canServe()
 }
 
 // Run implements Process.
@@ -185,13 +187,13 @@
 	p.follow(serving)
 	p.loops.Go(func() { p.refollow(serving) })
 	p.loops.Go(func() { p.site.documents.run(serving) })
-	p.loops.Go(func() { p.site.thaw.run(serving) })
+	p.loops.Go(func() { p.site.suspension.run(serving) })
 	p.loops.Go(func() { p.hints.run(serving) })
-	p.loops.Go(func() { p.hints.followLeads(serving) })
-	p.loops.Go(func() { p.tellReadings(serving) })
-	p.loops.Go(func() { p.tellUses(serving) })
-	p.loops.Go(func() { p.tellLoads(serving) })
-	p.loops.Go(func() { p.expireAll(serving) })
+	p.loops.Go(func() { p.hints.followHolders(serving) })
+	p.loops.Go(func() { p.reportPrefills(serving) })
+	p.loops.Go(func() { p.reportUsedParts(serving) })
+	p.loops.Go(func() { p.reportLoads(serving) })
+	p.loops.Go(func() { p.expireConns(serving) })
 	p.loops.Go(func() {
 		host.Watch(serving, p.config.Host, p.config.Load, func(h host.Host) { p.seeds.Store(&h.Seeds) }, p.config.Logger)
 	})
@@ -211,19 +213,20 @@
 	return err
 }
 
-// follow polls the seeds and then the replicas that any of them names.
+// follow polls the seeds and then the replicas that any of them lists.
 func (p *process) follow(ctx context.Context) {
 	p.site.follow = func() { p.follower.Follow(ctx, p.addresses()) }
 	p.site.follow()
 }
 
-// addresses returns whom to poll: the replicas that are named, and the seeds while none of these answers.
+// addresses returns the replicas to poll: the listed ones, and also the seeds while none of the listed ones
+// answers.
 func (p *process) addresses() []string {
 	p.site.mu.Lock()
 	members := p.site.members.union()
 	p.site.mu.Unlock()
 	for _, m := range members {
-		if ago, ok := p.follower.SinceAnswer(m); ok && ago < seedsAfter {
+		if ago, ok := p.follower.SinceAnswer(m); ok && ago < seedsFallbackAfter {
 			return members
 		}
 	}
@@ -232,7 +235,7 @@
 	return slices.Compact(all)
 }
 
-// refollow polls others when the seeds have changed or no replica answers any more.
+// refollow updates the polled replicas when the seeds have changed or no replica answers any more.
 func (p *process) refollow(ctx context.Context) {
 	t := time.NewTicker(followInterval)
 	defer t.Stop()
@@ -246,13 +249,13 @@
 	}
 }
 
-// serve listens for callers, the balancer and the collector of metrics.
+// serve listens for callers, the load balancer and metrics scrapes.
 func (p *process) serve(ctx context.Context) error {
-	// Timeouts of callers come with the document: expireAll applies them.
+	// The timeouts of callers come with the document: expireConns applies them.
 	callers := &http.Server{
-		Handler:        http.HandlerFunc(p.count),
+		Handler:        http.HandlerFunc(p.serveCounted),
 		MaxHeaderBytes: maxHeaderBytes,
-		ConnState:      p.conns.changed,
+		ConnState:      p.conns.stateChanged,
 	}
 	if err := p.listen(ctx, p.config.Host.Listen, callers); err != nil {
 		return err
@@ -263,13 +266,13 @@
 	if p.config.Host.Metrics == "" {
 		return nil
 	}
-	return p.listen(ctx, p.config.Host.Metrics, &http.Server{Handler: platform.New(platform.Config{Ready: p.why, Metrics: p.metrics}), ReadHeaderTimeout: headerTimeout})
+	return p.listen(ctx, p.config.Host.Metrics, &http.Server{Handler: platform.New(platform.Config{Ready: p.readinessError, Metrics: p.metrics}), ReadHeaderTimeout: headerTimeout})
 }
 
 // listen serves on an address until ctx ends.
 //
-// Only connections of a server that tells their states are followed: of others
-// the entry would never hear that they have closed.
+// Connections are tracked only for a server that reports their states. For any other server the entry would
+// never learn that a connection has closed.
 func (p *process) listen(ctx context.Context, address string, s *http.Server) error {
 	l, err := tcp.Listen(ctx, address)
 	if err != nil {
@@ -285,45 +288,45 @@
 	})
 	p.loops.Go(func() {
 		<-ctx.Done()
-		// What still runs was given all the time that there was.
+		// The remaining requests have already had the whole grace period.
 		_ = s.Close()
 	})
 	return nil
 }
 
-func (p *process) why() error {
+func (p *process) readinessError() error {
 	if !p.ready() {
-		return errors.New("the entry has no document yet, or stops")
+		return errors.New("entry: no document is in force yet, or the process is stopping")
 	}
 	return nil
 }
 
-func (p *process) count(w http.ResponseWriter, q *http.Request) {
+func (p *process) serveCounted(w http.ResponseWriter, q *http.Request) {
 	p.running.Add(1)
 	defer p.running.Add(-1)
 	p.handler.ServeHTTP(w, q)
 }
 
-// drain serves on until the balancer has turned away and the last request has ended, or the time is up.
+// drain keeps serving until the load balancer has stopped sending connections and the last request has ended, or
+// until the deadline.
 //
-// Requests keep coming for a while on new and kept connections; each answer
-// asks the caller to open its next connection, which then goes elsewhere. A
-// connection that stays idle brings its next request at any time, perhaps too
-// late for a stream to end, so the idle ones are closed before.
+// Requests keep arriving for a while on new and kept connections. Each response asks the caller to open its next
+// connection, which then goes to another entry. A connection that stays idle could bring its next request at any
+// time, perhaps too late for a stream to end, so idle connections are closed earlier.
 func (p *process) drain() {
-	began := time.Now()
-	last := began.Add(p.config.Host.Bounds.Grace - lastCut)
-	p.stopped.Store(&began)
+	startedAt := time.Now()
+	deadline := startedAt.Add(p.config.Host.Bounds.Grace - cutoffMargin)
+	p.stoppedAt.Store(&startedAt)
 	event.ProcessStopping.Write(p.config.Logger, log.Fields{"role": "entry", "name": p.config.Host.Name, "running": p.running.Load(), "connections": p.conns.count()})
-	closed := false
-	for time.Now().Before(last) {
-		if !closed && time.Since(began) >= closeIdleAfter {
+	idleClosed := false
+	for time.Now().Before(deadline) {
+		if !idleClosed && time.Since(startedAt) >= closeIdleAfter {
 			p.conns.closeIdle()
-			closed = true
+			idleClosed = true
 		}
 		if p.refusing() && p.running.Load() == 0 {
 			return
 		}
-		time.Sleep(stopLook)
+		time.Sleep(stopCheckInterval)
 	}
 }
--- a/internal/process/siteentry/entry_count.go
+++ b/internal/process/siteentry/entry_count.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// countHeld is how long a lower number of entries must be told to count: all entries
-// poll a replica that has started within a second or two.
-const countHeld = 5 * time.Second
+// countHoldTime is how long a lower number of entries must be reported before it is used. All entries poll a
+// replica that has started within a second or two.
+const countHoldTime = 5 * time.Second
 
-// entryCount is how many entries share the servers, by what the replicas tell.
+// entryCount is the number of entries that share the servers, as reported by the replicas.
 //
-// It rises at once and falls late: replicas that have just started know those entries
-// alone that have polled them since, and by their word each entry would take all that
-// a server offers, and the whole budget for repeats, for itself.
+// It rises at once and falls with a delay. Replicas that have just started know only those entries that have
+// polled them since. By their count each entry would take the whole capacity of a server and the whole retry
+// budget for itself.
 type entryCount struct {
 	number int
-	// lower is since when lower numbers are told, zero while none is.
-	lower time.Time
+	// lowerSince is since when lower numbers have been reported, zero while none is.
+	lowerSince time.Time
 }
 
-// saw takes the number that is told now.
-func (c *entryCount) saw(n int, now time.Time) {
+// observe applies the number that is reported now.
+func (c *entryCount) observe(n int, now time.Time) {
 	switch {
-	case n >= c.number || !c.lower.IsZero() && now.Sub(c.lower) > countHeld:
-		c.number, c.lower = n, time.Time{}
-	case c.lower.IsZero():
-		c.lower = now
+	case n >= c.number || !c.lowerSince.IsZero() && now.Sub(c.lowerSince) > countHoldTime:
+		c.number, c.lowerSince = n, time.Time{}
+	case c.lowerSince.IsZero():
+		c.lowerSince = now
 	}
 }
--- a/internal/process/siteentry/hints.go
+++ b/internal/process/siteentry/hints.go
@@ -17,126 +17,126 @@
 )
 
 const (
-	// relayLook is the time between two looks which replica is the relay.
-	relayLook = 100 * time.Millisecond
-	// relayTimeout is how long a replica may have answered nothing to be the relay:
-	// a poll that waits for a change, and the slack of its answer.
+	// relayCheckInterval is the interval at which the relay is chosen again.
+	relayCheckInterval = 100 * time.Millisecond
+	// relayTimeout is how long ago the relay may have answered last: a poll that waits for a change, and a
+	// margin for its answer.
 	relayTimeout = 1700 * time.Millisecond
 )
 
-// hints exchanges with one replica, the relay, what makes choices better.
+// hints exchanges data that improves server choices with one replica, the relay.
 type hints struct {
 	*process
 	watcher  string
 	follower watch.Follower
-	// entries is how many entries the relay serves.
+	// entries is the number of entries that the relay serves.
 	entries atomic.Int64
 }
 
 func newHints(p *process, watcher string) *hints {
 	h := &hints{process: p, watcher: watcher}
 	h.follower = watch.NewFollower(watch.FollowerConfig{
-		Method: watch.Hints, Node: p.node, Watcher: watcher, Entry: true, Apply: h.take, Logger: p.config.Logger,
+		Method: watch.Hints, Node: p.node, Watcher: watcher, Entry: true, Apply: h.apply, Logger: p.config.Logger,
 	})
 	return h
 }
 
-// served returns how many entries the relay serves.
-func (h *hints) served() int {
+// servedEntries returns the number of entries that the relay serves.
+func (h *hints) servedEntries() int {
 	return int(h.entries.Load())
 }
 
-// run keeps to the relay until ctx ends.
+// run keeps choosing and following the relay until ctx ends.
 func (h *hints) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		h.follow(ctx, h.site.chooseRelay(h.config.Host.Zone, h.watcher, time.Now()))
-		h.site.setRelayed(h.site.many())
-		wait.For(ctx, relayLook)
+		h.site.setRelayed(h.site.manyEntries())
+		wait.For(ctx, relayCheckInterval)
 	}
 }
 
-// follow goes over to another relay, if it is one.
+// follow switches to the given relay if it is a different one.
 func (h *hints) follow(ctx context.Context, relay string) {
-	before := h.site.hintsFrom()
+	before := h.site.currentRelay()
 	if relay == before {
 		return
 	}
 	h.site.setRelay(relay)
 	event.RelayChosen.Write(h.config.Logger, log.Fields{"relay": relay, "before": before})
 	if relay == "" {
-		h.site.forgetCaches()
+		h.site.clearEngineCaches()
 		h.follower.Follow(ctx, nil)
 		return
 	}
 	h.follower.Follow(ctx, []string{relay})
 	if before != "" {
-		h.takeLeave(ctx, before)
+		h.withdrawLoads(ctx, before)
 	}
 }
 
-// takeLeave tells the relay of before that this entry has nothing at engines, for it
-// would be counted there and at the next one until the word of before is too old.
-func (h *hints) takeLeave(ctx context.Context, before string) {
-	post, _ := h.site.others.NextReport(share.Loads{}, true, time.Now())
+// withdrawLoads reports to the previous relay that this entry has no requests at engines. Its loads would
+// otherwise be counted there and at the next relay until the last report to the previous one expires.
+func (h *hints) withdrawLoads(ctx context.Context, before string) {
+	report, _ := h.site.peerLoads.NextReport(share.Loads{}, true, time.Now())
 	ctx, cancel := context.WithTimeout(ctx, noticeTimeout)
 	defer cancel()
-	// A relay that is lost counts nothing any more.
-	_ = rpc.Notify(ctx, h.node, before, watch.Loads, post)
+	// A relay that is lost counts no loads any more.
+	_ = rpc.Notify(ctx, h.node, before, watch.Loads, report)
 }
 
-func (h *hints) take(address string, a watch.Answer, _ time.Time) {
-	if address != h.site.hintsFrom() {
+func (h *hints) apply(address string, a watch.Answer, _ time.Time) {
+	if address != h.site.currentRelay() {
 		return
 	}
 	h.entries.Store(int64(a.Entries))
-	h.site.takeHints(relayStart{address, a.Epoch}, a.Rows, h.config.Logger)
+	h.site.applyHints(relayStart{address, a.Epoch}, a.Rows, h.config.Logger)
 }
 
-// relayStart is one start of a relay.
+// relayStart is one incarnation of a relay.
 type relayStart struct {
 	address string
 	epoch   uint64
 }
 
-// takeHints takes rows of a relay. What another relay told, or another start of it,
-// counts until the first answer, with which all rows come.
-func (s *site) takeHints(from relayStart, rows []rowtable.Row, logger log.Interface) {
-	if s.changeHinted(from) {
-		s.forgetCaches()
+// applyHints applies rows of a relay. Rows of another relay, or of another incarnation of this one, stay valid
+// until its first answer, which contains all rows.
+func (s *site) applyHints(from relayStart, rows []rowtable.Row, logger log.Interface) {
+	if s.setHintSource(from) {
+		s.clearEngineCaches()
 	}
 	for _, r := range rows {
-		if err := s.takeHint(r); err != nil {
+		if err := s.applyHint(r); err != nil {
 			event.NoticeRefused.Write(logger, log.Fields{"peer": from.address, "notice": "hint", "topic": r.Topic, "key": r.Key, "error": err.Error()})
 		}
 	}
 }
 
-// changeHinted notes whose hints are taken and returns whether others' were before.
-func (s *site) changeHinted(from relayStart) bool {
+// setHintSource records the source of the hints and reports whether it has changed.
+func (s *site) setHintSource(from relayStart) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	changed := s.hinted != from
-	s.hinted = from
+	changed := s.hintSource != from
+	s.hintSource = from
 	return changed
 }
 
-// takeHint takes a row of the relay.
-func (s *site) takeHint(r rowtable.Row) error {
+// applyHint applies a row of the relay.
+func (s *site) applyHint(r rowtable.Row) error {
 	switch r.Topic {
 	case topic.Loads:
-		defer s.changed()
-		return decoded(r, func(sum share.Sum) { s.others.Apply(sum, time.Now()) })
+		defer s.onPeerLoads()
+		return decodeRow(r, func(sum share.Sum) { s.peerLoads.Apply(sum, time.Now()) })
 	case topic.Prefills:
-		return decoded(r, s.takeReading)
+		return decodeRow(r, s.applyPrefill)
 	case topic.EngineCaches:
-		return s.takeCache(r)
+		return s.applyEngineCache(r)
 	}
-	// A topic of a newer replica.
+	// The topic comes from a newer replica version.
 	return nil
 }
 
-// hintsFrom returns the relay's address, empty for none.
-func (s *site) hintsFrom() string {
+// currentRelay returns the relay's address, empty for none.
+func (s *site) currentRelay() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.relay
@@ -148,9 +148,9 @@
 	s.relay = address
 }
 
-// many returns whether there are so many entries that each keeps to a relay of its
-// own. Once there were, half of them are enough, so that few that come and go change nothing.
-func (s *site) many() bool {
+// manyEntries reports whether there are so many entries that they use more than one relay. Once there were, half
+// of that number is the threshold, so that a few entries that come and go don't switch the mode.
+func (s *site) manyEntries() bool {
 	entries := s.Entries()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,17 +160,16 @@
 	return entries > watch.MaxSingleRelayEntries
 }
 
-// chooseRelay returns the address of the replica that this entry exchanges hints
-// with, empty while none answers.
+// chooseRelay returns the address of the replica that this entry exchanges hints with, empty while none answers.
 func (s *site) chooseRelay(zone, watcher string, now time.Time) string {
-	many := s.many()
+	many := s.manyEntries()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var known []candidateRelay
-	for a, l := range s.leads {
-		if now.Sub(l.polled) < relayTimeout {
-			known = append(known, candidateRelay{address: a, near: l.zone == zone, holder: l == s.holder()})
+	var candidates []candidateRelay
+	for a, l := range s.directStates {
+		if now.Sub(l.lastAnswer) < relayTimeout {
+			candidates = append(candidates, candidateRelay{address: a, sameZone: l.zone == zone, holder: l == s.holder()})
 		}
 	}
-	return pickRelay(known, many, watcher)
+	return pickRelay(candidates, many, watcher)
 }
--- /dev/null
+++ b/internal/process/siteentry/holder_state.go
@@ -0,0 +1,318 @@
+package siteentry
+
+import (
+	"time"
+
+	"hornbeamwood/internal/serve/choose"
+	"hornbeamwood/internal/site/document"
+	"hornbeamwood/internal/site/rowtable"
+	"hornbeamwood/internal/site/stores"
+	"hornbeamwood/internal/site/topic"
+	"hornbeamwood/internal/site/watch"
+)
+
+const (
+	// storeEpochTTL is how long a replica's report of a store's incarnation is valid without a newer answer of
+	// that replica. Replicas answer at least every second.
+	storeEpochTTL = 2 * time.Second
+	// saveRetryAfter is how long this entry waits for a part that it had saved to be listed before it has it
+	// saved again. A save takes a fraction of a second.
+	saveRetryAfter = 2 * time.Second
+	// maxSaves bounds the number of recent saves that are kept.
+	maxSaves = 8192
+	// smallPartTokens is the size under which a part goes to a store with low latency: transferring it takes
+	// less than the latency of a slow one. Longer parts go to all stores in proportion to their link rates.
+	smallPartTokens = 1024
+	// fastStoreLatency is the latency up to which a store counts as fast.
+	fastStoreLatency = 2 * time.Millisecond
+	// maxFillShare is the fill level up to which more parts are sent to a store. The rest is for parts that are
+	// still being saved.
+	maxFillShare = 0.97
+	// maxLongPartFillShare is the fill level up to which long parts are sent to a fast store. The rest is for
+	// short parts, which only fast stores serve well.
+	maxLongPartFillShare = 0.4
+)
+
+// holderState is the state of stores and orders as one replica reports it. It is used while the replica holds
+// the lease for orders.
+type holderState struct {
+	epoch       uint64
+	fencing     uint64
+	lastContact time.Time
+	// parts maps part and store to the size in tokens, usedTokens each store to the sum of these.
+	parts       map[uint64]map[uint32]int
+	usedTokens  map[uint32]int
+	storesUp    map[string]bool
+	busyServers map[string]bool
+	// storeEpochs is the incarnation of each store as the replica sees it, lastAnswer when the replica last
+	// answered at all.
+	storeEpochs map[string]int64
+	lastAnswer  time.Time
+	// zone is the replica's availability zone.
+	zone string
+	// position is how far the relay's mirror of the replica's rows has been received, if the state comes from a
+	// relay.
+	position watch.Position
+}
+
+func newHolderState(epoch uint64) *holderState {
+	return &holderState{epoch: epoch, parts: map[uint64]map[uint32]int{}, usedTokens: map[uint32]int{}, storesUp: map[string]bool{}, busyServers: map[string]bool{}, storeEpochs: map[string]int64{}}
+}
+
+// observeReplica records an answer of a replica and its claim to the lease.
+func (s *site) observeReplica(address string, a watch.Answer) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l, ok := s.directStates[address]
+	if !ok || l.epoch != a.Epoch {
+		l = newHolderState(a.Epoch)
+		s.directStates[address] = l
+	}
+	l.lastAnswer, l.zone = time.Now(), a.Zone
+	if a.Fencing != 0 {
+		l.recordContact(a.Fencing, l.lastAnswer, a.More)
+	}
+}
+
+// recordContact records an answer of the replica while it holds the lease, as of that time. An answer in several
+// pieces refreshes the state only with the last of them, since a later piece may report that a store is down.
+func (l *holderState) recordContact(fencing uint64, at time.Time, more bool) {
+	l.fencing = fencing
+	if !more {
+		l.lastContact = at
+	}
+}
+
+// ageStates adds the time for which this process was suspended, which its clock doesn't count, to the age of all
+// reported states.
+func (s *site) ageStates(suspended time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, states := range []map[string]*holderState{s.directStates, s.mirroredStates} {
+		for _, l := range states {
+			l.lastContact, l.lastAnswer = l.lastContact.Add(-suspended), l.lastAnswer.Add(-suspended)
+		}
+	}
+}
+
+// holder returns the state reported by the current lease holder, nil when no holder has answered recently.
+func (s *site) holder() *holderState {
+	return s.latestHolder(func(*holderState) bool { return true })
+}
+
+// storeState returns the state that is used for stores, nil when no holder has answered recently. It is that of
+// the current lease holder once the holder has reported every store, and until then that of the previous one.
+//
+// Parts that were reported long ago may have been freed since. Engines would then fetch a part that is gone or
+// is being written. A new holder frees nothing before all earlier reports have become stale. If its state were
+// used from the first store that it has listed, the parts in all other stores would be prefilled again
+// meanwhile.
+func (s *site) storeState() *holderState {
+	t := s.Table()
+	if l := s.latestHolder(func(l *holderState) bool { return l.complete(t) }); l != nil {
+		return l
+	}
+	return s.latestHolder(func(l *holderState) bool { return len(l.storesUp) > 0 })
+}
+
+// holderStates returns the states of lease holders: as mirrored by the relay while relayed is set, otherwise as
+// received directly. The caller holds the lock.
+func (s *site) holderStates() map[string]*holderState {
+	if s.relayed {
+		return s.mirroredStates
+	}
+	return s.directStates
+}
+
+// latestHolder returns the state with the highest fencing number among those that are fresh and satisfy the
+// condition.
+func (s *site) latestHolder(condition func(*holderState) bool) *holderState {
+	var found *holderState
+	for _, l := range s.holderStates() {
+		if l.fencing == 0 || time.Since(l.lastContact) >= stores.StaleAfter || !condition(l) {
+			continue
+		}
+		if found == nil || l.fencing > found.fencing {
+			found = l
+		}
+	}
+	return found
+}
+
+func (s *site) applyHolderRow(address string, r rowtable.Row) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l, ok := s.directStates[address]
+	if !ok {
+		return nil
+	}
+	return l.apply(r)
+}
+
+// apply applies a row on stores and orders.
+func (l *holderState) apply(r rowtable.Row) error {
+	switch r.Topic {
+	case topic.Parts:
+		return l.applyPart(r)
+	case topic.StoreSummaries:
+		return decodeRow(r, l.applyStoreSummary)
+	case topic.Epochs:
+		return decodeRow(r, func(epoch int64) { l.storeEpochs[r.Key] = epoch })
+	case topic.StoresUp:
+		return decodeRow(r, func(up bool) { l.storesUp[r.Key] = up })
+	}
+	if len(r.Value) == 0 {
+		delete(l.busyServers, r.Key)
+		return nil
+	}
+	l.busyServers[r.Key] = true
+	return nil
+}
+
+// complete reports whether the replica has reported every store. It lists one after the other.
+func (l *holderState) complete(t document.Table) bool {
+	if t == nil {
+		return false
+	}
+	for _, x := range t.Document().Stores {
+		if _, ok := l.storesUp[x.Address]; !ok {
+			return false
+		}
+	}
+	return true
+}
+
+func (s *site) applyLoadedWeights(server string, l topic.LoadedWeights) {
+	if known, ok := s.directory.Get(server); ok && known.StartedAt == l.StartedAt {
+		s.ObserveVersion(server, l.Model, l.Version)
+	}
+}
+
+// Busy implements caller.Site.
+func (s *site) Busy(server string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := s.holder()
+	return l != nil && l.busyServers[server]
+}
+
+// Copies implements caller.Site.
+func (s *site) Copies(salt, part string, tokens int) []choose.Copy {
+	t := s.Table()
+	if t == nil {
+		return nil
+	}
+	p := stores.Part{Salt: salt, ID: part}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := s.storeState()
+	if l == nil {
+		return nil
+	}
+	s.recordUse(p)
+	held := l.parts[p.Hash()]
+	if len(held) == 0 {
+		return nil
+	}
+	var all []choose.Copy
+	for _, x := range t.Document().Stores {
+		if size, ok := held[stores.ShortAddress(x.Address)]; ok && size >= tokens && l.storesUp[x.Address] && s.sameIncarnation(l, x.Address) {
+			all = append(all, storeCopy(x, tokenBytes(t.Document())))
+		}
+	}
+	return all
+}
+
+// StoreStateAge implements caller.Site.
+func (s *site) StoreStateAge() time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := s.storeState()
+	if l == nil {
+		return -1
+	}
+	return time.Since(l.lastContact)
+}
+
+// sameIncarnation reports whether the store is still the incarnation that the replica reported: at once while
+// that replica answers, later only if another replica confirms it.
+func (s *site) sameIncarnation(l *holderState, store string) bool {
+	if time.Since(l.lastContact) < storeEpochTTL {
+		return true
+	}
+	confirmed := false
+	for _, o := range s.directStates {
+		epoch, ok := o.storeEpochs[store]
+		if o == l || !ok || time.Since(o.lastAnswer) > storeEpochTTL {
+			continue
+		}
+		if epoch != l.storeEpochs[store] {
+			return false
+		}
+		confirmed = true
+	}
+	return confirmed
+}
+
+func storeCopy(s document.Store, tokenBytes float64) choose.Copy {
+	c := choose.Copy{Address: s.Address, Zone: s.Zone, Latency: s.Latency}
+	if s.LinkRate > 0 {
+		c.PerToken = time.Duration(tokenBytes / s.LinkRate * float64(time.Second))
+	}
+	return c
+}
+
+// tokenBytes returns the size of a token's KV cache.
+func tokenBytes(d document.Document) float64 {
+	for _, s := range d.Services {
+		if s.Engine != nil {
+			return s.Engine.TokenBytes
+		}
+	}
+	return 0
+}
+
+// SaveTarget implements caller.Site.
+//
+// The order of stores for a part is the same at all entries, so that two entries whose engines prefill a part at
+// the same time save it to the same store.
+func (s *site) SaveTarget(salt, part string, tokens int) string {
+	t := s.Table()
+	if t == nil {
+		return ""
+	}
+	now, p := time.Now(), stores.Part{Salt: salt, ID: part}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := s.storeState()
+	if l == nil || len(l.parts[p.Hash()]) > 0 || now.Sub(s.recentSaves[p]) < saveRetryAfter {
+		return ""
+	}
+	for _, x := range placement(t.Document().Stores, p, tokens) {
+		share := maxFillShare
+		if tokens >= smallPartTokens && x.Latency <= fastStoreLatency {
+			share = maxLongPartFillShare
+		}
+		if l.storesUp[x.Address] && float64(l.usedTokens[stores.ShortAddress(x.Address)]+tokens) <= share*float64(x.CapacityTokens) {
+			s.recordSave(p, now)
+			return x.Address
+		}
+	}
+	return ""
+}
+
+func (s *site) recordSave(p stores.Part, now time.Time) {
+	if len(s.recentSaves) >= maxSaves {
+		clear(s.recentSaves)
+	}
+	s.recentSaves[p] = now
+}
+
+// FetchUntil implements caller.Site.
+func (s *site) FetchUntil() int64 {
+	now := s.clock.Now()
+	if now == 0 {
+		return 0
+	}
+	return now + stores.FetchWindow.Milliseconds()
+}
--- a/internal/process/siteentry/placement.go
+++ b/internal/process/siteentry/placement.go
@@ -9,11 +9,11 @@
 	"hornbeamwood/internal/site/stores"
 )
 
-// placement returns the stores in the order in which the part is offered to them.
+// placement returns the stores in the order in which they are tried for the part.
 //
-// Short parts go to fast stores first, by a hash weighted by room. Long parts are
-// weighted by link: with all of them on the larger, slower stores those links would
-// be used up while the links of the fast ones rest.
+// Short parts go to fast stores first, by a hash weighted by capacity. Long parts are weighted by link rate. If
+// all of them went to the larger, slower stores, their links would be saturated while the links of the fast
+// stores are idle.
 func placement(all []document.Store, p stores.Part, tokens int) []document.Store {
 	type scored struct {
 		store document.Store
@@ -24,12 +24,12 @@
 	for _, x := range all {
 		h := xxhash.Sum64String(x.Address + "\x00" + p.Salt + "\x00" + p.ID)
 		u := (float64(h>>11) + 0.5) / (1 << 53)
-		small := tokens < smallPart
+		small := tokens < smallPartTokens
 		weight := x.LinkRate
 		if small || weight <= 0 {
 			weight = float64(x.CapacityTokens)
 		}
-		list = append(list, scored{x, !small || x.Latency <= fastFirst, rendezvous(u, weight)})
+		list = append(list, scored{x, !small || x.Latency <= fastStoreLatency, rendezvous(u, weight)})
 	}
 	slices.SortFunc(list, func(a, b scored) int {
 		switch {
--- a/internal/process/siteentry/relay.go
+++ b/internal/process/siteentry/relay.go
@@ -2,25 +2,24 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// candidateRelay is a replica that answers.
+// candidateRelay is a replica that answers polls.
 type candidateRelay struct {
 	address string
-	// near says that it is in the entry's availability zone, holder that it holds the lease for orders.
-	near, holder bool
+	// sameZone says that it is in the entry's availability zone, holder that it holds the lease for orders.
+	sameZone, holder bool
 }
 
-// pickRelay returns the address of the replica that the watcher exchanges hints with,
-// one of few entries or of many, empty when none is known.
+// pickRelay returns the address of the replica that the watcher exchanges hints with, empty when no replica is
+// known.
 //
-// Few entries meet at the replica that holds the lease. Many are spread over the
-// replicas of their availability zones: hints are most of what replicas tell, and
-// bytes between zones are dear.
-func pickRelay(known []candidateRelay, many bool, watcher string) string {
+// Few entries share the replica that holds the lease. Many entries are distributed over the replicas of their
+// availability zones: hints are most of the traffic from replicas, and traffic between zones is expensive.
+func pickRelay(candidates []candidateRelay, many bool, watcher string) string {
 	found, best := "", uint64(0)
-	for _, c := range known {
+	for _, c := range candidates {
 		preferred := c.holder
 		if many {
-			preferred = c.near
+			preferred = c.sameZone
 		}
 		score := xxhash.Sum64String(watcher+"\x00"+c.address) >> 1
 		if preferred {
--- a/internal/process/siteentry/site.go
+++ b/internal/process/siteentry/site.go
@@ -24,163 +24,169 @@
 	"hornbeamwood/internal/site/watch"
 )
 
-// site is what the entry knows of the site; it only ever moves forward.
+// site is the entry's view of the site. Its revisions and versions only increase.
 type site struct {
 	logger    log.Interface
 	directory directory.Directory
 	table     atomic.Pointer[document.Table]
-	// changing guards the change of table; first is closed with the first one.
-	changing sync.Mutex
-	first    chan struct{}
-	// documents fetches what replicas show.
+	// tableMu guards changes of table. firstDocument is closed with the first one.
+	tableMu       sync.Mutex
+	firstDocument chan struct{}
+	// documents fetches the documents that replicas announce.
 	documents *documents
-	// informed is closed when a holder of the lease has told of the stores, at uninformed after the start at the latest.
-	informed chan struct{}
-	inform   sync.Once
-
-	thaw  *thaw
-	began time.Time
-
-	mu     sync.Mutex
-	newest map[string]int64
-	// named is when each model's newest version was named, weights how long after that requests may begin on older ones.
-	named    map[string]time.Time
-	weights  time.Duration
-	noticed  map[string]int64
-	members  memberLists
-	entries  map[string]int
-	count    entryCount
-	caughtUp map[string]time.Time
-	follow   func()
-	// leads is what each replica shows of stores and orders.
-	leads map[string]*lead
-	clock *stores.Clock
-	saves map[stores.Part]time.Time
-	// memory guesses what engines hold; readings waits to be told to the others.
-	memory   parts.Residency
-	readings []watch.Prefill
-	// copies is what the relay tells of holders of the lease; it counts in place of leads while relayed.
-	copies  map[string]*lead
-	relayed bool
+	// storesKnown is closed when a lease holder has reported the stores, at the latest startupWait after the
+	// start.
+	storesKnown     chan struct{}
+	storesKnownOnce sync.Once
+
+	suspension *suspensionGuard
+	startedAt  time.Time
+
+	mu             sync.Mutex
+	targetVersions map[string]int64
+	// targetSince is when each model's target version was set, weightsDeadline how long after that requests may
+	// start on older ones.
+	targetSince      map[string]time.Time
+	weightsDeadline  time.Duration
+	observedVersions map[string]int64
+	members          memberLists
+	reportedEntries  map[string]int
+	count            entryCount
+	caughtUp         map[string]time.Time
+	follow           func()
+	// directStates holds the state of stores and orders that each replica reports.
+	directStates map[string]*holderState
+	clock        *stores.Clock
+	recentSaves  map[stores.Part]time.Time
+	// residency estimates what engines have cached. prefills are those that wait to be reported to the other
+	// entries.
+	residency parts.Residency
+	prefills  []watch.Prefill
+	// mirroredStates holds the relay's mirrors of lease holders' states. They replace directStates while relayed
+	// is set.
+	mirroredStates map[string]*holderState
+	relayed        bool
 	// relay is the replica that this entry exchanges hints with, empty for none.
 	relay string
-	// hinted is the start of the relay whose hints were taken last.
-	hinted relayStart
-	// caches is what the relay tells of the memory of engines that haven't announced themselves here yet.
-	caches map[string]topic.EngineCache
-	// others is what the other entries have at each engine; changed is called when it does.
-	others  share.PeerLoads
-	changed func()
-	// uses are the hashes of the parts that were asked for.
-	uses map[uint64]struct{}
+	// hintSource is the relay incarnation whose hints were applied last.
+	hintSource relayStart
+	// engineCaches holds the relay's rows on the KV caches of engines, also of those that haven't announced
+	// themselves here yet.
+	engineCaches map[string]topic.EngineCache
+	// peerLoads is the load of the other entries at each engine. onPeerLoads is called when it changes.
+	peerLoads   share.PeerLoads
+	onPeerLoads func()
+	// usedParts holds the hashes of the parts that were requested.
+	usedParts map[uint64]struct{}
 }
 
-func newSite(logger log.Interface, memory parts.Residency, others share.PeerLoads, changed func()) *site {
+func newSite(logger log.Interface, residency parts.Residency, peerLoads share.PeerLoads, onPeerLoads func()) *site {
 	s := &site{
-		logger:    logger,
-		memory:    memory,
-		others:    others,
-		changed:   changed,
-		directory: directory.New(),
-		first:     make(chan struct{}),
-		informed:  make(chan struct{}),
-		began:     time.Now(),
-		members:   memberLists{},
-		newest:    map[string]int64{},
-		named:     map[string]time.Time{},
-		noticed:   map[string]int64{},
-		entries:   map[string]int{},
-		caughtUp:  map[string]time.Time{},
-		leads:     map[string]*lead{},
-		clock:     stores.NewClock(),
-		saves:     map[stores.Part]time.Time{},
-
-		caches: map[string]topic.EngineCache{},
-		copies: map[string]*lead{},
-		uses:   map[uint64]struct{}{},
+		logger:           logger,
+		residency:        residency,
+		peerLoads:        peerLoads,
+		onPeerLoads:      onPeerLoads,
+		directory:        directory.New(),
+		firstDocument:    make(chan struct{}),
+		storesKnown:      make(chan struct{}),
+		startedAt:        time.Now(),
+		members:          memberLists{},
+		targetVersions:   map[string]int64{},
+		targetSince:      map[string]time.Time{},
+		observedVersions: map[string]int64{},
+		reportedEntries:  map[string]int{},
+		caughtUp:         map[string]time.Time{},
+		directStates:     map[string]*holderState{},
+		clock:            stores.NewClock(),
+		recentSaves:      map[stores.Part]time.Time{},
+
+		engineCaches:   map[string]topic.EngineCache{},
+		mirroredStates: map[string]*holderState{},
+		usedParts:      map[uint64]struct{}{},
 	}
-	s.thaw = newThaw(s.age)
-	time.AfterFunc(uninformed, func() { s.inform.Do(func() { close(s.informed) }) })
+	s.suspension = newSuspensionGuard(s.ageStates)
+	time.AfterFunc(startupWait, func() { s.storesKnownOnce.Do(func() { close(s.storesKnown) }) })
 	return s
 }
 
-// take takes what the replica at address shows.
-func (s *site) take(address string, a watch.Answer) {
-	s.lead(address, a)
+// apply applies an answer of the replica at address.
+func (s *site) apply(address string, a watch.Answer) {
+	s.observeReplica(address, a)
 	for _, r := range a.Rows {
-		if err := s.takeRow(address, r); err != nil {
+		if err := s.applyRow(address, r); err != nil {
 			event.NoticeRefused.Write(s.logger, log.Fields{"peer": address, "notice": "row", "topic": r.Topic, "key": r.Key, "error": err.Error()})
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.entries[address] = a.Entries
-	s.count.saw(slices.Max(slices.Collect(maps.Values(s.entries))), time.Now())
-	s.noteInformed()
+	s.reportedEntries[address] = a.Entries
+	s.count.observe(slices.Max(slices.Collect(maps.Values(s.reportedEntries))), time.Now())
+	s.signalStoresKnown()
 	s.clock.Observe(a.Clock)
 	if a.CaughtUp {
 		s.caughtUp[address] = time.Now()
 	}
 }
 
-// noteInformed ends the wait for the stores once a holder of the lease has told of those that the document names; the caller holds the lock.
-func (s *site) noteInformed() {
-	if l := s.leading(); l != nil && l.complete(s.Table()) {
-		s.inform.Do(func() { close(s.informed) })
+// signalStoresKnown ends the wait for the stores once a lease holder has reported all stores of the document.
+// The caller holds the lock.
+func (s *site) signalStoresKnown() {
+	if l := s.storeState(); l != nil && l.complete(s.Table()) {
+		s.storesKnownOnce.Do(func() { close(s.storesKnown) })
 	}
 }
 
-func (s *site) takeRow(address string, r rowtable.Row) error {
+func (s *site) applyRow(address string, r rowtable.Row) error {
 	switch r.Topic {
 	case topic.DocumentChunks:
-		return decoded(r, func(m topic.Document) { s.documents.show(address, m) })
+		return decodeRow(r, func(m topic.Document) { s.documents.offer(address, m) })
 	case topic.Servers:
 		if len(r.Value) == 0 {
 			s.forgetServer(r.Key)
 			return nil
 		}
-		return decoded(r, s.takeServer)
+		return decodeRow(r, s.applyServer)
 	case topic.Members:
-		return decoded(r, func(m []string) { s.takeMembers(address, m) })
+		return decodeRow(r, func(m []string) { s.applyMembers(address, m) })
 	case topic.Weights:
-		return decoded(r, func(l topic.LoadedWeights) { s.takeLoaded(r.Key, l) })
+		return decodeRow(r, func(l topic.LoadedWeights) { s.applyLoadedWeights(r.Key, l) })
 	case topic.Parts, topic.StoreSummaries, topic.StoresUp, topic.Busy, topic.Epochs:
-		return s.takeLeadRow(address, r)
+		return s.applyHolderRow(address, r)
 	case topic.Versions:
-		return decoded(r, func(v int64) { s.takeVersion(r.Key, v) })
+		return decodeRow(r, func(v int64) { s.applyTargetVersion(r.Key, v) })
 	case topic.NamedAt:
-		return decoded(r, func(at int64) { s.takeNamedAt(r.Key, at) })
+		return decodeRow(r, func(at int64) { s.applyTargetVersionTime(r.Key, at) })
 	}
-	// A topic of a newer replica.
+	// The topic comes from a newer replica version.
 	return nil
 }
 
-// forgetServer forgets a server that is gone for good.
+// forgetServer removes a server that is gone for good.
 func (s *site) forgetServer(id string) {
 	s.directory.Forget(id)
-	s.memory.Forget(id)
+	s.residency.Forget(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.caches, id)
+	delete(s.engineCaches, id)
 }
 
-func decoded[T any](r rowtable.Row, take func(T)) error {
+func decodeRow[T any](r rowtable.Row, apply func(T)) error {
 	v, err := codec.Unmarshal[T](r.Value)
 	if err != nil {
 		return err
 	}
-	take(v)
+	apply(v)
 	return nil
 }
 
-// none stands for the number of no document.
-const none = int64(math.MinInt64)
+// noRevision is lower than the revision of any document.
+const noRevision = int64(math.MinInt64)
 
-// takeDocument takes a document with a higher number.
-func (s *site) takeDocument(d document.Document, origin log.Fields) {
-	s.changing.Lock()
-	defer s.changing.Unlock()
-	before := none
+// applyDocument brings a document with a higher revision into force.
+func (s *site) applyDocument(d document.Document, origin log.Fields) {
+	s.tableMu.Lock()
+	defer s.tableMu.Unlock()
+	before := noRevision
 	if t := s.table.Load(); t != nil {
 		before = (*t).Document().Revision
 	}
@@ -189,20 +195,20 @@
 	}
 	t := document.NewTable(d)
 	s.table.Store(&t)
-	if before == none {
-		close(s.first)
+	if before == noRevision {
+		close(s.firstDocument)
 	}
 	f := log.Fields{"number": d.Revision, "before": before, "routes": len(d.Routes), "workspaces": len(d.Workspaces)}
 	maps.Copy(f, origin)
 	event.DocumentInForce.Write(s.logger, f)
 	s.mu.Lock()
-	s.noteInformed()
+	s.signalStoresKnown()
 	s.mu.Unlock()
 }
 
-func (s *site) takeServer(v directory.Server) {
+func (s *site) applyServer(v directory.Server) {
 	if _, matters := s.directory.Merge(v); matters {
-		s.confirmCache(v)
+		s.confirmEngineCache(v)
 		event.ServerAnnounced.Write(s.logger, log.Fields{
 			"server": v.ID, "service": v.Service, "address": v.Address, "zone": v.Zone, "born": v.StartedAt,
 			"sequence": v.Sequence, "state": v.State.String(), "silent": v.Silent, "home": v.Home,
@@ -210,45 +216,45 @@
 	}
 }
 
-// takeMembers notes whom the replica at address names as replicas.
-func (s *site) takeMembers(address string, members []string) {
+// applyMembers records the replicas that the replica at address lists as members.
+func (s *site) applyMembers(address string, members []string) {
 	s.mu.Lock()
 	s.members[address] = members
 	s.mu.Unlock()
 	s.follow()
 }
 
-func (s *site) takeVersion(model string, v int64) {
+func (s *site) applyTargetVersion(model string, v int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if v > s.newest[model] {
-		s.newest[model], s.named[model] = v, time.Now()
+	if v > s.targetVersions[model] {
+		s.targetVersions[model], s.targetSince[model] = v, time.Now()
 	}
 }
 
-// takeNamedAt takes when the newest version was named by the servers' clock: a
-// process that has just started hears of it late.
-func (s *site) takeNamedAt(model string, at int64) {
+// applyTargetVersionTime applies when, by the servers' clock, the target version was set. A process that has
+// just started learns of the version later than that.
+func (s *site) applyTargetVersionTime(model string, millis int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	if now == 0 || at <= 0 || at > now {
+	if now == 0 || millis <= 0 || millis > now {
 		return
 	}
-	if t := time.Now().Add(-time.Duration(now-at) * time.Millisecond); t.Before(s.named[model]) {
-		s.named[model] = t
+	if t := time.Now().Add(-time.Duration(now-millis) * time.Millisecond); t.Before(s.targetSince[model]) {
+		s.targetSince[model] = t
 	}
 }
 
-// beginSlack is how long before the promised time requests are sent to older
-// weights for the last time: they begin after those that wait at the engine.
-const beginSlack = 1200 * time.Millisecond
+// expiryMargin is how long before the deadline requests are last sent to older weights. They start only after
+// those that are queued at the engine.
+const expiryMargin = 1200 * time.Millisecond
 
 // VersionExpired implements caller.Site.
 func (s *site) VersionExpired(model string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.weights > 0 && time.Since(s.named[model]) >= s.weights-beginSlack
+	return s.weightsDeadline > 0 && time.Since(s.targetSince[model]) >= s.weightsDeadline-expiryMargin
 }
 
 // Table implements caller.Site.
@@ -259,7 +265,7 @@
 	return nil
 }
 
-// limits returns what the document in force allows callers; none without a document.
+// limits returns the limits for callers of the document in force, the zero value without a document.
 func (s *site) limits() document.Limits {
 	if t := s.Table(); t != nil {
 		return t.Document().Limits
@@ -270,26 +276,26 @@
 // AwaitDocument implements caller.Site.
 func (s *site) AwaitDocument(ctx context.Context) {
 	select {
-	case <-s.first:
+	case <-s.firstDocument:
 	case <-ctx.Done():
 	}
 }
 
 // AwaitFreshState implements caller.Site.
 func (s *site) AwaitFreshState(ctx context.Context) {
-	s.thaw.settle(ctx)
+	s.suspension.awaitUpdate(ctx)
 }
 
-// uninformed is how long after its start a process waits to be told of the stores.
-const uninformed = 4 * time.Second
+// startupWait is how long after its start a process waits for the state of the stores and for the first server.
+const startupWait = 4 * time.Second
 
-// serversLook is the time between two looks whether a server has announced itself.
-const serversLook = 10 * time.Millisecond
+// serversPollInterval is the interval of the check whether a server has announced itself.
+const serversPollInterval = 10 * time.Millisecond
 
 // AwaitServers implements caller.Site.
 func (s *site) AwaitServers(ctx context.Context, service string) {
-	for time.Since(s.began) < uninformed && len(s.Servers(service)) == 0 {
-		if !wait.For(ctx, serversLook) {
+	for time.Since(s.startedAt) < startupWait && len(s.Servers(service)) == 0 {
+		if !wait.For(ctx, serversPollInterval) {
 			return
 		}
 	}
@@ -298,7 +304,7 @@
 // AwaitStores implements caller.Site.
 func (s *site) AwaitStores(ctx context.Context) {
 	select {
-	case <-s.informed:
+	case <-s.storesKnown:
 	case <-ctx.Done():
 	}
 }
@@ -316,16 +322,15 @@
 
 // Version implements caller.Site.
 //
-// A server announces its weights about once a second and shows them in each
-// answer; they only move forward.
+// A server announces its weights about once a second and shows them in each response. Versions only increase.
 func (s *site) Version(v directory.Server, model string) int64 {
-	told, _ := v.Version(model)
+	announced, _ := v.Version(model)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(told, s.noticed[noticeKey(v.ID, model)])
+	return max(announced, s.observedVersions[versionKey(v.ID, model)])
 }
 
-func noticeKey(server, model string) string {
+func versionKey(server, model string) string {
 	return server + "\x00" + model
 }
 
@@ -333,15 +338,15 @@
 func (s *site) ObserveVersion(server, model string, version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k := noticeKey(server, model)
-	s.noticed[k] = max(s.noticed[k], version)
+	k := versionKey(server, model)
+	s.observedVersions[k] = max(s.observedVersions[k], version)
 }
 
 // TargetVersion implements caller.Site.
 func (s *site) TargetVersion(model string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.newest[model]
+	return s.targetVersions[model]
 }
 
 // Entries implements caller.Site.
@@ -351,8 +356,8 @@
 	return max(1, s.count.number)
 }
 
-// current returns whether the entry can serve: a replica that has caught up has told it all.
-func (s *site) current() bool {
+// canServe reports whether the entry can serve: a replica that had caught up has sent its whole state.
+func (s *site) canServe() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Load() != nil && len(s.caughtUp) > 0
--- a/internal/process/siteentry/lead_parts.go
+++ b/internal/process/siteentry/store_parts.go
@@ -6,7 +6,7 @@
 	"hornbeamwood/internal/site/topic"
 )
 
-func (l *lead) takePart(r rowtable.Row) error {
+func (l *holderState) applyPart(r rowtable.Row) error {
 	p, err := stores.ParsePartLocation(r.Key)
 	if err != nil {
 		return err
@@ -15,13 +15,13 @@
 		l.remove(p)
 		return nil
 	}
-	return decoded(r, func(tokens int) { l.add(p, tokens) })
+	return decodeRow(r, func(tokens int) { l.add(p, tokens) })
 }
 
-// takeShelf takes what lay in a store when it was listed.
-func (l *lead) takeShelf(s topic.StoreSummary) {
+// applyStoreSummary applies a summary of a store's listing.
+func (l *holderState) applyStoreSummary(s topic.StoreSummary) {
 	store := stores.ShortAddress(s.Address)
-	if s.Whole && l.used[store] > 0 {
+	if s.Whole && l.usedTokens[store] > 0 {
 		for part, held := range l.parts {
 			if _, ok := held[store]; ok {
 				l.remove(stores.PartLocation{Store: store, Part: part})
@@ -33,17 +33,17 @@
 	}
 }
 
-func (l *lead) add(p stores.PartLocation, tokens int) {
+func (l *holderState) add(p stores.PartLocation, tokens int) {
 	l.remove(p)
 	if l.parts[p.Part] == nil {
 		l.parts[p.Part] = map[uint32]int{}
 	}
 	l.parts[p.Part][p.Store] = tokens
-	l.used[p.Store] += tokens
+	l.usedTokens[p.Store] += tokens
 }
 
-func (l *lead) remove(p stores.PartLocation) {
-	l.used[p.Store] -= l.parts[p.Part][p.Store]
+func (l *holderState) remove(p stores.PartLocation) {
+	l.usedTokens[p.Store] -= l.parts[p.Part][p.Store]
 	delete(l.parts[p.Part], p.Store)
 	if len(l.parts[p.Part]) == 0 {
 		delete(l.parts, p.Part)
