--- a/internal/process/sitecontrol/announcements.go
+++ b/internal/process/sitecontrol/announcements.go
@@ -19,43 +19,44 @@
 
 const (
 	// missedHeartbeats is how many intervals without an announcement make a
-	// server silent; one may be late by a lost packet, two and a half are not.
+	// server silent. A lost packet delays one announcement, but not by two and a
+	// half intervals.
 	missedHeartbeats = 2.5
-	// sweepInterval is the time between two looks for silent servers.
+	// sweepInterval is the time between two searches for silent servers.
 	sweepInterval = 300 * time.Millisecond
-	// orphanTimeout is how long the replica that a server announced itself to
-	// is silent until the others judge by themselves.
+	// orphanTimeout is how long the replica that a server announces itself to
+	// must be without contact before the others judge the server themselves.
 	orphanTimeout = 4 * time.Second
 	// forgetAfter is how long the row of a server that is gone or silent is kept,
-	// against announcements that were held up.
+	// so that delayed announcements don't bring the server back.
 	forgetAfter = 10 * time.Minute
-	// spreadTimeout bounds how long a leaving server waits until another replica has the news.
-	spreadTimeout = 700 * time.Millisecond
+	// replicationTimeout bounds how long a leaving server waits until another replica has its row.
+	replicationTimeout = 700 * time.Millisecond
 )
 
-// announcements keeps what backend servers say, shows it on the board and
-// judges which of them have fallen silent.
+// announcements keeps the announcements of backend servers, shows them in the row
+// table and detects servers that have become silent.
 type announcements struct {
-	home      string
-	heartbeat time.Duration
-	directory directory.Directory
-	board     rowtable.Table
-	watchers  watch.Server
-	replicas  func() int
-	heard     func(address string) (time.Duration, bool)
-	reachable func() bool
-	logger    log.Interface
+	home         string
+	heartbeat    time.Duration
+	directory    directory.Directory
+	table        rowtable.Table
+	watchServer  watch.Server
+	replicas     func() int
+	sinceContact func(address string) (time.Duration, bool)
+	caughtUp     func() bool
+	logger       log.Interface
 
 	mu sync.Mutex
-	// direct is when each server last announced itself here, changed when its row last changed.
-	direct, changed map[string]time.Time
-	swept           time.Time
-	// stood is when this process last found that it had stood still.
-	stood time.Time
+	// lastAnnounced is when each server last announced itself here, lastChanged when its row last changed.
+	lastAnnounced, lastChanged map[string]time.Time
+	lastSweep                  time.Time
+	// resumedAt is when this process last found that it had been suspended.
+	resumedAt time.Time
 }
 
-// take merges a row, wherever it comes from, and returns the board's number that includes it.
-func (a *announcements) take(s directory.Server) uint64 {
+// merge merges a row from any source and returns the table's revision that includes it, zero when nothing relevant changed.
+func (a *announcements) merge(s directory.Server) uint64 {
 	newer, matters := a.directory.Merge(s)
 	if !newer && s.Silent {
 		a.contradict(s)
@@ -64,7 +65,7 @@
 		return 0
 	}
 	a.mu.Lock()
-	a.changed[s.ID] = time.Now()
+	a.lastChanged[s.ID] = time.Now()
 	a.mu.Unlock()
 	event.ServerAnnounced.Write(a.logger, log.Fields{
 		"server": s.ID, "service": s.Service, "address": s.Address, "zone": s.Zone, "born": s.StartedAt,
@@ -73,12 +74,12 @@
 	return a.show(s)
 }
 
-// contradict shows what this replica knows when another one calls a server
-// silent that announces itself here.
+// contradict shows this replica's row when another one marks a server silent that
+// announces itself here.
 //
-// A replica that stood still or was cut off may judge so wrongly. What it says
-// counts for everybody who has no later announcement, and this replica shows
-// announcements that change nothing only when asked, here.
+// A replica that was suspended or cut off may do so wrongly. Its row counts for everyone
+// who has no later announcement. Announcements that change nothing are otherwise not
+// shown, so this is the only place where the later announcement is shown.
 func (a *announcements) contradict(s directory.Server) {
 	known, ok := a.directory.Get(s.ID)
 	if ok && known.Home == a.home && !known.Silent && known.Sequence > s.Sequence {
@@ -92,10 +93,10 @@
 		event.AnnouncementNotAcknowledged.Write(a.logger, log.Fields{"server": s.ID, "error": err.Error()})
 		return 0
 	}
-	return a.board.Put(topic.Servers, s.ID, b)
+	return a.table.Put(topic.Servers, s.ID, b)
 }
 
-// announce takes what a server says of itself.
+// announce records a server's announcement.
 func (a *announcements) announce(ctx context.Context, s directory.Server) error {
 	s.Home, s.Silent = a.home, false
 	if s.State != directory.Ready {
@@ -105,33 +106,33 @@
 		return nil
 	}
 	a.mu.Lock()
-	a.direct[s.ID] = time.Now()
+	a.lastAnnounced[s.ID] = time.Now()
 	a.mu.Unlock()
-	a.take(s)
+	a.merge(s)
 	return nil
 }
 
-// leave acknowledges that a server leaves only once another replica knows.
+// leave records that a server leaves. It acknowledges this only once another replica
+// has the row.
 //
-// The server stops soon after the acknowledgement. Were this replica cut off
-// from the entries, or lost right after it, they would send requests to a
-// server that is no longer there; without an acknowledgement the server tells
-// the next replica.
+// The server stops soon after the acknowledgement. If this replica were cut off from
+// the entries, or lost right after it, they would send requests to a server that no
+// longer runs. Without an acknowledgement the server retries at the next replica.
 func (a *announcements) leave(ctx context.Context, s directory.Server) error {
-	if !a.reachable() {
-		return a.refuse(s, "this replica hears no leader")
+	if !a.caughtUp() {
+		return a.refuse(s, "this replica has not caught up with a leader")
 	}
-	a.take(s)
+	a.merge(s)
 	known, _ := a.directory.Get(s.ID)
-	number := a.show(known)
+	revision := a.show(known)
 	others := a.replicas() - 1
 	if others <= 0 {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, spreadTimeout)
+	ctx, cancel := context.WithTimeout(ctx, replicationTimeout)
 	defer cancel()
-	if !a.watchers.AwaitReplicas(ctx, number, 1) {
-		return a.refuse(s, "no other replica has the news yet")
+	if !a.watchServer.AwaitReplicas(ctx, revision, 1) {
+		return a.refuse(s, "no other replica has acknowledged the change yet")
 	}
 	return nil
 }
@@ -141,74 +142,75 @@
 	return verdict.New(verdict.NotRun, http.StatusServiceUnavailable, "not-acknowledged", "%s", why)
 }
 
-// depart takes a server's word that it ends.
-func (a *announcements) depart(ctx context.Context, id string, born int64) error {
+// depart records that a server ends.
+func (a *announcements) depart(ctx context.Context, id string, startedAt int64) error {
 	s, ok := a.directory.Get(id)
-	if !ok || born > s.StartedAt {
-		// Nobody sends requests to a start that was never announced.
-		s = directory.Server{ID: id, StartedAt: born}
+	if !ok || startedAt > s.StartedAt {
+		// No entry sends requests to an incarnation that was never announced.
+		s = directory.Server{ID: id, StartedAt: startedAt}
 	}
-	if born != 0 && born < s.StartedAt {
+	if startedAt != 0 && startedAt < s.StartedAt {
 		return nil
 	}
 	s.State = directory.Gone
 	return a.leave(ctx, s)
 }
 
-// sweep marks servers that have fallen silent.
+// sweep marks servers that have become silent, and removes those that were gone or silent for long.
 func (a *announcements) sweep(now time.Time) {
 	a.mu.Lock()
-	late := now.Sub(a.swept) > 3*sweepInterval
-	a.swept = now
-	if late {
-		// This process stood still: what servers and replicas sent meanwhile isn't read yet.
-		a.stood = now
-		for id := range a.direct {
-			a.direct[id] = now
+	suspended := now.Sub(a.lastSweep) > 3*sweepInterval
+	a.lastSweep = now
+	if suspended {
+		// This process was suspended: messages that servers and replicas sent meanwhile aren't read yet.
+		a.resumedAt = now
+		for id := range a.lastAnnounced {
+			a.lastAnnounced[id] = now
 		}
 	}
 	a.mu.Unlock()
-	if late {
+	if suspended {
 		return
 	}
 	for _, s := range a.directory.All() {
 		switch {
 		case s.State != directory.Gone && !s.Silent && a.silent(s, now):
 			s.Silent = true
-			a.take(s)
-		case (s.State == directory.Gone || s.Silent) && a.age(s.ID, now) > forgetAfter:
+			a.merge(s)
+		case (s.State == directory.Gone || s.Silent) && a.sinceChange(s.ID, now) > forgetAfter:
 			a.forget(s.ID)
 		}
 	}
 }
 
+// silent returns whether announcements of the server have stopped coming.
 func (a *announcements) silent(s directory.Server, now time.Time) bool {
 	bound := time.Duration(missedHeartbeats * float64(a.heartbeat))
 	if s.Home == a.home {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		return now.Sub(a.direct[s.ID]) > bound
+		return now.Sub(a.lastAnnounced[s.ID]) > bound
 	}
-	ago, ok := a.heard(s.Home)
-	if now.Sub(a.stood) < orphanTimeout {
+	ago, ok := a.sinceContact(s.Home)
+	if now.Sub(a.resumedAt) < orphanTimeout {
 		return false
 	}
-	return (!ok || ago > orphanTimeout) && a.age(s.ID, now) > orphanTimeout+bound
+	return (!ok || ago > orphanTimeout) && a.sinceChange(s.ID, now) > orphanTimeout+bound
 }
 
-func (a *announcements) age(id string, now time.Time) time.Duration {
+func (a *announcements) sinceChange(id string, now time.Time) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return now.Sub(a.changed[id])
+	return now.Sub(a.lastChanged[id])
 }
 
 func (a *announcements) forget(id string) {
 	a.directory.Forget(id)
-	a.board.Put(topic.Servers, id, nil)
+	a.table.Put(topic.Servers, id, nil)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	delete(a.direct, id)
-	delete(a.changed, id)
+	delete(a.lastAnnounced, id)
+	delete(a.lastChanged, id)
 }
 
 // run sweeps until ctx ends.
--- a/internal/process/sitecontrol/announcements_test.go
+++ b/internal/process/sitecontrol/announcements_test.go
@@ -10,19 +10,19 @@
 	"hornbeamwood/internal/site/topic"
 )
 
-// testReplica keeps announcements without any network; exchange plays the polls.
+// testReplica returns announcements without a network; exchange replaces the polls.
 func testReplica(home string) *announcements {
 	return &announcements{
-		home: home, heartbeat: time.Second, directory: directory.New(), board: rowtable.New(1),
-		heard:  func(string) (time.Duration, bool) { return 0, true },
-		direct: map[string]time.Time{}, changed: map[string]time.Time{}, swept: time.Now(),
+		home: home, heartbeat: time.Second, directory: directory.New(), table: rowtable.New(1),
+		sinceContact:  func(string) (time.Duration, bool) { return 0, true },
+		lastAnnounced: map[string]time.Time{}, lastChanged: map[string]time.Time{}, lastSweep: time.Now(),
 	}
 }
 
-// exchange hands everything that one replica shows to another.
+// exchange merges all servers that one replica shows into another.
 func exchange(t *testing.T, from, to *announcements) {
 	t.Helper()
-	rows, _ := from.board.Since(0)
+	rows, _ := from.table.Since(0)
 	for _, r := range rows {
 		if r.Topic != topic.Servers {
 			continue
@@ -31,7 +31,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		to.take(s)
+		to.merge(s)
 	}
 }
 
@@ -42,44 +42,45 @@
 	}
 }
 
-// A control machine stands still for four seconds. When it wakes it has heard of
-// nobody for that long and calls every server silent that announces itself
-// elsewhere. The engines then got no orders and no new weights for the rest of
-// the day, though they had announced themselves every second.
-func TestFrozenReplicaSilencesNobody(t *testing.T) {
-	home, frozen, third := testReplica("home"), testReplica("frozen"), testReplica("third")
+// Guards against a control VM that was suspended for four seconds marking every server
+// silent that announces itself elsewhere, because it had no contact for that long. The
+// engines then got no orders and no new weights for the rest of the day, though they had
+// announced themselves every second.
+func TestResumedReplicaMarksNoServerSilent(t *testing.T) {
+	home, resumed, third := testReplica("home"), testReplica("resumed"), testReplica("third")
 	heartbeat(t, home, 1)
-	exchange(t, home, frozen)
+	exchange(t, home, resumed)
 	exchange(t, home, third)
 	for i := range int64(5) {
 		heartbeat(t, home, 2+i)
 	}
-	woken := time.Now().Add(time.Hour)
-	frozen.heard = func(string) (time.Duration, bool) { return time.Hour, true }
-	frozen.sweep(woken)
-	frozen.sweep(woken.Add(sweepInterval))
-	if s, _ := frozen.directory.Get("s"); s.Silent {
-		t.Error("the woken replica judges by what it has not read yet")
+	resumedAt := time.Now().Add(time.Hour)
+	resumed.sinceContact = func(string) (time.Duration, bool) { return time.Hour, true }
+	resumed.sweep(resumedAt)
+	resumed.sweep(resumedAt.Add(sweepInterval))
+	if s, _ := resumed.directory.Get("s"); s.Silent {
+		t.Error("the resumed replica marks a server silent before it has read pending announcements")
 	}
-	// It may still judge wrongly, when it was cut off.
-	frozen.sweep(woken.Add(2 * sweepInterval))
-	s, _ := frozen.directory.Get("s")
+	// It may still do so wrongly, when it was cut off.
+	resumed.sweep(resumedAt.Add(2 * sweepInterval))
+	s, _ := resumed.directory.Get("s")
 	s.Silent = true
-	frozen.take(s)
-	exchange(t, frozen, third)
-	exchange(t, frozen, home)
+	resumed.merge(s)
+	exchange(t, resumed, third)
+	exchange(t, resumed, home)
 	exchange(t, home, third)
-	exchange(t, home, frozen)
-	for name, a := range map[string]*announcements{"home": home, "third": third, "frozen": frozen} {
+	exchange(t, home, resumed)
+	for name, a := range map[string]*announcements{"home": home, "third": third, "resumed": resumed} {
 		if s, _ := a.directory.Get("s"); s.Silent {
-			t.Errorf("%s still takes the server for silent", name)
+			t.Errorf("%s still marks the server silent", name)
 		}
 	}
 }
 
-// A server crashes without a word. Nobody tells; the replica that it announced
-// itself to must notice, or requests go there until they time out.
-func TestCrashedServerIsNoticed(t *testing.T) {
+// Guards against a server that crashes without a departure never becoming silent. The
+// replica that it announced itself to must detect it, or requests go there until they
+// time out.
+func TestCrashedServerBecomesSilent(t *testing.T) {
 	home := testReplica("home")
 	heartbeat(t, home, 1)
 	at := time.Now()
@@ -88,6 +89,6 @@
 		home.sweep(at)
 	}
 	if s, _ := home.directory.Get("s"); !s.Silent {
-		t.Error("the crashed server still counts")
+		t.Error("the crashed server is not silent")
 	}
 }
--- a/internal/process/sitecontrol/control.go
+++ b/internal/process/sitecontrol/control.go
@@ -41,16 +41,16 @@
 
 // Config is what a Process needs.
 type Config struct {
-	// Host is the VM's place in the site.
+	// Host holds the VM's own settings within the site.
 	Host host.Host
-	// Load reads the host's settings anew.
+	// Load reads the host's settings again.
 	Load host.Load
-	// Handler speaks the site's protocol towards operators and servers.
+	// Handler returns the HTTP handler of the site's protocol for operators and servers.
 	Handler func(s Service) http.Handler
-	// Engines speaks to engines, Stores to stores.
+	// Engines is the client of engines, Stores that of stores.
 	Engines weights.Client
 	Stores  stores.Client
-	// Logger takes the events.
+	// Logger receives the events.
 	Logger log.Interface
 }
 
@@ -61,36 +61,36 @@
 }
 
 type process struct {
-	config    Config
-	host      atomic.Pointer[host.Host]
-	node      rpc.Node
-	transport quic.Transport
-	replica   replica.Replica
-	leader    quic.Leader
-	section   section.Section
-	board     rowtable.Table
-	follower  watch.Follower
-	servers   *announcements
-	admission admission.Keeper
-	metrics   *metrics.Set
-	loops     sync.WaitGroup
-	peers     atomic.Pointer[[]string]
-	holder    *holder
-	relay     *relay
-	watched   watch.Server
-	librarian *librarian
-	// shown is the number of the document on the board.
-	shown atomic.Int64
-	mu    sync.Mutex
-	// loaded is what engines were brought to, by their ID.
+	config        Config
+	host          atomic.Pointer[host.Host]
+	node          rpc.Node
+	transport     quic.Transport
+	replica       replica.Replica
+	leader        quic.Leader
+	section       section.Section
+	table         rowtable.Table
+	follower      watch.Follower
+	servers       *announcements
+	admission     admission.Keeper
+	metrics       *metrics.Set
+	loops         sync.WaitGroup
+	peers         atomic.Pointer[[]string]
+	leaseHolder   *leaseHolder
+	relay         *relay
+	watchServer   watch.Server
+	storeFollower *storeFollower
+	// shownRevision is the revision of the document in the row table.
+	shownRevision atomic.Int64
+	mu            sync.Mutex
+	// loaded holds the weights that the rollout has loaded on each engine, by its ID.
 	loaded map[string]topic.LoadedWeights
 }
 
 // New opens the data folder and the sockets of a control process.
 func New(c Config) (Process, error) {
-	p := &process{config: c, metrics: metrics.NewSet(), board: rowtable.New(uint64(time.Now().UnixNano())), loaded: map[string]topic.LoadedWeights{}}
+	p := &process{config: c, metrics: metrics.NewSet(), table: rowtable.New(uint64(time.Now().UnixNano())), loaded: map[string]topic.LoadedWeights{}}
 	p.host.Store(&c.Host)
-	p.shown.Store(noDocument)
+	p.shownRevision.Store(noDocument)
 	p.peers.Store(&c.Host.Seeds)
 	ring, err := keys.NewOpenRing(c.Host.Internal, keys.Control)
 	if err != nil {
@@ -99,7 +99,7 @@
 	if p.node, err = rpc.New(rpc.Config{Listen: c.Host.Internal, Ring: ring, Logger: c.Logger, Metrics: p.metrics}); err != nil {
 		return nil, err
 	}
-	p.section = section.New(section.Config{Changed: p.show})
+	p.section = section.New(section.Config{Changed: p.showState})
 	m, err := state.New(p.section, controllease.New())
 	if err != nil {
 		return nil, errors.Join(err, p.node.Close())
@@ -110,15 +110,15 @@
 		return nil, errors.Join(err, p.node.Close())
 	}
 	p.leader = quic.Register(quic.Config{Node: p.node, Replica: p.replica, Machine: m, Leases: quic.NewLeases(lease.NewHolders(nil), noTerms{}, time.Now)})
-	p.orders(m)
-	p.watchers()
+	p.setUpOrders(m)
+	p.setUpWatch()
 	p.admission = admission.NewKeeper(admission.Config{Replica: p.replica, Peers: peers{p.node, p.transport}, Addresses: p.addresses, Logger: c.Logger})
-	p.gauges()
-	p.show()
+	p.registerMetrics()
+	p.showState()
 	return p, nil
 }
 
-// noTerms are the terms of a site without a settings tree: no entry holds a settings lease.
+// noTerms implements quic.Terms for a site without a settings tree, where no entry holds a settings lease.
 type noTerms struct{}
 
 // Terms implements quic.Terms.
@@ -137,51 +137,53 @@
 	return c
 }
 
-// orders sets up what this replica does while it holds the lease.
-func (p *process) orders(m state.Machine) {
-	turn := p.config.Host.Bounds.Lease
-	if turn <= 0 {
-		turn = defaultTurn
+// setUpOrders sets up the lease for orders and what this replica does while it holds it.
+func (p *process) setUpOrders(m state.Machine) {
+	orderDelay := p.config.Host.Bounds.Lease
+	if orderDelay <= 0 {
+		orderDelay = defaultOrderDelay
 	}
-	p.holder = &holder{
-		name: p.config.Host.Internal, turn: turn,
-		propose: p.leader.Propose, leads: p.leads, current: func() (controllease.Lease, bool) { return p.currentLease(m) }, logger: p.config.Logger,
+	p.leaseHolder = &leaseHolder{
+		name: p.config.Host.Internal, orderDelay: orderDelay,
+		propose: p.leader.Propose, isLeader: p.isLeader, current: func() (controllease.Lease, bool) { return p.currentLease(m) }, logger: p.config.Logger,
 	}
-	p.librarian = &librarian{process: p, client: p.config.Stores, clock: stores.NewClock(), starts: newStarts(), shelves: map[string]*shelf{}, epochs: map[string]context.CancelFunc{}}
+	p.storeFollower = &storeFollower{process: p, client: p.config.Stores, clock: stores.NewClock(), starts: newStoreStarts(), followed: map[string]*followedStore{}, epochs: map[string]context.CancelFunc{}}
 }
 
-func (p *process) watchers() {
+// setUpWatch sets up the relay, the rows that this replica serves and those that it follows.
+func (p *process) setUpWatch() {
 	p.relay = newRelay(relayConfig{
-		node: p.node, self: p.config.Host.Internal, zone: p.config.Host.Zone, epoch: p.board.Epoch(),
-		caughtUp: func() bool { return p.replica.Status().CaughtUp }, siteEntries: func() int { return p.watched.Entries() }, logger: p.config.Logger,
+		node: p.node, self: p.config.Host.Internal, zone: p.config.Host.Zone, epoch: p.table.Epoch(),
+		caughtUp: func() bool { return p.replica.Status().CaughtUp }, siteEntries: func() int { return p.watchServer.Entries() }, logger: p.config.Logger,
 	})
 	server := watch.NewServer(watch.Config{
-		Method: watch.Watch, Zone: p.config.Host.Zone, Excluded: topic.NotRelayed, Node: p.node, Table: p.board,
+		Method: watch.Watch, Zone: p.config.Host.Zone, Excluded: topic.NotRelayed, Node: p.node, Table: p.table,
 		CaughtUp: func() bool { return p.replica.Status().CaughtUp },
-		Holder:   func() (uint64, int64) { return p.holder.number(), p.librarian.clock.Now() },
+		Holder:   func() (uint64, int64) { return p.leaseHolder.fencingNumber(), p.storeFollower.clock.Now() },
 	})
-	p.watched = server
+	p.watchServer = server
 	rpc.Handle(p.node, watch.Chunks, func(_ context.Context, _ rpc.Peer, wanted []chunk.Digest) ([]chunk.Chunk, error) {
 		h, _ := p.section.Active()
 		return chunksOf(h, wanted), nil
 	})
-	rpc.Receive(p.node, watch.PartUses, func(_ rpc.Peer, hashes []uint64) { p.librarian.use(hashes) })
+	rpc.Receive(p.node, watch.PartUses, func(_ rpc.Peer, hashes []uint64) { p.storeFollower.use(hashes) })
 	p.follower = watch.NewFollower(watch.FollowerConfig{
-		Method: watch.Watch, Node: p.node, Watcher: fmt.Sprintf("%s/%d", p.config.Host.Internal, p.board.Epoch()), Apply: p.take, Prepare: p.relay.prepare, Logger: p.config.Logger,
+		Method: watch.Watch, Node: p.node, Watcher: fmt.Sprintf("%s/%d", p.config.Host.Internal, p.table.Epoch()), Apply: p.applyRows, Prepare: p.relay.prepare, Logger: p.config.Logger,
 	})
 	p.servers = &announcements{
 		home: p.config.Host.Internal, heartbeat: p.config.Host.Bounds.Heartbeat,
-		directory: directory.New(), board: p.board, watchers: server,
-		replicas:  func() int { return len(p.replica.Status().Members) },
-		heard:     p.follower.SinceAnswer,
-		reachable: func() bool { return p.replica.Status().CaughtUp },
-		logger:    p.config.Logger,
-		direct:    map[string]time.Time{}, changed: map[string]time.Time{}, swept: time.Now(),
+		directory: directory.New(), table: p.table, watchServer: server,
+		replicas:      func() int { return len(p.replica.Status().Members) },
+		sinceContact:  p.follower.SinceAnswer,
+		caughtUp:      func() bool { return p.replica.Status().CaughtUp },
+		logger:        p.config.Logger,
+		lastAnnounced: map[string]time.Time{}, lastChanged: map[string]time.Time{}, lastSweep: time.Now(),
 	}
 	p.metrics.NewGauge("hornbeamwood_site_entries", func() float64 { return float64(server.Entries()) })
 }
 
-func (p *process) gauges() {
+// registerMetrics registers the process's metrics.
+func (p *process) registerMetrics() {
 	gauge := func(name string, value func(replica.Status) uint64) {
 		p.metrics.NewGauge("hornbeamwood_control_"+name, func() float64 { return float64(value(p.replica.Status())) })
 	}
@@ -196,8 +198,8 @@
 	p.metrics.NewGauge("hornbeamwood_quic_sent_bytes", func() float64 { return float64(p.node.BytesSent()) })
 }
 
-// show puts what the log holds on the board.
-func (p *process) show() {
+// showState copies the state of the log to the row table.
+func (p *process) showState() {
 	if h, ok := p.section.Active(); ok {
 		p.showDocument(h)
 	}
@@ -209,7 +211,7 @@
 	}
 }
 
-// put shows a value and returns the board's number of its last change, zero when it can't be encoded.
+// put sets a row and returns the table's revision of its last change, zero when the value can't be encoded.
 func (p *process) put(t rowtable.Topic, key string, value any) uint64 {
 	b, err := codec.Marshal(value)
 	if err != nil {
@@ -219,12 +221,13 @@
 	if len(b) > rowtable.MaxAnswerBytes {
 		event.RowTooLarge.Write(p.config.Logger, log.Fields{"topic": t, "key": key, "bytes": len(b), "most": rowtable.MaxAnswerBytes})
 	}
-	return p.board.Put(t, key, b)
+	return p.table.Put(t, key, b)
 }
 
-// take takes what another replica shows: servers, and what is passed on to entries; the log is this replica's own.
-func (p *process) take(address string, a watch.Answer, _ time.Time) {
-	p.relay.leads.Apply(address, a)
+// applyRows applies the rows of another replica: its servers, and what the relay passes
+// on to entries. Other rows are ignored, because this replica has its own copy of the log.
+func (p *process) applyRows(address string, a watch.Answer, _ time.Time) {
+	p.relay.mirrors.Apply(address, a)
 	for _, r := range a.Rows {
 		if r.Topic != topic.Servers || len(r.Value) == 0 {
 			continue
@@ -234,7 +237,7 @@
 			event.NoticeRefused.Write(p.config.Logger, log.Fields{"notice": "server row", "error": err.Error()})
 			continue
 		}
-		p.servers.take(s)
+		p.servers.merge(s)
 	}
 }
 
@@ -250,15 +253,15 @@
 	p.loops.Go(func() { p.admission.Run(serving) })
 	p.loops.Go(func() { p.servers.run(serving) })
 	p.loops.Go(func() { p.followMembers(serving) })
-	p.loops.Go(func() { p.holder.run(serving) })
-	p.loops.Go(func() { p.librarian.run(serving) })
+	p.loops.Go(func() { p.leaseHolder.run(serving) })
+	p.loops.Go(func() { p.storeFollower.run(serving) })
 	p.loops.Go(func() {
-		(&caches{process: p, client: p.config.Stores, following: map[string]context.CancelFunc{}}).run(serving)
+		(&engineCacheFollower{process: p, client: p.config.Stores, following: map[string]context.CancelFunc{}}).run(serving)
 	})
 	p.loops.Go(func() { p.relay.run(serving, p.addresses) })
-	p.loops.Go(func() { p.relay.copySelf(serving, p.board, p.holder.number) })
+	p.loops.Go(func() { p.relay.mirrorSelf(serving, p.table, p.leaseHolder.fencingNumber) })
 	p.loops.Go(func() {
-		weights.New(weights.Config{Client: p.config.Engines, Site: engines{p}, Deadline: p.config.Host.Bounds.WeightsDeadline, Logger: p.config.Logger}).Run(serving)
+		weights.New(weights.Config{Client: p.config.Engines, Site: weightsSite{p}, Deadline: p.config.Host.Bounds.WeightsDeadline, Logger: p.config.Logger}).Run(serving)
 	})
 	p.loops.Go(func() {
 		host.Watch(serving, p.config.Host, p.config.Load, func(h host.Host) { p.host.Store(&h) }, p.config.Logger)
@@ -272,7 +275,7 @@
 	case <-p.replica.Done():
 	}
 	event.ProcessStopping.Write(p.config.Logger, log.Fields{"role": "control", "name": p.config.Host.Name})
-	p.holder.release(serving)
+	p.leaseHolder.release(serving)
 	err := p.close()
 	stop()
 	p.loops.Wait()
--- a/internal/process/sitecontrol/doc.go
+++ b/internal/process/sitecontrol/doc.go
@@ -1,3 +1,3 @@
-// Package sitecontrol is the control process of a site: a replica of the
-// control log, the announcements of servers, and the orders to them.
+// Package sitecontrol runs the control process of a site. It holds a replica of
+// the control log, tracks the announcements of servers and gives them orders.
 package sitecontrol
--- a/internal/process/sitecontrol/document.go
+++ b/internal/process/sitecontrol/document.go
@@ -11,32 +11,32 @@
 	"hornbeamwood/internal/site/topic"
 )
 
-// maxChunksBytes bounds the data of one answer, which has to be through an entry's link before the call times out.
+// maxChunksBytes bounds the data of one answer, which must get through an entry's link before the call times out.
 const maxChunksBytes = 64 << 10
 
-// noDocument stands for the number of no document.
+// noDocument is the shown revision while there is no document.
 const noDocument = math.MinInt64
 
-// showDocument puts the names of the document's chunks on the board.
+// showDocument shows the digests of the document's chunks in the row table.
 //
-// Entries get the chunks that they lack from one replica. If each replica sent
-// each entry all of a large document after each change, it would take the entries'
+// Entries request the chunks that they lack from one replica. If each replica sent
+// each entry a large document whole after each change, it would occupy the entries'
 // links for longer than a change may take to be in force.
 func (p *process) showDocument(h section.ActiveDocument) {
-	number := h.Document.Revision
-	if p.shown.Load() == number {
+	revision := h.Document.Revision
+	if p.shownRevision.Load() == revision {
 		return
 	}
-	p.put(topic.DocumentChunks, "", topic.Document{Revision: number, Chunks: chunk.Digests(h.Chunks)})
-	p.shown.Store(number)
+	p.put(topic.DocumentChunks, "", topic.Document{Revision: revision, Chunks: chunk.Digests(h.Chunks)})
+	p.shownRevision.Store(revision)
 	bytes := 0
 	for _, c := range h.Chunks {
 		bytes += len(c.Data)
 	}
-	event.DocumentShown.Write(p.config.Logger, log.Fields{"number": number, "routes": len(h.Document.Routes), "chunks": len(h.Chunks), "bytes": bytes})
+	event.DocumentShown.Write(p.config.Logger, log.Fields{"number": revision, "routes": len(h.Document.Routes), "chunks": len(h.Chunks), "bytes": bytes})
 }
 
-// chunksOf returns the first of the wanted chunks that h has, as many as fit into one answer.
+// chunksOf returns those of the wanted chunks that h has, in order and as many as fit into one answer.
 func chunksOf(h section.ActiveDocument, wanted []chunk.Digest) []chunk.Chunk {
 	var found []chunk.Chunk
 	bytes := 0
--- /dev/null
+++ b/internal/process/sitecontrol/followed_store.go
@@ -0,0 +1,118 @@
+package sitecontrol
+
+import (
+	"context"
+	"strconv"
+	"sync"
+	"time"
+
+	"hornbeamwood/internal/site/stores"
+	"hornbeamwood/internal/site/topic"
+)
+
+// followedStore is a store whose inventory this replica follows.
+type followedStore struct {
+	mu        sync.Mutex
+	inventory *stores.StoreInventory
+	cancel    context.CancelFunc
+	// listedAt is when the store was last listed as a whole. reported says that its
+	// availability was shown at least once, and up what was shown last. Only the
+	// goroutine of watch uses these fields.
+	listedAt     time.Time
+	reported, up bool
+	// listRevision is the table's revision of the last row of a list.
+	listRevision uint64
+	// unfollowed says that the store is no longer followed.
+	unfollowed bool
+}
+
+// maxRowParts bounds the parts in one row, which takes 14 bytes for each of them.
+// A row must get through an entry's link before its poll times out.
+const maxRowParts = 4096
+
+// showStoreParts writes the present state of many parts to as few rows as possible. It does nothing once the store is unfollowed.
+func (l *storeFollower) showStoreParts(x *followedStore, size string, whole bool, parts []stores.Part) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	if x.unfollowed {
+		return
+	}
+	l.showPartsRow(x, size, whole, parts[:min(len(parts), maxRowParts)])
+	for at := maxRowParts; at < len(parts); at += maxRowParts {
+		l.showPartsRow(x, size+"/"+strconv.Itoa(at), false, parts[at:min(len(parts), at+maxRowParts)])
+	}
+}
+
+// showPartsRow writes the present state of parts to one row; the caller holds x.mu.
+func (l *storeFollower) showPartsRow(x *followedStore, key string, whole bool, parts []stores.Part) {
+	s := topic.StoreSummary{Address: x.inventory.Address, Listed: time.Now().UnixNano(), Whole: whole}
+	for _, p := range parts {
+		if tokens, ok := x.inventory.Fetchable(p); ok {
+			s.Parts = append(s.Parts, p.Hash())
+			s.Tokens = append(s.Tokens, uint32(tokens))
+		}
+	}
+	x.listRevision = max(x.listRevision, l.put(topic.StoreSummaries, s.Address+"/"+key, s))
+}
+
+// bySize splits the parts into those of at least longPartTokens and the others.
+func bySize(all []stores.Part, sizes map[stores.Part]int) (long, short []stores.Part) {
+	for _, p := range all {
+		if sizes[p] >= longPartTokens {
+			long = append(long, p)
+		} else {
+			short = append(short, p)
+		}
+	}
+	return long, short
+}
+
+// showParts sets the rows of the parts and returns the table's revision that includes every removal.
+func (l *storeFollower) showParts(x *followedStore, parts []stores.Part) uint64 {
+	revision := uint64(0)
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	for _, p := range parts {
+		tokens, ok := x.inventory.Fetchable(p)
+		if n := l.showPart(x, p.AtStore(x.inventory.Address).Key(), tokens, ok); !ok {
+			revision = max(revision, n)
+		}
+	}
+	return revision
+}
+
+// showPart sets the row of one part and returns its revision.
+//
+// A row with the same value as under an earlier lease keeps its revision, and a list
+// with a later revision takes precedence over it. Entries would go on fetching a part
+// that is about to be freed. Such a row is therefore changed and changed back, which
+// gives it a new revision.
+func (l *storeFollower) showPart(x *followedStore, key string, tokens int, whole bool) uint64 {
+	put := func(whole bool, tokens int) uint64 {
+		if whole {
+			return l.put(topic.Parts, key, tokens)
+		}
+		return l.table.Put(topic.Parts, key, nil)
+	}
+	n := put(whole, tokens)
+	if n >= x.listRevision {
+		return n
+	}
+	put(!whole, 0)
+	return put(whole, tokens)
+}
+
+// unfollow stops following the store.
+func (x *followedStore) unfollow() {
+	x.cancel()
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	x.unfollowed = true
+}
+
+// isUnfollowed returns whether the store is no longer followed.
+func (x *followedStore) isUnfollowed() bool {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	return x.unfollowed
+}
--- a/internal/process/sitecontrol/lease.go
+++ b/internal/process/sitecontrol/lease.go
@@ -21,60 +21,61 @@
 const (
 	// ordersLease names the lease for orders to servers and stores.
 	ordersLease = "orders"
-	// leaseDuration is how long the lease lasts at most. Until it has run out no
-	// other replica tells entries what lies in stores and what all of them have at
-	// engines, and engines read again what lies there.
+	// leaseDuration is how long the lease lasts without renewal. Until it expires no
+	// other replica can show entries the contents of stores and the load of all entries
+	// at engines, and engines compute again the prefill of stored parts.
 	leaseDuration = 1500 * time.Millisecond
-	// renewInterval is the time between two renewals: with orderMargin one may be
-	// late by as much again until orders stop.
+	// renewInterval is the time between two renewals. With orderMargin, a renewal may be
+	// late by as much again before orders stop.
 	renewInterval = 400 * time.Millisecond
-	// leadInterval is the time between two looks whether this replica leads and could ask for the lease.
-	leadInterval = 40 * time.Millisecond
+	// leaderCheckInterval is the time between two checks whether this replica leads the log and may request the lease.
+	leaderCheckInterval = 40 * time.Millisecond
 	// renewTimeout bounds one renewal.
 	renewTimeout = time.Second
-	// orderMargin is kept off the end of the lease for the way of an order to its server.
+	// orderMargin is the time before the lease's end in which no order is sent, so that orders arrive within the lease.
 	orderMargin = 700 * time.Millisecond
-	// nameSeparator stands behind the replica's name in that of a holder.
+	// nameSeparator follows the replica's name in the name of a lease holder.
 	nameSeparator = "/"
-	// defaultTurn is used where the site doesn't say how long apart two givers of orders must be.
-	defaultTurn = 3 * time.Second
+	// defaultOrderDelay is used where the site doesn't set the time between orders of two lease holders.
+	defaultOrderDelay = 3 * time.Second
 )
 
-// holder holds the lease for orders while this replica leads the log.
-type holder struct {
+// leaseHolder holds the lease for orders while this replica leads the log.
+type leaseHolder struct {
 	name string
-	// turn is how long after its grant a holder gives its first order.
-	turn    time.Duration
-	propose func(ctx context.Context, section string, body []byte) ([]byte, error)
-	leads   func() bool
-	// current returns the lease as this replica's log has it, and false while the log isn't up to date.
+	// orderDelay is how long after its grant a new holder gives its first order.
+	orderDelay time.Duration
+	propose    func(ctx context.Context, section string, body []byte) ([]byte, error)
+	isLeader   func() bool
+	// current returns the lease as this replica's log has it, and false while the log hasn't caught up.
 	current func() (controllease.Lease, bool)
 	logger  log.Interface
 
 	mu sync.Mutex
-	// fencing is zero while the lease isn't held; until is its end by the boot
-	// clock, from its first order may be given.
-	fencing uint64
-	until   time.Duration
-	from    time.Duration
-	// granted is when this process got the lease.
-	granted time.Duration
-	// refused is the highest number that a server has refused.
-	refused uint64
-	// released says that the process stops and asks for the lease no more.
+	// fencing is zero while the lease isn't held. By the boot clock, the lease ends at
+	// until, and orders may be given from ordersFrom on.
+	fencing    uint64
+	until      time.Duration
+	ordersFrom time.Duration
+	// grantedAt is when this process got the lease.
+	grantedAt time.Duration
+	// refusedFencing is the highest fencing number under which this replica may no longer
+	// order: a server has refused it, or it dates from before a restart.
+	refusedFencing uint64
+	// released says that the process is stopping and no longer requests the lease.
 	released bool
 }
 
 // held returns the fencing number while orders may be given.
-func (h *holder) held() (uint64, bool) {
+func (h *leaseHolder) held() (uint64, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := boottime.Now()
-	return h.fencing, h.fencing != 0 && h.fencing > h.refused && now >= h.from && now < h.until-orderMargin
+	return h.fencing, h.fencing != 0 && h.fencing > h.refusedFencing && now >= h.ordersFrom && now < h.until-orderMargin
 }
 
-// number returns the fencing number as long as the lease lasts, also before the first order may be given.
-func (h *holder) number() uint64 {
+// fencingNumber returns the fencing number until the lease ends, also before the first order may be given, and then zero.
+func (h *leaseHolder) fencingNumber() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if boottime.Now() >= h.until {
@@ -83,50 +84,51 @@
 	return h.fencing
 }
 
-// settled returns whether this process has held the lease for so long that
-// nobody goes by what an earlier holder said.
-func (h *holder) settled(after time.Duration) bool {
+// heldFor returns whether this process has held the lease for the given time, so that
+// no one uses the rows of an earlier holder. The first holder of a site has no
+// predecessor and need not wait.
+func (h *leaseHolder) heldFor(after time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.fencing == 1 || boottime.Now()-h.granted >= after
+	return h.fencing == 1 || boottime.Now()-h.grantedAt >= after
 }
 
-// lost notes that a server has seen a higher number.
+// markRefused records that a server has seen a higher fencing number than the given one.
 //
-// Whoever has it was granted the lease after this process: whatever its clock
-// says, this one must not order any more.
-func (h *holder) lost(fencing uint64) {
+// The holder of the higher number was granted the lease after this process. This process
+// must give no more orders, whatever its clock shows.
+func (h *leaseHolder) markRefused(fencing uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.refused = max(h.refused, fencing)
-	h.tell("a server has seen a higher number")
+	h.refusedFencing = max(h.refusedFencing, fencing)
+	h.logChange("a server has seen a higher fencing number")
 }
 
-// run renews until ctx ends.
+// run renews the lease until ctx ends.
 //
-// A replica that has just come to lead asks at once: until it holds the lease,
-// entries learn nothing of the stores.
-func (h *holder) run(ctx context.Context) {
-	asked, returned := time.Time{}, false
-	for wait.For(ctx, leadInterval) {
-		returned = returned || h.leads() || h.giveBack(ctx)
+// A new leader requests the lease at once, because entries get no rows of the stores
+// until it holds the lease.
+func (h *leaseHolder) run(ctx context.Context) {
+	requestedAt, returned := time.Time{}, false
+	for wait.For(ctx, leaderCheckInterval) {
+		returned = returned || h.isLeader() || h.releaseEarlier(ctx)
 		switch {
-		case !h.leads():
-			asked = time.Time{}
-		case time.Since(asked) >= renewInterval && !h.stopping():
-			asked = time.Now()
+		case !h.isLeader():
+			requestedAt = time.Time{}
+		case time.Since(requestedAt) >= renewInterval && !h.stopping():
+			requestedAt = time.Now()
 			h.renew(ctx)
 		}
 	}
 }
 
-// giveBack gives back the lease that this replica held before its process was
-// restarted, and returns true once there is nothing to give back.
+// releaseEarlier releases the lease that this replica held before its process was
+// restarted, and returns true once there is nothing left to release.
 //
-// The one that leads now would otherwise wait until it has run out, and entries
-// learn nothing of the stores until then. From before the proposal on this process
-// counts as another holder, so that the lease never returns to it by the old name.
-func (h *holder) giveBack(ctx context.Context) bool {
+// The present leader would otherwise wait until the lease expires, and entries would
+// get no rows of the stores until then. Before the release is proposed, this process
+// takes another holder name, so that the lease is never granted to the old name again.
+func (h *leaseHolder) releaseEarlier(ctx context.Context) bool {
 	l, ok := h.current()
 	if !ok {
 		return false
@@ -135,21 +137,21 @@
 		return true
 	}
 	h.mu.Lock()
-	h.refused = max(h.refused, l.Fencing)
+	h.refusedFencing = max(h.refusedFencing, l.Fencing)
 	h.mu.Unlock()
 	h.proposeRelease(ctx, l.Holder, l.Fencing)
 	return true
 }
 
-func (h *holder) stopping() bool {
+func (h *leaseHolder) stopping() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.released
 }
 
-// release gives the lease back before a planned stop, so that the next leader
-// need not wait until it has run out.
-func (h *holder) release(ctx context.Context) {
+// release releases the lease before a planned stop, so that the next leader need not
+// wait until it expires.
+func (h *leaseHolder) release(ctx context.Context) {
 	h.mu.Lock()
 	fencing := h.fencing
 	h.fencing, h.released = 0, true
@@ -160,7 +162,7 @@
 	h.proposeRelease(ctx, h.holderName(), fencing)
 }
 
-func (h *holder) proposeRelease(ctx context.Context, name string, fencing uint64) {
+func (h *leaseHolder) proposeRelease(ctx context.Context, name string, fencing uint64) {
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
 	body, err := codec.Marshal(controllease.Command{Release: &controllease.Release{Name: ordersLease, Holder: name, Fencing: fencing}})
@@ -168,86 +170,90 @@
 		_, err = h.propose(ctx, controllease.Name, body)
 	}
 	if err != nil {
-		h.fail(err)
+		h.logError(err)
 		return
 	}
-	h.tell("released")
+	h.logChange("released")
 }
 
-// renew acquires the lease, or makes it last longer when this process holds it.
-func (h *holder) renew(ctx context.Context) {
+// renew acquires the lease, or extends it when this process holds it.
+func (h *leaseHolder) renew(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
-	asked := boottime.Now()
+	requestedAt := boottime.Now()
 	body, err := codec.Marshal(controllease.Command{Acquire: &controllease.Acquire{Name: ordersLease, Holder: h.holderName(), Duration: leaseDuration}})
 	if err != nil {
-		h.fail(err)
+		h.logError(err)
 		return
 	}
 	b, err := h.propose(ctx, controllease.Name, body)
 	if err != nil {
-		// The lease runs out by itself if this goes on.
+		// The lease expires by itself if renewals keep failing.
 		return
 	}
 	r, err := codec.Unmarshal[controllease.Result](b)
 	if err != nil {
-		h.fail(err)
+		h.logError(err)
 		return
 	}
-	h.take(r, asked)
+	h.applyResult(r, requestedAt)
 }
 
-// holderName is the same after a restart of the process, so that it need not wait
-// for its own lease to run out. After a refusal it differs: a lease that was
-// superseded is asked for anew, under another number.
-func (h *holder) holderName() string {
+// holderName returns the name under which this process requests the lease. It is the
+// same after a restart, so that the process need not wait for its own lease to expire.
+// After a refusal it differs: a superseded lease is requested again under another
+// fencing number.
+func (h *leaseHolder) holderName() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return fmt.Sprintf("%s%s%d", h.name, nameSeparator, h.refused)
+	return fmt.Sprintf("%s%s%d", h.name, nameSeparator, h.refusedFencing)
 }
 
-// take counts the lease from when it was asked for.
+// applyResult applies the result of a request for the lease. The lease's duration
+// counts from when it was requested.
 //
-// The first order waits for the site's time between two givers: whoever held the
-// lease before may have ordered right before it ran out, and servers that don't
-// check numbers would see two givers by turns.
-func (h *holder) take(r controllease.Result, asked time.Duration) {
+// The first order waits for the site's time between orders of two holders. The previous
+// holder may have ordered right before its lease expired, and servers that don't check
+// fencing numbers would get orders from two holders by turns.
+func (h *leaseHolder) applyResult(r controllease.Result, requestedAt time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !r.Granted || h.released {
 		if h.fencing != 0 {
 			h.fencing = 0
-			h.tell("another replica holds it")
+			h.logChange("another replica holds it")
 		}
 		return
 	}
-	if h.fencing != 0 && r.Fencing == h.fencing+1 && h.refused < h.fencing {
-		// It ran out, as behind a slow disk, and nobody else had it since.
+	if h.fencing != 0 && r.Fencing == h.fencing+1 && h.refusedFencing < h.fencing {
+		// The lease expired, as with a slow disk, and no other replica has held it since.
 		h.fencing = r.Fencing
-		h.tell("granted again")
+		h.logChange("granted again")
 	}
 	if r.Fencing != h.fencing {
 		h.fencing = r.Fencing
-		h.from = boottime.Now()
-		h.granted = h.from
+		h.ordersFrom = boottime.Now()
+		h.grantedAt = h.ordersFrom
 		if r.Fencing > 1 {
-			h.from += max(r.Wait, h.turn)
+			h.ordersFrom += max(r.Wait, h.orderDelay)
 		}
-		h.tell("granted")
+		h.logChange("granted")
 	}
-	h.until = asked + leaseDuration
+	h.until = requestedAt + leaseDuration
 }
 
-func (h *holder) tell(why string) {
+// logChange logs a change of the lease's state.
+func (h *leaseHolder) logChange(why string) {
 	event.LeaseHeld.Write(h.logger, log.Fields{"fencing": h.fencing, "reason": why})
 }
 
-func (h *holder) fail(err error) {
+// logError logs a failed request for the lease.
+func (h *leaseHolder) logError(err error) {
 	event.LeaseHeld.Write(h.logger, log.Fields{"error": err.Error()})
 }
 
-// leads returns whether this replica leads the log.
-func (p *process) leads() bool {
+// isLeader returns whether this replica leads the log.
+func (p *process) isLeader() bool {
 	return p.replica.Status().Role == raft.Leader.String()
 }
 
--- a/internal/process/sitecontrol/lease_test.go
+++ b/internal/process/sitecontrol/lease_test.go
@@ -15,7 +15,7 @@
 	"hornbeamwood/internal/node/boottime"
 )
 
-// leaseLog is a control log of leases with a clock of its own.
+// leaseLog is a control log that holds only leases and has its own clock.
 type leaseLog struct {
 	section state.Section
 	now     time.Time
@@ -43,66 +43,66 @@
 	return a.Lease, err == nil
 }
 
-// holder returns a replica that asks this log for the lease.
-func (l *leaseLog) holder(name string) *holder {
-	return &holder{
-		name: name, turn: 3 * time.Second, propose: l.propose, leads: func() bool { return true }, current: l.current,
+// leaseHolder returns a replica that requests the lease from this log.
+func (l *leaseLog) leaseHolder(name string) *leaseHolder {
+	return &leaseHolder{
+		name: name, orderDelay: 3 * time.Second, propose: l.propose, isLeader: func() bool { return true }, current: l.current,
 		logger: &log.Logger{Handler: discard.New()},
 	}
 }
 
-// The replica that holds the lease stands still. Entries learn nothing of stores
-// until another one holds it, and engines read again what lies there. The next
-// one must get the lease soon, though it may give no order before the site's time
-// between two givers is over.
-func TestNextHolderTellsSoonAndOrdersLate(t *testing.T) {
+// The replica that holds the lease is suspended. Until another one holds it, entries get
+// no rows of stores, and engines prefill stored parts again. The next holder must get the
+// lease soon, but may give no order before the site's time between orders of two holders
+// is over.
+func TestNextHolderGetsLeaseSoonAndOrdersLater(t *testing.T) {
 	l := newLeaseLog()
-	first, second := l.holder("a"), l.holder("b")
+	first, second := l.leaseHolder("a"), l.leaseHolder("b")
 	first.renew(t.Context())
 	if _, ok := first.held(); !ok {
-		t.Fatal("the first holder of a new site has nobody to wait for")
+		t.Fatal("the first holder of a new site need not wait, but may not order")
 	}
 	l.now = l.now.Add(leaseDuration - time.Millisecond)
 	second.renew(t.Context())
-	if second.number() != 0 {
-		t.Error("two hold the lease")
+	if second.fencingNumber() != 0 {
+		t.Error("two replicas hold the lease")
 	}
 	l.now = l.now.Add(2 * time.Millisecond)
 	second.renew(t.Context())
-	if second.number() == 0 {
-		t.Errorf("nobody holds the lease %s after its last renewal", leaseDuration)
+	if second.fencingNumber() == 0 {
+		t.Errorf("no replica holds the lease %s after its last renewal", leaseDuration)
 	}
 	if _, ok := second.held(); ok {
 		t.Error("the second holder orders at once")
 	}
-	if wait := second.from - second.granted; wait < second.turn {
-		t.Errorf("the second holder orders after %s", wait)
+	if wait := second.ordersFrom - second.grantedAt; wait < second.orderDelay {
+		t.Errorf("the second holder may order after %s", wait)
 	}
 }
 
 // A replica is stopped as planned. The next leader must not wait until the lease
-// runs out, and the stopping one must not take it back.
-func TestStoppingHolderGivesTheLeaseBack(t *testing.T) {
+// expires, and the stopping replica must not acquire it again.
+func TestStoppingHolderReleasesTheLease(t *testing.T) {
 	l := newLeaseLog()
-	first, second := l.holder("a"), l.holder("b")
+	first, second := l.leaseHolder("a"), l.leaseHolder("b")
 	first.renew(t.Context())
 	first.release(t.Context())
-	if first.number() != 0 || !first.stopping() {
+	if first.fencingNumber() != 0 || !first.stopping() {
 		t.Error("it still holds the lease")
 	}
 	second.renew(t.Context())
-	if second.number() == 0 {
-		t.Error("the next holder waits for a lease that was given back")
+	if second.fencingNumber() == 0 {
+		t.Error("the next holder waits for a released lease")
 	}
 	if _, ok := second.held(); ok {
 		t.Error("the second holder orders at once")
 	}
 }
 
-// The answer to a renewal comes after the holder has begun to stop.
-func TestLateGrantDoesNotBringTheLeaseBack(t *testing.T) {
+// The answer to a renewal arrives after the holder has begun to stop.
+func TestLateGrantIsIgnoredAfterRelease(t *testing.T) {
 	l := newLeaseLog()
-	h := l.holder("a")
+	h := l.leaseHolder("a")
 	h.renew(t.Context())
 	h.release(t.Context())
 	b, err := codec.Marshal(controllease.Command{Acquire: &controllease.Acquire{Name: ordersLease, Holder: h.holderName(), Duration: leaseDuration}})
@@ -117,86 +117,86 @@
 	if err != nil || !r.Granted {
 		t.Fatal(r, err)
 	}
-	h.take(r, boottime.Now())
-	if h.number() != 0 {
+	h.applyResult(r, boottime.Now())
+	if h.fencingNumber() != 0 {
 		t.Error("it holds the lease again")
 	}
 }
 
-// The holder's disk stalls and the lease runs out before the next renewal. Nobody
-// else had it; if the holder began anew, engines would wait seconds for the rest
-// of their new weights after each stall.
-func TestHolderThatWasLateGoesOn(t *testing.T) {
+// The holder's disk stalls and the lease expires before the next renewal, without another
+// holder in between. If the holder waited again before its first order, engines would
+// wait seconds for the rest of their new weights after each stall.
+func TestHolderContinuesAfterLateRenewal(t *testing.T) {
 	l := newLeaseLog()
-	first, second := l.holder("a"), l.holder("b")
+	first, second := l.leaseHolder("a"), l.leaseHolder("b")
 	first.renew(t.Context())
-	from, fencing := first.from, first.number()
+	ordersFrom, fencing := first.ordersFrom, first.fencingNumber()
 	l.now = l.now.Add(2 * leaseDuration)
 	first.renew(t.Context())
-	if n := first.number(); n != fencing+1 || first.from != from {
-		t.Errorf("number %d after %d, orders from %s after %s", n, fencing, first.from, from)
+	if n := first.fencingNumber(); n != fencing+1 || first.ordersFrom != ordersFrom {
+		t.Errorf("fencing number %d after %d, orders from %s after %s", n, fencing, first.ordersFrom, ordersFrom)
 	}
 	l.now = l.now.Add(2 * leaseDuration)
 	second.renew(t.Context())
 	l.now = l.now.Add(2 * leaseDuration)
 	first.renew(t.Context())
-	if wait := first.from - first.granted; wait < first.turn {
-		t.Errorf("after another holder it orders within %s", wait)
+	if wait := first.ordersFrom - first.grantedAt; wait < first.orderDelay {
+		t.Errorf("after another holder it may order within %s", wait)
 	}
 }
 
-// A replica comes to lead after a loss of all. Until it holds the lease nobody
-// tells entries of the stores, and engines read again what lies there: it must
-// ask at once, not at the time of its next renewal.
-func TestNewLeaderAsksAtOnce(t *testing.T) {
+// A replica becomes leader after all processes were lost. Until it holds the lease,
+// entries get no rows of the stores, and engines prefill stored parts again. It must
+// request the lease at once, not at the time of its next renewal.
+func TestNewLeaderRequestsLeaseAtOnce(t *testing.T) {
 	l := newLeaseLog()
-	h := l.holder("a")
-	var leads atomic.Bool
-	h.leads = leads.Load
+	h := l.leaseHolder("a")
+	var isLeader atomic.Bool
+	h.isLeader = isLeader.Load
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		h.run(ctx)
 	}()
-	time.Sleep(renewInterval + leadInterval)
-	began := time.Now()
-	leads.Store(true)
-	for h.number() == 0 && time.Since(began) < renewInterval {
+	time.Sleep(renewInterval + leaderCheckInterval)
+	start := time.Now()
+	isLeader.Store(true)
+	for h.fencingNumber() == 0 && time.Since(start) < renewInterval {
 		time.Sleep(time.Millisecond)
 	}
-	if h.number() == 0 {
-		t.Errorf("no lease %s after it came to lead", time.Since(began))
+	if h.fencingNumber() == 0 {
+		t.Errorf("no lease %s after it became leader", time.Since(start))
 	}
 	cancel()
-	<-ended
+	<-done
 }
 
-// All processes were killed and are back before the lease of the one that held it
-// has run out; another replica leads now. Were it to wait, engines would read again
-// for a second what lies in the stores. The old holder gives it back, and must not
-// take itself for the holder again, though it has the name.
-func TestRestartedHolderGivesBack(t *testing.T) {
+// All processes were killed and are back before the holder's lease has expired, and
+// another replica leads now. If that one waited, engines would prefill stored parts again
+// for a second. The old holder releases the lease, and must not count as the holder
+// again, though it has the same replica name.
+func TestRestartedHolderReleasesItsLease(t *testing.T) {
 	l := newLeaseLog()
-	l.holder("a").renew(t.Context())
+	l.leaseHolder("a").renew(t.Context())
 	l.now = l.now.Add(time.Millisecond)
-	restarted, leader := l.holder("a"), l.holder("b")
+	restarted, leader := l.leaseHolder("a"), l.leaseHolder("b")
 	leader.renew(t.Context())
-	if leader.number() != 0 {
-		t.Fatal("two hold the lease")
+	if leader.fencingNumber() != 0 {
+		t.Fatal("two replicas hold the lease")
 	}
-	if !restarted.giveBack(t.Context()) {
-		t.Fatal("the lease was not given back")
+	if !restarted.releaseEarlier(t.Context()) {
+		t.Fatal("the lease was not released")
 	}
 	leader.renew(t.Context())
-	if leader.number() == 0 {
-		t.Error("the lease is not to be had")
+	if leader.fencingNumber() == 0 {
+		t.Error("the leader can't acquire the released lease")
 	}
 	restarted.renew(t.Context())
-	if n := restarted.number(); n != 0 {
-		t.Errorf("the old holder holds it again under %d", n)
+	if n := restarted.fencingNumber(); n != 0 {
+		t.Errorf("the old holder holds the lease again under %d", n)
 	}
 	if _, ok := leader.held(); ok {
-		t.Error("the next holder gives orders before the site's time between two givers")
+		t.Error("the next holder may order before the site's time between orders of two holders is over")
 	}
 }
--- a/internal/process/sitecontrol/loads_test.go
+++ b/internal/process/sitecontrol/loads_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// A fleet has a thousand engines. If every entry got the load of each of them many
-// times a second, links of 10 Mbit/s would carry little else. The sizes are those
-// of sums with 9, 90, 300 and 1,000 engines.
-func TestSumsKeepToTheirRate(t *testing.T) {
+// Guards against the sums of loads of a thousand engines filling links of 10 Mbit/s when
+// every entry gets them many times a second. The sizes are those of sums with 9, 90, 300
+// and 1,000 engines.
+func TestLoadsPauseBoundsTheRate(t *testing.T) {
 	for _, x := range []struct {
 		entries, size int
 		pause         time.Duration
--- a/internal/process/sitecontrol/members.go
+++ b/internal/process/sitecontrol/members.go
@@ -8,10 +8,10 @@
 	"hornbeamwood/internal/site/topic"
 )
 
-// membersInterval is the time between two looks at the members of the log.
+// membersInterval is the time between two checks of the members of the log.
 const membersInterval = 250 * time.Millisecond
 
-// addresses returns where replicas may be found: the members of the log, the seeds, and whom this process heard of before.
+// addresses returns the known addresses of other replicas: the seeds and the addresses in the replica's status.
 func (p *process) addresses() []string {
 	all := slices.Concat(p.host.Load().Seeds, p.replica.Status().Addresses)
 	slices.Sort(all)
@@ -19,7 +19,7 @@
 	return slices.DeleteFunc(all, func(a string) bool { return a == p.config.Host.Internal })
 }
 
-// followMembers keeps the polls and the board's row of members up to date.
+// followMembers keeps the polls of other replicas and the row of members up to date.
 func (p *process) followMembers(ctx context.Context) {
 	t := time.NewTicker(membersInterval)
 	defer t.Stop()
@@ -36,9 +36,9 @@
 	}
 }
 
-// showMembers shows entries where replicas may be found. They must hear of all of them
-// before a leader is: after a loss of power of all VMs, hundreds of entries would else
-// ask the seeds alone and wait behind each other.
+// showMembers shows entries the addresses of the replicas. Entries need all addresses
+// before a leader is elected. After a power failure of all VMs, hundreds of entries
+// would otherwise poll the seeds alone and queue behind each other.
 func (p *process) showMembers() {
 	addresses := slices.Clone(p.replica.Status().Addresses)
 	if len(addresses) == 0 {
--- a/internal/process/sitecontrol/operator.go
+++ b/internal/process/sitecontrol/operator.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// acceptTimeout bounds an operator's change; operators ask another replica after about a second.
+	// acceptTimeout bounds an operator's change; operators retry at another replica after about a second.
 	acceptTimeout = 1500 * time.Millisecond
-	// readTimeout bounds a read; it takes one round among the replicas.
+	// readTimeout bounds a read, which takes one round among the replicas.
 	readTimeout = 900 * time.Millisecond
 )
 
@@ -35,15 +35,15 @@
 }
 
 // Depart implements Service.
-func (p *process) Depart(ctx context.Context, id string, born int64) error {
-	return p.servers.depart(ctx, id, born)
+func (p *process) Depart(ctx context.Context, id string, startedAt int64) error {
+	return p.servers.depart(ctx, id, startedAt)
 }
 
 // PutDocument implements Service.
 func (p *process) PutDocument(ctx context.Context, d document.Document, source []byte) error {
-	began := time.Now()
+	start := time.Now()
 	r, err := p.putDocument(ctx, d, source)
-	f := log.Fields{"number": d.Revision, "changed": r.Changed, "in-force": r.Revision, "ms": time.Since(began).Milliseconds()}
+	f := log.Fields{"number": d.Revision, "changed": r.Changed, "in-force": r.Revision, "ms": time.Since(start).Milliseconds()}
 	if err != nil {
 		f["error"] = err.Error()
 	}
@@ -53,22 +53,23 @@
 
 // putDocument commits a document, without the chunks that it shares with the one in force here.
 //
-// Whatever this replica has applied is committed: a document that isn't newer needs no
-// entry in the log. Operators send again what wasn't acknowledged in time, which would
-// make a slow log slower.
+// Whatever this replica has applied is committed, so a document that isn't newer needs no
+// log entry. Operators resend what wasn't acknowledged in time, and entries for resends
+// would slow down a slow log further.
 func (p *process) putDocument(ctx context.Context, d document.Document, source []byte) (section.Result, error) {
 	h, ok := p.section.Active()
 	if ok && d.Revision <= h.Document.Revision {
 		return section.Result{Taken: true, Revision: h.Document.Revision}, nil
 	}
-	r, err := p.putOver(ctx, h, d, source)
+	r, err := p.putDelta(ctx, h, d, source)
 	if err == nil && r.MissingChunks {
-		return p.putOver(ctx, section.ActiveDocument{}, d, source)
+		return p.putDelta(ctx, section.ActiveDocument{}, d, source)
 	}
 	return r, err
 }
 
-func (p *process) putOver(ctx context.Context, h section.ActiveDocument, d document.Document, source []byte) (section.Result, error) {
+// putDelta commits a document without the chunks that it shares with h.
+func (p *process) putDelta(ctx context.Context, h section.ActiveDocument, d document.Document, source []byte) (section.Result, error) {
 	put, err := section.NewPutChunks(d, source, h)
 	if err != nil {
 		return section.Result{}, verdict.New(verdict.NotRun, http.StatusBadRequest, "malformed-document", "the document could not be encoded").WithCause(err)
@@ -78,7 +79,7 @@
 
 // SetTargetVersion implements Service.
 func (p *process) SetTargetVersion(ctx context.Context, model string, version int64) error {
-	r, err := p.change(ctx, section.Command{SetTargetVersion: &section.SetTargetVersion{Model: model, Version: version, At: p.librarian.clock.Now()}})
+	r, err := p.change(ctx, section.Command{SetTargetVersion: &section.SetTargetVersion{Model: model, Version: version, At: p.storeFollower.clock.Now()}})
 	f := log.Fields{"model": model, "version": version, "changed": r.Changed}
 	if err != nil {
 		f["error"] = err.Error()
@@ -108,8 +109,8 @@
 
 // Document implements Service.
 //
-// A replica that is cut off would answer with a document that a newer one has
-// overtaken; the round among the replicas shows that it isn't.
+// A replica that is cut off could answer with an outdated document. The round among the
+// replicas ensures that it has caught up.
 func (p *process) Document(ctx context.Context) (section.ActiveDocument, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
--- a/internal/process/sitecontrol/outdated.go
+++ b/internal/process/sitecontrol/outdated.go
@@ -8,35 +8,36 @@
 )
 
 const (
-	// freeAhead is the part of the old weights' parts that goes ahead of the engines.
-	freeAhead = 0.25
-	// hashSteps is how finely parts are told apart by their hash.
+	// extraFreeShare is the share of the old version's parts that is freed ahead of the engines' progress.
+	extraFreeShare = 0.25
+	// hashSteps is the number of steps into which parts are divided by their hash.
 	hashSteps = 1000
 )
 
-// outdated returns what tells the parts of older weights that make room for those of newer ones.
+// outdated returns a function that selects the parts of older weight versions to withdraw
+// in favor of those of newer ones.
 //
-// While engines load one after the other, old and new parts are wanted side by
-// side and the stores hold but one set. So as many of the old parts go as
-// engines have left the old weights, and a little ahead of them, since a part
-// stays for some seconds after entries were told that it goes.
-func (l *librarian) outdated() func(stores.Part) bool {
+// While engines load new weights one after the other, old and new parts are wanted side
+// by side, and the stores have capacity for one set only. The share of old parts that is
+// withdrawn follows the share of engines that have left the old version, and is a little
+// ahead of it, since a part stays for some seconds after entries were notified.
+func (l *storeFollower) outdated() func(stores.Part) bool {
 	current, share := map[string]int64{}, map[string]float64{}
-	e := engines{l.process}
-	for model, named := range l.section.TargetVersions() {
+	e := weightsSite{l.process}
+	for model, target := range l.section.TargetVersions() {
 		older, all := 0, 0
 		for _, s := range e.Engines() {
 			if _, ok := s.Version(model); !ok {
 				continue
 			}
 			all++
-			if e.Version(s, model) < named {
+			if e.Version(s, model) < target {
 				older++
 			}
 		}
 		if all > 0 && older < all {
-			current[model] = named
-			share[model] = min(1, float64(all-older)/float64(all)+freeAhead)
+			current[model] = target
+			share[model] = min(1, float64(all-older)/float64(all)+extraFreeShare)
 		}
 	}
 	return func(p stores.Part) bool {
@@ -45,7 +46,7 @@
 	}
 }
 
-// saltVersion returns the model and the version that a salt names.
+// saltVersion returns the model and the weight version in a salt.
 func saltVersion(salt string) (string, int64, bool) {
 	fields := strings.Split(salt, "/")
 	if len(fields) < 2 {
--- a/internal/process/sitecontrol/peers.go
+++ b/internal/process/sitecontrol/peers.go
@@ -10,7 +10,7 @@
 	"hornbeamwood/internal/node/rpc"
 )
 
-// peers asks other replicas about the members of the log.
+// peers calls other replicas about the membership of the log.
 type peers struct {
 	node      rpc.Node
 	transport quic.Transport
--- a/internal/process/sitecontrol/relay.go
+++ b/internal/process/sitecontrol/relay.go
@@ -21,26 +21,26 @@
 )
 
 const (
-	// relayInterval is the time between two looks whom to exchange hints with.
+	// relayInterval is the time between two checks with which relays to exchange hints.
 	relayInterval = 250 * time.Millisecond
-	// peerTimeout is how long another relay's hints count without hearing from it.
+	// peerTimeout is how long another relay's hints count after its last contact.
 	peerTimeout = 2 * time.Second
-	// selfPause is the time between two looks at what this replica shows itself.
-	selfPause = 20 * time.Millisecond
-	// hintsPause is how long hints are gathered for each entry that the relay serves, so
-	// that it gives as many answers a second to any number of them.
-	hintsPause = 2 * time.Millisecond
-	// leadsPause is the time between two rounds of rows on stores and orders: they change
-	// all the time, and a part is asked for again seconds later as a rule.
-	leadsPause = 250 * time.Millisecond
+	// selfMirrorPause is the time between two copies of this replica's own rows.
+	selfMirrorPause = 20 * time.Millisecond
+	// hintsPausePerEntry is how long hints are batched for each entry that the relay
+	// serves, so that its answers per second don't grow with the number of entries.
+	hintsPausePerEntry = 2 * time.Millisecond
+	// holderStatesPause is the time between two rounds of rows on stores and orders. These
+	// rows change all the time, and a part is usually requested again only seconds later.
+	holderStatesPause = 250 * time.Millisecond
 )
 
-// relay exchanges hints between entries: what they have at each engine, which engines
-// read which parts, and what lies in engines' memory. To the entries of a large site it
-// also passes on what holders of the lease tell of stores and orders.
+// relay exchanges hints between entries: their load at each engine, which engines
+// prefill which parts, and what the engines' caches hold. To the entries of a large site
+// it also passes on the lease holders' rows on stores and orders.
 //
-// Each entry has one relay and relays ask each other, so that no replica's work grows
-// with entries times news. Hints may be late or missing: nothing that must hold depends
+// Each entry has one relay and relays poll each other, so that no replica's work grows
+// with entries times updates. Hints may be late or missing; correctness never depends
 // on them.
 type relay struct {
 	node   rpc.Node
@@ -48,22 +48,23 @@
 	logger log.Interface
 	// siteEntries returns how many entries the site has.
 	siteEntries func() int
-	// told holds the hints that came from entries and engines of this replica, shown
+	// localHints holds the hints of the entries and engines of this replica, allHints
 	// those of all relays.
-	told, shown rowtable.Table
-	entries     watch.Server
-	follower    watch.Follower
-	loads       share.Aggregator
-	// leads are copies of what holders of the lease show.
-	leads watch.Mirrors
+	localHints, allHints rowtable.Table
+	entries              watch.Server
+	follower             watch.Follower
+	loads                share.Aggregator
+	// mirrors are copies of the lease holders' rows.
+	mirrors watch.Mirrors
 
 	mu sync.Mutex
-	// sums are the other relays' loads, caches the engines that each relay follows, this one's under self.
-	sums   map[string]share.Sum
-	caches map[string]map[string]bool
+	// peerSums holds the loads of the other relays. followedEngines holds the engines
+	// whose caches each relay follows, those of this one under self.
+	peerSums        map[string]share.Sum
+	followedEngines map[string]map[string]bool
 }
 
-// relayConfig is what a relay needs.
+// relayConfig configures a relay.
 type relayConfig struct {
 	node rpc.Node
 	// self is this replica's address, zone its availability zone.
@@ -77,119 +78,120 @@
 
 func newRelay(c relayConfig) *relay {
 	r := &relay{
-		node: c.node, self: c.self, logger: c.logger, siteEntries: c.siteEntries, told: rowtable.New(c.epoch), shown: rowtable.New(c.epoch), loads: share.NewAggregator(),
-		sums: map[string]share.Sum{}, caches: map[string]map[string]bool{},
+		node: c.node, self: c.self, logger: c.logger, siteEntries: c.siteEntries, localHints: rowtable.New(c.epoch), allHints: rowtable.New(c.epoch), loads: share.NewAggregator(),
+		peerSums: map[string]share.Sum{}, followedEngines: map[string]map[string]bool{},
 	}
 	noLease := func() (uint64, int64) { return 0, 0 }
-	r.entries = watch.NewServer(watch.Config{Method: watch.Hints, Zone: c.zone, Node: c.node, Table: r.shown, CaughtUp: c.caughtUp, Holder: noLease, Pause: r.pauseOfHints})
+	r.entries = watch.NewServer(watch.Config{Method: watch.Hints, Zone: c.zone, Node: c.node, Table: r.allHints, CaughtUp: c.caughtUp, Holder: noLease, Pause: r.hintsPause})
 	watch.NewServer(watch.Config{
-		Method: watch.Exchange, Zone: c.zone, Node: c.node, Table: r.told, CaughtUp: c.caughtUp, Holder: noLease,
+		Method: watch.Exchange, Zone: c.zone, Node: c.node, Table: r.localHints, CaughtUp: c.caughtUp, Holder: noLease,
 		Pause: func(int) time.Duration { return watch.LargeSitePause }, BatchReplicas: true,
 	})
-	r.leads = watch.NewMirrors(watch.MirrorsConfig{Node: c.node, Relayed: topic.Relayed, Pause: func(int) time.Duration { return leadsPause }})
+	r.mirrors = watch.NewMirrors(watch.MirrorsConfig{Node: c.node, Relayed: topic.Relayed, Pause: func(int) time.Duration { return holderStatesPause }})
 	rpc.Receive(c.node, watch.Loads, func(_ rpc.Peer, l share.Report) { r.loads.Add(l, time.Now()) })
-	rpc.Receive(c.node, watch.Prefills, func(_ rpc.Peer, all []watch.Prefill) { r.takeReadings(all) })
+	rpc.Receive(c.node, watch.Prefills, func(_ rpc.Peer, all []watch.Prefill) { r.applyPrefills(all) })
 	r.follower = watch.NewFollower(watch.FollowerConfig{
-		Method: watch.Exchange, Node: c.node, Watcher: fmt.Sprintf("%s/%d", c.self, c.epoch), Apply: r.take, Logger: c.logger,
+		Method: watch.Exchange, Node: c.node, Watcher: fmt.Sprintf("%s/%d", c.self, c.epoch), Apply: r.apply, Logger: c.logger,
 	})
 	return r
 }
 
 // prepare completes a poll of the replica at address.
 func (r *relay) prepare(address string, p *watch.Poll) {
-	r.leads.BeginPoll(address)
-	p.Relay, p.Acknowledged = true, r.leads.AcknowledgedRevision(address, stores.StaleAfter)
+	r.mirrors.BeginPoll(address)
+	p.Relay, p.Acknowledged = true, r.mirrors.AcknowledgedRevision(address, stores.StaleAfter)
 }
 
-// copySelf copies what this replica shows, for the entries that it serves, until ctx ends.
-func (r *relay) copySelf(ctx context.Context, b rowtable.Table, fencing func() uint64) {
-	for number := uint64(0); ctx.Err() == nil; {
-		r.leads.BeginPoll(r.self)
+// mirrorSelf copies this replica's own rows to the mirrors, for the entries that it serves, until ctx ends.
+func (r *relay) mirrorSelf(ctx context.Context, b rowtable.Table, fencing func() uint64) {
+	for revision := uint64(0); ctx.Err() == nil; {
+		r.mirrors.BeginPoll(r.self)
 		a := watch.Answer{Epoch: b.Epoch(), Fencing: fencing()}
-		a.Rows, a.Revision = b.Since(number)
-		number = a.Revision
-		r.leads.Apply(r.self, a)
-		if b.ChangedAfter(number) {
+		a.Rows, a.Revision = b.Since(revision)
+		revision = a.Revision
+		r.mirrors.Apply(r.self, a)
+		if b.ChangedAfter(revision) {
 			continue
 		}
 		waiting, cancel := context.WithTimeout(ctx, relayInterval)
-		b.Wait(waiting, number)
+		b.Wait(waiting, revision)
 		cancel()
-		wait.For(ctx, selfPause)
+		wait.For(ctx, selfMirrorPause)
 	}
 }
 
-// pauseOfHints returns the time between two rounds of hints to so many entries.
-func (r *relay) pauseOfHints(entries int) time.Duration {
-	return r.paced(time.Duration(max(1, entries)) * hintsPause)
+// hintsPause returns the time between two rounds of hints to the given number of entries.
+func (r *relay) hintsPause(entries int) time.Duration {
+	return r.siteAdjusted(time.Duration(max(1, entries)) * hintsPausePerEntry)
 }
 
-// paced returns the pause, on a site of many entries ManyPause at least.
-func (r *relay) paced(pause time.Duration) time.Duration {
+// siteAdjusted returns the pause, on a large site watch.LargeSitePause at least.
+func (r *relay) siteAdjusted(pause time.Duration) time.Duration {
 	if r.siteEntries() > watch.MaxSingleRelayEntries {
 		return max(pause, watch.LargeSitePause)
 	}
 	return pause
 }
 
-// put shows a hint that this replica was told.
+// put shows a hint that this replica has received.
 func (r *relay) put(t rowtable.Topic, key string, value any) {
 	b, err := codec.Marshal(value)
 	if err != nil {
 		event.NoticeRefused.Write(r.logger, log.Fields{"notice": "hint", "topic": t, "key": key, "error": err.Error()})
 		return
 	}
-	r.told.Put(t, key, b)
-	r.shown.Put(t, key, b)
+	r.localHints.Put(t, key, b)
+	r.allHints.Put(t, key, b)
 }
 
-func (r *relay) takeReadings(all []watch.Prefill) {
+// applyPrefills shows the prefills that an entry has reported.
+func (r *relay) applyPrefills(all []watch.Prefill) {
 	for _, x := range all {
 		r.put(topic.Prefills, stores.Part{Salt: x.Salt, ID: x.Part}.Key(""), x)
 	}
 }
 
-// take takes the hints that another relay was told.
-func (r *relay) take(address string, a watch.Answer, _ time.Time) {
+// apply applies the hints of another relay.
+func (r *relay) apply(address string, a watch.Answer, _ time.Time) {
 	for _, row := range a.Rows {
 		switch row.Topic {
 		case topic.Loads:
-			r.takeSum(address, row)
+			r.applySum(address, row)
 		case topic.EngineCaches:
-			r.takeCache(address, row)
+			r.applyCache(address, row)
 		case topic.Prefills:
-			r.shown.Put(row.Topic, row.Key, row.Value)
+			r.allHints.Put(row.Topic, row.Key, row.Value)
 		}
 	}
 }
 
-// expire forgets what relays told that don't answer any more and returns their addresses.
+// expire removes the hints of relays that no longer answer and returns their addresses.
 func (r *relay) expire() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var expired []string
-	for address := range r.sums {
+	for address := range r.peerSums {
 		if r.silent(address) {
-			delete(r.sums, address)
+			delete(r.peerSums, address)
 			expired = append(expired, address)
 		}
 	}
-	for address, followed := range r.caches {
+	for address, followed := range r.followedEngines {
 		if address == r.self || !r.silent(address) {
 			continue
 		}
-		delete(r.caches, address)
+		delete(r.followedEngines, address)
 		expired = append(expired, address)
 		for key := range followed {
-			r.shown.Put(topic.EngineCaches, key, nil)
+			r.allHints.Put(topic.EngineCaches, key, nil)
 		}
 	}
 	return expired
 }
 
-// peers returns which of the replicas are polled until the next look. One whose hints
-// have expired is left out once: a new poll asks for all of them, the present one only
-// for what changes.
+// peers returns which of the replicas to poll until the next check. One whose hints have
+// expired is left out once, so that its poll starts again and requests all hints. The
+// present poll would only request changes.
 func (r *relay) peers(addresses []string) []string {
 	expired := r.expire()
 	if r.entries.Entries() == 0 {
@@ -198,16 +200,17 @@
 	return slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return slices.Contains(expired, a) })
 }
 
+// silent returns whether the last contact with the relay at address was too long ago.
 func (r *relay) silent(address string) bool {
 	ago, ok := r.follower.SinceAnswer(address)
 	return !ok || ago > peerTimeout
 }
 
-// run exchanges hints with the relays at addresses while entries ask for them, until ctx ends.
+// run exchanges hints with the relays at addresses until ctx ends, as long as this relay serves entries.
 func (r *relay) run(ctx context.Context, addresses func() []string) {
-	var sums sync.WaitGroup
-	sums.Go(func() { r.showLoads(ctx) })
-	defer sums.Wait()
+	var loops sync.WaitGroup
+	loops.Go(func() { r.showLoads(ctx) })
+	defer loops.Wait()
 	for {
 		r.follower.Follow(ctx, r.peers(addresses()))
 		if !wait.For(ctx, relayInterval) {
--- a/internal/process/sitecontrol/relay_caches.go
+++ b/internal/process/sitecontrol/relay_caches.go
@@ -9,43 +9,43 @@
 	"hornbeamwood/internal/site/topic"
 )
 
-// putCache shows what lies in the memory of an engine that announces itself to this replica.
+// putCache shows the cache of an engine that announces itself to this replica.
 func (r *relay) putCache(server string, c topic.EngineCache) {
 	b, err := codec.Marshal(c)
 	if err != nil {
 		event.NoticeRefused.Write(r.logger, log.Fields{"notice": "cache", "server": server, "error": err.Error()})
 		return
 	}
-	r.told.Put(topic.EngineCaches, server, b)
-	r.takeCache(r.self, rowtable.Row{Topic: topic.EngineCaches, Key: server, Value: b})
+	r.localHints.Put(topic.EngineCaches, server, b)
+	r.applyCache(r.self, rowtable.Row{Topic: topic.EngineCaches, Key: server, Value: b})
 }
 
-// dropCache ends what this replica tells of an engine.
+// dropCache removes this replica's row of an engine's cache.
 func (r *relay) dropCache(server string) {
-	r.told.Put(topic.EngineCaches, server, nil)
-	r.takeCache(r.self, rowtable.Row{Topic: topic.EngineCaches, Key: server})
+	r.localHints.Put(topic.EngineCaches, server, nil)
+	r.applyCache(r.self, rowtable.Row{Topic: topic.EngineCaches, Key: server})
 }
 
-// takeCache takes what a relay tells of an engine's memory, or that it tells no more of it.
+// applyCache applies a relay's row of an engine's cache, or its removal.
 //
-// An engine that has moved to another replica is told of by two of them for a moment.
-// The word of the one that it has left must not undo the other's.
-func (r *relay) takeCache(address string, row rowtable.Row) {
+// For a moment, two replicas show the cache of an engine that now announces itself to
+// another one. A removal by the former replica must not remove the row of the new one.
+func (r *relay) applyCache(address string, row rowtable.Row) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(row.Value) == 0 {
-		if r.caches[address][row.Key] {
-			delete(r.caches[address], row.Key)
-			r.shown.Put(row.Topic, row.Key, nil)
+		if r.followedEngines[address][row.Key] {
+			delete(r.followedEngines[address], row.Key)
+			r.allHints.Put(row.Topic, row.Key, nil)
 		}
 		return
 	}
-	for _, followed := range r.caches {
+	for _, followed := range r.followedEngines {
 		delete(followed, row.Key)
 	}
-	if r.caches[address] == nil {
-		r.caches[address] = map[string]bool{}
+	if r.followedEngines[address] == nil {
+		r.followedEngines[address] = map[string]bool{}
 	}
-	r.caches[address][row.Key] = true
-	r.shown.Put(row.Topic, row.Key, row.Value)
+	r.followedEngines[address][row.Key] = true
+	r.allHints.Put(row.Topic, row.Key, row.Value)
 }
--- a/internal/process/sitecontrol/relay_loads.go
+++ b/internal/process/sitecontrol/relay_loads.go
@@ -14,7 +14,8 @@
 	"hornbeamwood/internal/site/topic"
 )
 
-func (r *relay) takeSum(address string, row rowtable.Row) {
+// applySum records the sum of loads of the relay at address.
+func (r *relay) applySum(address string, row rowtable.Row) {
 	s, err := codec.Unmarshal[share.Sum](row.Value)
 	if err != nil {
 		event.NoticeRefused.Write(r.logger, log.Fields{"notice": "sum of loads", "peer": address, "error": err.Error()})
@@ -22,35 +23,35 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sums[address] = s
+	r.peerSums[address] = s
 }
 
-// showLoads shows the sum of the loads until ctx ends: to other relays that of the
-// entries of this one, to those entries that of all.
+// showLoads shows sums of loads until ctx ends: the sum of this relay's entries to the
+// other relays, and the sum of all entries to its own entries.
 func (r *relay) showLoads(ctx context.Context) {
 	size := 0
 	for ctx.Err() == nil {
 		n := r.entries.Entries()
-		wait.For(ctx, r.paced(loadsPause(n, size)))
+		wait.For(ctx, r.siteAdjusted(loadsPause(n, size)))
 		own := r.loads.Sum(time.Now())
-		r.putSum(r.told, share.Sum{Loads: own.Loads})
+		r.putSum(r.localHints, share.Sum{Loads: own.Loads})
 		if n > 0 {
-			size = r.putSum(r.shown, r.total(own))
+			size = r.putSum(r.allHints, r.total(own))
 		}
 	}
 }
 
-// total adds the other relays' loads.
+// total returns own with the other relays' loads added.
 func (r *relay) total(own share.Sum) share.Sum {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, s := range r.sums {
+	for _, s := range r.peerSums {
 		own = own.WithLoads(s)
 	}
 	return own
 }
 
-// putSum shows a sum on a board and returns its bytes.
+// putSum sets the row of the sum in a table and returns its size in bytes.
 func (r *relay) putSum(b rowtable.Table, s share.Sum) int {
 	encoded, err := codec.Marshal(s)
 	if err != nil {
--- a/internal/process/sitecontrol/serve.go
+++ b/internal/process/sitecontrol/serve.go
@@ -17,7 +17,7 @@
 // headerTimeout bounds how long a request's headers may take.
 const headerTimeout = 3 * time.Second
 
-// serve answers operators, servers and the collector of metrics.
+// serve starts the listeners for operators and servers and, if configured, for metrics.
 func (p *process) serve(ctx context.Context) error {
 	if err := p.listen(ctx, p.config.Host.Listen, p.config.Handler(p)); err != nil {
 		return err
@@ -41,7 +41,7 @@
 	})
 	p.loops.Go(func() {
 		<-ctx.Done()
-		// The connections that are left wait for answers that this process can't give any more.
+		// The remaining connections wait for answers that this process can no longer give.
 		_ = s.Close()
 	})
 	return nil
--- a/internal/process/sitecontrol/epochs.go
+++ b/internal/process/sitecontrol/store_epochs.go
@@ -10,8 +10,8 @@
 	"hornbeamwood/internal/site/topic"
 )
 
-// followEpochs looks at each store whether it has restarted; the caller holds the lock.
-func (l *librarian) followEpochs(ctx context.Context, all *sync.WaitGroup, wanted map[string]document.Store) {
+// followEpochs starts and ends the restart checks of the stores; the caller holds l.mu.
+func (l *storeFollower) followEpochs(ctx context.Context, all *sync.WaitGroup, wanted map[string]document.Store) {
 	for a := range wanted {
 		if _, ok := l.epochs[a]; ok {
 			continue
@@ -30,15 +30,15 @@
 
 // watchEpoch shows which start of a store answers, until ctx ends.
 //
-// An entry goes on with what the last holder of the lease told of the stores
-// until another replica holds it. A store that restarts meanwhile is empty, and
-// what is written there anew isn't whole; the entry must hear of the restart from
-// a replica that doesn't hold the lease.
-func (l *librarian) watchEpoch(ctx context.Context, address string) {
+// An entry keeps using the last lease holder's rows of the stores until another replica
+// holds the lease. A store that restarts meanwhile is empty, and parts that are saved to
+// it again aren't whole yet. The entry must therefore learn of the restart from replicas
+// that don't hold the lease.
+func (l *storeFollower) watchEpoch(ctx context.Context, address string) {
 	next := int64(0)
 	for ctx.Err() == nil {
-		asking, cancel := context.WithTimeout(ctx, eventsTimeout)
-		f, err := l.client.Events(asking, address, next, eventsWait)
+		polling, cancel := context.WithTimeout(ctx, eventsTimeout)
+		f, err := l.client.Events(polling, address, next, eventsWait)
 		cancel()
 		if ctx.Err() != nil {
 			return
@@ -46,7 +46,7 @@
 		if err != nil {
 			f.Epoch = 0
 		} else {
-			l.starts.note(address, f.Epoch, time.Now())
+			l.starts.record(address, f.Epoch, time.Now())
 		}
 		l.clock.Observe(f.Clock)
 		next = f.Next
--- /dev/null
+++ b/internal/process/sitecontrol/store_follower.go
@@ -0,0 +1,268 @@
+package sitecontrol
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/apex/log"
+
+	"hornbeamwood/internal/base/event"
+	"hornbeamwood/internal/base/wait"
+	"hornbeamwood/internal/site/document"
+	"hornbeamwood/internal/site/stores"
+	"hornbeamwood/internal/site/topic"
+)
+
+const (
+	// eventsWait is how long a store may hold a poll. It is long enough that the poll doesn't count as a probe.
+	eventsWait = 900 * time.Millisecond
+	// eventsTimeout bounds a poll.
+	eventsTimeout = 2 * time.Second
+	// storeRetryPause is the time before another try at a store or engine that doesn't answer.
+	storeRetryPause = 300 * time.Millisecond
+	// epochPause is the time between two checks whether a store has restarted; a
+	// restart takes seconds.
+	epochPause = 400 * time.Millisecond
+	// followInterval is the time between two checks for the lease and for new stores.
+	// Entries know no stores until the lease holder lists them.
+	followInterval = 40 * time.Millisecond
+	// freeInterval is the time between two searches for parts to free.
+	freeInterval = 500 * time.Millisecond
+	// maxUsedShare is the share of a store's capacity that may be used before its oldest
+	// parts are withdrawn. It lies above the share up to which entries save parts to a
+	// store while another one has free capacity, so that nothing is withdrawn while there
+	// is free capacity anywhere.
+	maxUsedShare = 0.96
+	// listInterval is the time between two lists of a store. Some of its events are
+	// lost, and a part that isn't known is never freed.
+	listInterval = 20 * time.Second
+	// longPartTokens is the size from which on a part is shown at once.
+	longPartTokens = 1024
+	// freeBatch bounds the parts of one call.
+	freeBatch = 256
+)
+
+// storeFollower follows the stores while this replica holds the lease, shows their parts and frees old ones.
+type storeFollower struct {
+	*process
+	client stores.Client
+	clock  *stores.Clock
+
+	mu       sync.Mutex
+	followed map[string]*followedStore
+	// epochs holds the cancel function of each store's restart check.
+	epochs map[string]context.CancelFunc
+	starts *storeStarts
+	// shortPartsQueue holds the short parts that are still to be shown.
+	shortPartsQueue []shortParts
+}
+
+// run follows the document's stores until ctx ends.
+func (l *storeFollower) run(ctx context.Context) {
+	follow, free := time.NewTicker(followInterval), time.NewTicker(freeInterval)
+	defer follow.Stop()
+	defer free.Stop()
+	var all sync.WaitGroup
+	defer all.Wait()
+	all.Go(func() { l.showShortParts(ctx) })
+	for {
+		l.follow(ctx, &all)
+		select {
+		case <-ctx.Done():
+			return
+		case <-follow.C:
+		case <-free.C:
+			l.free(ctx)
+		}
+	}
+}
+
+// follow starts following new stores and stops following removed ones. Without the
+// lease it only checks whether they have restarted.
+func (l *storeFollower) follow(ctx context.Context, all *sync.WaitGroup) {
+	wanted := map[string]document.Store{}
+	if h, ok := l.section.Active(); ok {
+		for _, s := range h.Document.Stores {
+			wanted[s.Address] = s
+		}
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.followEpochs(ctx, all, wanted)
+	if l.leaseHolder.fencingNumber() == 0 {
+		wanted = nil
+	}
+	for a, s := range wanted {
+		if _, ok := l.followed[a]; ok {
+			continue
+		}
+		following, cancel := context.WithCancel(ctx)
+		x := &followedStore{inventory: stores.NewStoreInventory(a, s.CapacityTokens), cancel: cancel}
+		l.followed[a] = x
+		all.Go(func() { l.watch(following, x) })
+	}
+	for a, x := range l.followed {
+		if _, ok := wanted[a]; !ok {
+			x.unfollow()
+			delete(l.followed, a)
+		}
+	}
+}
+
+// watch polls one store until ctx ends.
+func (l *storeFollower) watch(ctx context.Context, x *followedStore) {
+	for ctx.Err() == nil {
+		err := l.poll(ctx, x)
+		if ctx.Err() != nil {
+			return
+		}
+		l.showStoreUp(x, l.usable(x, err))
+		if err != nil {
+			wait.For(ctx, storeRetryPause)
+		}
+	}
+}
+
+// usable returns err, or the reason why a store that answers isn't used.
+func (l *storeFollower) usable(x *followedStore, err error) error {
+	if err == nil && !l.starts.restartPropagated(x.inventory.Address, time.Now()) {
+		return errRestarted
+	}
+	return err
+}
+
+// showStoreUp shows whether the store is usable when that has changed or was never shown.
+//
+// Entries use a new lease holder's rows only once there is one for every store. A store
+// that is down when the lease changes hands therefore needs a row too.
+func (l *storeFollower) showStoreUp(x *followedStore, err error) {
+	up := err == nil
+	if x.reported && x.up == up {
+		return
+	}
+	x.reported, x.up = true, up
+	l.put(topic.StoresUp, x.inventory.Address, up)
+	f := log.Fields{"store": x.inventory.Address, "up": up}
+	if err != nil {
+		f["error"] = err.Error()
+	}
+	event.StoreLost.Write(l.config.Logger, f)
+}
+
+// poll requests and applies one answer of the store.
+func (l *storeFollower) poll(ctx context.Context, x *followedStore) error {
+	ctx, cancel := context.WithTimeout(ctx, eventsTimeout)
+	defer cancel()
+	x.mu.Lock()
+	next := x.inventory.Next()
+	x.mu.Unlock()
+	f, err := l.client.Events(ctx, x.inventory.Address, next, eventsWait)
+	if err != nil {
+		return err
+	}
+	l.clock.Observe(f.Clock)
+	l.starts.record(x.inventory.Address, f.Epoch, time.Now())
+	if err := l.usable(x, nil); err != nil {
+		// Entries must learn that the store isn't used before they learn that it is empty.
+		l.showStoreUp(x, err)
+	}
+	x.mu.Lock()
+	changed, list := x.inventory.ApplyFeed(f, time.Now())
+	x.mu.Unlock()
+	if list || time.Since(x.listedAt) > listInterval {
+		return l.list(ctx, x)
+	}
+	l.showParts(x, changed)
+	return nil
+}
+
+// list requests the whole inventory of the store and shows what has changed.
+func (l *storeFollower) list(ctx context.Context, x *followedStore) error {
+	c, err := l.client.List(ctx, x.inventory.Address)
+	if err != nil {
+		return err
+	}
+	l.clock.Observe(c.Clock)
+	first := x.listedAt.IsZero()
+	x.listedAt = time.Now()
+	x.mu.Lock()
+	changed := x.inventory.ApplyListing(c, time.Now())
+	x.mu.Unlock()
+	event.StoreListed.Write(l.config.Logger, log.Fields{"store": x.inventory.Address, "epoch": c.Epoch, "parts": len(c.Held), "partial": len(c.Partial)})
+	if !first {
+		l.showParts(x, changed)
+		return nil
+	}
+	long, short := bySize(changed, c.Held)
+	l.showStoreParts(x, "long", true, long)
+	l.queueShortParts(x, short)
+	return nil
+}
+
+// use records the parts that were requested as used now.
+func (l *storeFollower) use(hashes []uint64) {
+	now := time.Now()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, x := range l.followed {
+		x.mu.Lock()
+		for _, h := range hashes {
+			x.inventory.Touch(h, now)
+		}
+		x.mu.Unlock()
+	}
+}
+
+// free withdraws parts that are no longer of use, and frees those that were withdrawn long enough ago.
+func (l *storeFollower) free(ctx context.Context) {
+	if _, ok := l.leaseHolder.held(); !ok || !l.leaseHolder.heldFor(stores.StaleAfter+stores.FetchWindow) {
+		return
+	}
+	l.mu.Lock()
+	all := make([]*followedStore, 0, len(l.followed))
+	for _, x := range l.followed {
+		all = append(all, x)
+	}
+	l.mu.Unlock()
+	outdated := l.outdated()
+	for _, x := range all {
+		now := time.Now()
+		x.mu.Lock()
+		marked := x.inventory.Withdraw(outdated, maxUsedShare, now)
+		x.mu.Unlock()
+		revision := l.showParts(x, marked)
+		x.mu.Lock()
+		x.inventory.MarkAnnounced(marked, revision)
+		due, epoch := x.inventory.Freeable(l.known(), now), x.inventory.Epoch()
+		x.mu.Unlock()
+		l.drop(ctx, x, due, epoch)
+	}
+}
+
+// known returns the table's revision up to which all entries have the rows that were
+// in contact within StaleAfter, with this replica, its relay or other relays.
+func (l *storeFollower) known() uint64 {
+	return min(l.watchServer.AcknowledgedRevision(stores.StaleAfter), l.relay.mirrors.AcknowledgedRevision(l.relay.self, stores.StaleAfter))
+}
+
+// drop frees the parts at the store, at most freeBatch of them.
+func (l *storeFollower) drop(ctx context.Context, x *followedStore, due []stores.Part, epoch int64) {
+	clock := l.clock.Now()
+	if len(due) == 0 || clock == 0 {
+		return
+	}
+	due = due[:min(len(due), freeBatch)]
+	ctx, cancel := context.WithTimeout(ctx, eventsTimeout)
+	defer cancel()
+	err := l.client.Free(ctx, x.inventory.Address, epoch, due, clock+orderMargin.Milliseconds())
+	f := log.Fields{"store": x.inventory.Address, "parts": len(due)}
+	if err != nil {
+		f["error"] = err.Error()
+	} else {
+		x.mu.Lock()
+		x.inventory.Remove(due)
+		x.mu.Unlock()
+	}
+	event.PartsFreed.Write(l.config.Logger, f)
+}
--- a/internal/process/sitecontrol/rollout.go
+++ b/internal/process/sitecontrol/weights_site.go
@@ -5,18 +5,18 @@
 	"hornbeamwood/internal/site/topic"
 )
 
-// engines is what the roll-out of weights knows of the site and tells entries.
-type engines struct {
+// weightsSite gives the rollout of weight versions access to the site and shows its progress to entries.
+type weightsSite struct {
 	*process
 }
 
 // TargetVersions implements weights.Site.
-func (e engines) TargetVersions() map[string]int64 {
+func (e weightsSite) TargetVersions() map[string]int64 {
 	return e.section.TargetVersions()
 }
 
 // Engines implements weights.Site.
-func (e engines) Engines() []directory.Server {
+func (e weightsSite) Engines() []directory.Server {
 	h, ok := e.section.Active()
 	if !ok {
 		return nil
@@ -37,27 +37,27 @@
 }
 
 // Holder implements weights.Site.
-func (e engines) Holder() (string, uint64, bool) {
-	fencing, ok := e.holder.held()
+func (e weightsSite) Holder() (string, uint64, bool) {
+	fencing, ok := e.leaseHolder.held()
 	return e.config.Host.Internal, fencing, ok
 }
 
 // ObserveFencing implements weights.Site.
-func (e engines) ObserveFencing(fencing uint64) {
-	e.holder.lost(fencing)
+func (e weightsSite) ObserveFencing(fencing uint64) {
+	e.leaseHolder.markRefused(fencing)
 }
 
 // SetBusy implements weights.Site.
-func (e engines) SetBusy(server string, busy bool) {
+func (e weightsSite) SetBusy(server string, busy bool) {
 	if !busy {
-		e.board.Put(topic.Busy, server, nil)
+		e.table.Put(topic.Busy, server, nil)
 		return
 	}
 	e.put(topic.Busy, server, true)
 }
 
 // ReportLoaded implements weights.Site.
-func (e engines) ReportLoaded(s directory.Server, model string, version int64) {
+func (e weightsSite) ReportLoaded(s directory.Server, model string, version int64) {
 	e.mu.Lock()
 	e.loaded[s.ID] = topic.LoadedWeights{StartedAt: s.StartedAt, Model: model, Version: version}
 	e.mu.Unlock()
@@ -66,13 +66,14 @@
 
 // Version implements weights.Site.
 //
-// An announcement may be older than the load that this replica saw end.
-func (e engines) Version(s directory.Server, model string) int64 {
-	told, _ := s.Version(model)
+// The announcement may be older than a load whose end this replica has seen, so the
+// higher version counts.
+func (e weightsSite) Version(s directory.Server, model string) int64 {
+	announced, _ := s.Version(model)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if l, ok := e.loaded[s.ID]; ok && l.StartedAt == s.StartedAt && l.Model == model {
-		return max(told, l.Version)
+		return max(announced, l.Version)
 	}
-	return told
+	return announced
 }
