--- a/internal/process/sitecontrol/control.go
+++ b/internal/process/sitecontrol/control.go
@@ -283,7 +283,7 @@
 	return err
 }
 
-// close hands leadership over before the connections go, because the hand-over needs them.
+// close hands over leadership before it closes the connections, because the hand-over needs them.
 func (p *process) close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
