--- a/internal/process/control/control.go
+++ b/internal/process/control/control.go
@@ -40,11 +40,11 @@
 	Sections []state.Section
 	// Settings is the section of the settings.
 	Settings Settings
-	// Logger takes the events.
+	// Logger receives the events.
 	Logger log.Interface
 }
 
-// Settings is what a control process reads of the settings.
+// Settings is the part of the settings that a control process reads.
 type Settings interface {
 	quic.Terms
 	// AdmittedReplicas returns the identities of control replicas that operators admit.
@@ -100,7 +100,7 @@
 	p.reaper = reaper.New(reaper.Config{
 		Leader: leader,
 		Leases: leases,
-		Ledger: ledgerOf{machine: m, leader: leader},
+		Ledger: localLedger{machine: m, leader: leader},
 		Logger: c.Logger,
 	})
 	p.members = members.NewKeeper(members.Config{
@@ -110,7 +110,7 @@
 		Admitted: c.Settings.AdmittedReplicas,
 		Logger:   c.Logger,
 	})
-	p.gauges()
+	p.registerMetrics()
 	return p, nil
 }
 
@@ -139,7 +139,8 @@
 	return r
 }
 
-func (p *process) gauges() {
+// registerMetrics registers the process's metrics.
+func (p *process) registerMetrics() {
 	gauge := func(name string, value func(replica.Status) uint64) {
 		p.metrics.NewGauge("hornbeamwood_control_"+name, func() float64 { return float64(value(p.replica.Status())) })
 	}
@@ -177,7 +178,7 @@
 	return err
 }
 
-// close hands leadership over before the connections go, because the hand-over needs them.
+// close hands over leadership before it closes the connections, because the hand-over needs them.
 func (p *process) close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
--- a/internal/process/control/doc.go
+++ b/internal/process/control/doc.go
@@ -1,2 +1,2 @@
-// Package control runs one replica of the control log as a process.
+// Package control runs the process of one replica of the control log.
 package control
--- a/internal/process/control/ledger.go
+++ b/internal/process/control/ledger.go
@@ -9,14 +9,14 @@
 	"hornbeamwood/internal/control/state"
 )
 
-// ledgerOf reads the ledger here and writes to it through the log.
-type ledgerOf struct {
+// localLedger reads this replica's copy of the ledger and writes through the log.
+type localLedger struct {
 	machine state.Machine
 	leader  quic.Leader
 }
 
 // Owners implements reaper.Ledger.
-func (l ledgerOf) Owners(context.Context) ([]ledger.Owner, error) {
+func (l localLedger) Owners(context.Context) ([]ledger.Owner, error) {
 	q, err := codec.Marshal(ledger.Query{Owners: &ledger.OwnersQuery{}})
 	if err != nil {
 		return nil, err
@@ -30,7 +30,7 @@
 }
 
 // Abandon implements reaper.Ledger.
-func (l ledgerOf) Abandon(ctx context.Context, o ledger.Owner) error {
+func (l localLedger) Abandon(ctx context.Context, o ledger.Owner) error {
 	c, err := codec.Marshal(ledger.Command{Abandon: &ledger.Abandon{Entry: o.Entry, Incarnation: o.Incarnation}})
 	if err != nil {
 		return err
