--- a/internal/process/entry/budget.go
+++ b/internal/process/entry/budget.go
@@ -13,7 +13,7 @@
 	"hornbeamwood/internal/policy/retry"
 )
 
-// budget lets idempotent calls of plain services be tried again within the same budgets as completions.
+// budget lets idempotent calls of plain services be retried within the same retry budgets as completions.
 type budget struct {
 	policy   retry.Policy
 	settings settings.Keeper
@@ -26,8 +26,8 @@
 	return &budget{policy: p, settings: s, random: newRandom()}
 }
 
-// callTime is assumed to be left of a call's deadline; the service client keeps the real one.
-const callTime = time.Minute
+// assumedCallTime is the assumed remaining time of a call; the service client enforces the real deadline.
+const assumedCallTime = time.Minute
 
 // Retry implements service.Budget.
 func (b *budget) Retry(workspace string) bool {
@@ -38,12 +38,12 @@
 		Verdict:    verdict.MayHaveRun,
 		Idempotent: true,
 		Attempt:    1,
-		Remaining:  callTime,
+		Remaining:  assumedCallTime,
 		Servers:    1,
 	}, b.random).Retry
 }
 
-// calls lets the region of the workspace serve its calls, and fills the budgets from first tries.
+// calls refuses non-idempotent calls outside the workspace's region, and fills the retry budgets from first attempts.
 type calls struct {
 	client   service.Client
 	retries  retry.Policy
@@ -53,8 +53,8 @@
 
 // Call implements caller.Services.
 //
-// Each region has its own ledger. A call claimed in two regions would run in
-// both, so only the workspace's own region takes its non-idempotent calls.
+// Each region has its own ledger. A call claimed in two regions would run in both, so
+// only the workspace's own region accepts its non-idempotent calls.
 func (c calls) Call(ctx context.Context, r service.Request) (service.Answer, error) {
 	s := c.settings.View().Rules
 	home := s.Workspaces[r.Workspace].Region
--- a/internal/process/entry/build.go
+++ b/internal/process/entry/build.go
@@ -36,15 +36,15 @@
 	"hornbeamwood/internal/settings/rules"
 )
 
-// returnPrior is the share of prompts that are expected to come back before anything is known.
+// returnPrior is the share of prompts that are expected to return, as long as there are no observations.
 const returnPrior = 0.5
 
-// quarantineInterval is the time between two looks at the quarantine's record; suspects are told of at once.
+// quarantineInterval is the time between two reads of the quarantine's record; suspects are sent to other entries at once.
 const quarantineInterval = 2 * time.Second
 
-// build makes the parts; the handlers of the QUIC node are registered on the way.
-func (p *process) build() (parts, error) {
-	var x parts
+// build creates the components and registers the handlers of the QUIC node.
+func (p *process) build() (components, error) {
+	var x components
 	name, logger := p.config.File.Name, p.config.Logger
 	x.control = control.New(control.Config{Node: p.node, Replicas: p.replicas()})
 	x.settings = settings.NewKeeper(settings.Config{
@@ -65,7 +65,7 @@
 	retries := retry.New(retry.Config{})
 	x.services = p.buildServices(&x, retries)
 	x.router = p.buildRouter(&x, retries)
-	p.gauges(&x)
+	p.registerMetrics(&x)
 	x.caller = caller.New(caller.Config{
 		Snapshots: x.settings,
 		Completer: x.router,
@@ -75,7 +75,7 @@
 	return x, nil
 }
 
-func (p *process) buildFleet(x *parts) error {
+func (p *process) buildFleet(x *components) error {
 	x.table = membership.New(membership.Config{})
 	g, err := membership.NewGossip(membership.GossipConfig{
 		Self:        p.config.File.Name,
@@ -93,7 +93,7 @@
 	return nil
 }
 
-func (p *process) buildCache(x *parts) {
+func (p *process) buildCache(x *components) {
 	x.stores = store.New(newHTTPClient())
 	x.orders = backend.NewEngine(newHTTPClient())
 	x.exports = cacheengine.NewExports(cacheengine.Config{Engine: x.orders, Heads: x.stores})
@@ -112,8 +112,8 @@
 	})
 }
 
-// buildGuard builds what looks after backend servers: the guard against requests that crash them, and the giver of orders.
-func (p *process) buildGuard(x *parts) error {
+// buildGuard builds the guard against requests that crash backend servers, and the component that gives them orders.
+func (p *process) buildGuard(x *components) error {
 	suspects := fleetquic.NewSuspects(fleetquic.SuspectsConfig{
 		Node:      p.node,
 		Addresses: p.peers(),
@@ -140,11 +140,11 @@
 		Now:        time.Now,
 		Logger:     p.config.Logger,
 	})
-	x.giver = g
+	x.orderIssuer = g
 	return err
 }
 
-func (p *process) buildServices(x *parts, retries retry.Policy) service.Client {
+func (p *process) buildServices(x *components, retries retry.Policy) service.Client {
 	age := func() time.Duration { return x.settings.View().Rules.Fleet.AnnouncementAge }
 	return service.New(service.Config{
 		Log: x.control,
@@ -159,7 +159,7 @@
 	})
 }
 
-func (p *process) buildRouter(x *parts, retries retry.Policy) completion.Router {
+func (p *process) buildRouter(x *components, retries retry.Policy) completion.Router {
 	return completion.New(completion.Config{
 		Servers:    x.table,
 		Work:       x.work,
@@ -176,20 +176,20 @@
 		Metrics:    p.metrics,
 		Logger:     p.config.Logger,
 		Now:        time.Now,
-		NewAttempt: newAttempt,
+		NewAttempt: newAttemptID,
 		Random:     newRandom(),
 	})
 }
 
-// newServer returns the HTTP server of all who are not processes of the system.
+// newServer returns the HTTP server for callers, operators and backend servers.
 func (p *process) newServer() *http.Server {
 	mux := http.NewServeMux()
-	mux.Handle("/", p.parts.caller)
+	mux.Handle("/", p.components.caller)
 	o := operator.New(operator.Config{
-		Log:                p.parts.control,
-		Settings:           p.parts.settings,
-		Lease:              p.parts.settings,
-		Force:              p.parts.settings,
+		Log:                p.components.control,
+		Settings:           p.components.settings,
+		Lease:              p.components.settings,
+		Force:              p.components.settings,
 		Actions:            p.actions(),
 		BootstrapKeyDigest: p.config.File.BootstrapOperatorKeyDigest,
 		Logger:             p.config.Logger,
@@ -198,10 +198,10 @@
 		mux.Handle(r, o)
 	}
 	b, err := backend.NewHandler(backend.HandlerConfig{
-		Table:        p.parts.table,
-		Leavers:      p.parts.leavers,
-		CacheReports: p.parts.cache,
-		KeyDigests:   func() [][32]byte { return p.parts.settings.View().Rules.Fleet.AnnounceKeyDigests },
+		Table:        p.components.table,
+		Leavers:      p.components.leavers,
+		CacheReports: p.components.cache,
+		KeyDigests:   func() [][32]byte { return p.components.settings.View().Rules.Fleet.AnnounceKeyDigests },
 		Now:          time.Now,
 		Log:          p.config.Logger,
 	})
@@ -213,22 +213,22 @@
 	return s
 }
 
-// actions returns what operators may ask beside the settings.
+// actions returns the operator actions other than those on the settings.
 func (p *process) actions() []operator.Action {
 	s := status.Action(status.Config{
 		Entry:       p.config.File.Name,
 		Replicas:    p.config.File.Control,
-		Control:     p.parts.control,
-		Settings:    p.parts.settings,
-		Servers:     p.parts.table,
-		Quarantined: p.parts.guard.Quarantined,
+		Control:     p.components.control,
+		Settings:    p.components.settings,
+		Servers:     p.components.table,
+		Quarantined: p.components.guard.Quarantined,
 		Now:         time.Now,
 	})
-	all := append(entrycalls.Actions(p.parts.control), quarantine.Actions(p.parts.control)...)
+	all := append(entrycalls.Actions(p.components.control), quarantine.Actions(p.components.control)...)
 	return append(all, s)
 }
 
-// deleter deletes pieces at stores by the addresses that they announce.
+// deleter deletes pieces at stores under their announced addresses.
 type deleter struct {
 	table  membership.Table
 	stores store.Client
@@ -268,11 +268,11 @@
 }
 
 func eachIncarnation(t membership.Table) func(func(string, uint64)) {
-	return func(each func(string, uint64)) {
+	return func(visit func(string, uint64)) {
 		v := t.View()
 		for s := range v.All() {
 			a := s.Announcement()
-			each(a.Identity, a.Incarnation)
+			visit(a.Identity, a.Incarnation)
 		}
 	}
 }
--- a/internal/process/entry/calls_test.go
+++ b/internal/process/entry/calls_test.go
@@ -29,9 +29,9 @@
 
 func (f fakeKeeper) View() follower.View { return follower.View{Rules: f.rules} }
 
-// A caller reaches an entry of another region, whose ledger knows nothing of
-// the stamps that were claimed at home. Were it to dispatch there, a resend
-// would put a second certificate number on the lot.
+// Guards against a non-idempotent call running again in another region, whose ledger
+// doesn't hold the claims of the home region. A resend of a stamp would put a second
+// certificate number on the lot.
 func TestCallsAreClaimedInTheWorkspacesRegion(t *testing.T) {
 	f := &fakeClient{}
 	k := fakeKeeper{rules: &rules.Snapshot{Workspaces: map[string]rules.Workspace{"gate": {Name: "gate", Region: "andes-centro"}}}}
--- a/internal/process/entry/components.go
+++ b/internal/process/entry/components.go
@@ -24,13 +24,13 @@
 )
 
 const (
-	maxIdleConns = 64
-	idleTimeout  = 30 * time.Second
-	attemptBytes = 16
+	maxIdleConns   = 64
+	idleTimeout    = 30 * time.Second
+	attemptIDBytes = 16
 )
 
-// parts are the components of an entry, in the order in which they are built.
-type parts struct {
+// components are the components of an entry.
+type components struct {
 	control  control.Client
 	settings settings.Keeper
 	table    membership.Table
@@ -45,21 +45,21 @@
 	caller   caller.Handler
 	leavers  backend.Leavers
 	// directory is this entry's share of the cache directory.
-	directory directory.Directory
-	guard     quarantine.Guard
-	giver     backend.Giver
-	exports   completion.Exports
+	directory   directory.Directory
+	guard       quarantine.Guard
+	orderIssuer backend.Giver
+	exports     completion.Exports
 }
 
-// newRandom returns a source with a seed of its own, so that entries that see the same do not all do the same.
+// newRandom returns a randomly seeded source, so that entries with the same view don't all make the same choices.
 func newRandom() *rand.Rand {
 	var b [16]byte
 	_, _ = crand.Read(b[:])
 	return rand.New(rand.NewPCG(binary.LittleEndian.Uint64(b[:8]), binary.LittleEndian.Uint64(b[8:])))
 }
 
-func newAttempt() string {
-	var b [attemptBytes]byte
+func newAttemptID() string {
+	var b [attemptIDBytes]byte
 	_, _ = crand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
--- a/internal/process/entry/entry.go
+++ b/internal/process/entry/entry.go
@@ -21,27 +21,27 @@
 )
 
 const (
-	// noticeTime is how long a stopping entry goes on serving new requests, while the balancer notices that it is not ready.
-	noticeTime = 3 * time.Second
-	// warmUp is how long a started entry is not ready: within it every backend server announces itself or the other entries tell of it.
+	// drainNoticeTime is how long a stopping entry still serves new requests, so that the balancer can detect that it is not ready.
+	drainNoticeTime = 3 * time.Second
+	// warmUp is how long a started entry is not ready. Within it the entry gets the announcements of all backend servers, directly or from other entries.
 	warmUp = 1500 * time.Millisecond
-	// releaseTime bounds the hand-over of the settings lease.
-	releaseTime = 2 * time.Second
-	// abandonTime bounds one try at abandoning the claims of the entry's earlier incarnations.
-	abandonTime = 2 * time.Second
+	// releaseTimeout bounds the release of the settings lease.
+	releaseTimeout = 2 * time.Second
+	// abandonTimeout bounds one try at abandoning the claims of the entry's earlier incarnations.
+	abandonTimeout = 2 * time.Second
 )
 
 // Config is what an entry process needs.
 type Config struct {
 	// File is the node file.
 	File node.File
-	// Logger takes the events.
+	// Logger receives the events.
 	Logger log.Interface
 }
 
 // Process is a running entry.
 type Process interface {
-	// Run serves until ctx ends, then stops gracefully: no running request is cut.
+	// Run serves until ctx ends, then stops gracefully: no running request is aborted.
 	Run(ctx context.Context) error
 }
 
@@ -52,7 +52,7 @@
 	files       keys.Config
 	ring        keys.Ring
 	node        rpc.Node
-	parts       parts
+	components  components
 	server      *http.Server
 	listener    net.Listener
 	metrics     *metrics.Set
@@ -83,7 +83,7 @@
 	if p.listener, err = net.Listen("tcp", c.File.Listen.HTTP.String()); err != nil {
 		return nil, errors.Join(fmt.Errorf("entry: %w", err), p.node.Close())
 	}
-	if p.parts, err = p.build(); err != nil {
+	if p.components, err = p.build(); err != nil {
 		return nil, errors.Join(err, p.listener.Close(), p.node.Close())
 	}
 	p.server = p.newServer()
@@ -96,7 +96,7 @@
 	defer stop()
 	p.loops.Go(func() { _ = p.node.Serve(serving) })
 	p.loops.Go(func() { keyring.Watch(serving, keyring.Config{Ring: p.ring, Files: p.files, Logger: p.config.Logger}) })
-	p.loops.Go(func() { p.abandonEarlier(serving) })
+	p.loops.Go(func() { p.abandonEarlierClaims(serving) })
 	p.loops.Go(func() { p.sweep(serving) })
 	failed := make(chan error, 1)
 	p.loops.Go(func() { failed <- p.server.Serve(p.listener) })
@@ -116,49 +116,49 @@
 	return err
 }
 
-// drain ends the entry's work: the health check fails first, new requests are
-// served until the balancer has noticed, running ones end however long they take.
+// drain ends the entry's work. The readiness check fails first, and new requests are
+// served for drainNoticeTime. Running requests end however long they take.
 func (p *process) drain(ctx context.Context) error {
 	p.stopping.Store(true)
-	time.Sleep(noticeTime)
-	err := p.parts.caller.Drain(ctx)
-	err = errors.Join(err, p.parts.services.Drain(ctx))
-	p.parts.router.Close()
-	p.parts.giver.Close()
-	p.parts.guard.Close()
-	release, cancel := context.WithTimeout(ctx, releaseTime)
+	time.Sleep(drainNoticeTime)
+	err := p.components.caller.Drain(ctx)
+	err = errors.Join(err, p.components.services.Drain(ctx))
+	p.components.router.Close()
+	p.components.orderIssuer.Close()
+	p.components.guard.Close()
+	release, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	// A lease that can't be handed back runs out by itself.
-	_ = p.parts.settings.Release(release)
+	// A lease that can't be released expires by itself.
+	_ = p.components.settings.Release(release)
 	return errors.Join(err, p.server.Shutdown(ctx))
 }
 
 func (p *process) close() {
-	p.parts.settings.Close()
-	p.parts.gossip.Close()
-	p.parts.cache.Close()
-	p.parts.engines.Wait()
+	p.components.settings.Close()
+	p.components.gossip.Close()
+	p.components.cache.Close()
+	p.components.engines.Wait()
 	_ = p.node.Close()
 }
 
-// ready says why the entry takes no new work, nil when it does.
+// ready returns nil while the entry accepts new work, and otherwise why it doesn't.
 func (p *process) ready() error {
 	if p.stopping.Load() {
-		return errors.New("the entry stops")
+		return errors.New("the entry is stopping")
 	}
 	if time.Since(p.started) < warmUp {
-		return errors.New("the entry is learning of the backend servers")
+		return errors.New("the entry is still discovering the backend servers")
 	}
-	return p.parts.settings.Check()
+	return p.components.settings.Check()
 }
 
-// abandonEarlier makes the claims of this entry's earlier incarnations
-// unknown. Without it a resend of a call that died with the last incarnation
-// would be told for days that the call still runs.
-func (p *process) abandonEarlier(ctx context.Context) {
+// abandonEarlierClaims marks the claims of this entry's earlier incarnations as unknown.
+// Without it, a resend of a call that died with the last incarnation would be answered
+// for days with the status that the call still runs.
+func (p *process) abandonEarlierClaims(ctx context.Context) {
 	for ctx.Err() == nil {
-		try, cancel := context.WithTimeout(ctx, abandonTime)
-		_, err := p.parts.services.Abandon(try, p.config.File.Name, p.incarnation-1)
+		try, cancel := context.WithTimeout(ctx, abandonTimeout)
+		_, err := p.components.services.Abandon(try, p.config.File.Name, p.incarnation-1)
 		cancel()
 		if err == nil {
 			return
@@ -170,7 +170,7 @@
 	}
 }
 
-// sweep forgets servers that were silent for long.
+// sweep removes servers that were silent for long.
 func (p *process) sweep(ctx context.Context) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
@@ -180,7 +180,7 @@
 			return
 		case <-t.C:
 		}
-		for _, i := range p.parts.table.Sweep(time.Now()) {
+		for _, i := range p.components.table.Sweep(time.Now()) {
 			event.ServerForgotten.Write(p.config.Logger, log.Fields{"server": i})
 		}
 	}
--- a/internal/process/entry/metrics.go
+++ b/internal/process/entry/metrics.go
@@ -7,8 +7,8 @@
 	"hornbeamwood/internal/fleet/announcement"
 )
 
-// gauges registers the entry's metrics; docs/OPERATORS.md lists them.
-func (p *process) gauges(x *parts) {
+// registerMetrics registers the entry's metrics; docs/OPERATORS.md lists them.
+func (p *process) registerMetrics(x *components) {
 	gauge := func(name string, value func() float64) {
 		p.metrics.NewGauge("hornbeamwood_"+name, value)
 	}
@@ -26,7 +26,7 @@
 		_, n := x.directory.Size()
 		return float64(n)
 	})
-	gauge("requests_in_flight", func() float64 { return float64(p.parts.caller.InFlight()) })
+	gauge("requests_in_flight", func() float64 { return float64(p.components.caller.InFlight()) })
 	for _, k := range []announcement.Kind{announcement.Engine, announcement.Service, announcement.Store} {
 		for _, s := range []announcement.State{announcement.Ready, announcement.Leaving} {
 			gauge(fmt.Sprintf("backend_servers{kind=%q,state=%q}", k, s), func() float64 { return x.servers(k, s) })
@@ -35,7 +35,7 @@
 }
 
 // servers counts the backend servers of a kind in a state.
-func (x *parts) servers(k announcement.Kind, s announcement.State) float64 {
+func (x *components) servers(k announcement.Kind, s announcement.State) float64 {
 	n := 0.0
 	v := x.table.View()
 	for server := range v.All() {
@@ -45,6 +45,7 @@
 	return n
 }
 
+// oneIf returns 1 if b holds and 0 otherwise.
 func oneIf(b bool) float64 {
 	if b {
 		return 1
