--- a/internal/process/keyring/doc.go
+++ b/internal/process/keyring/doc.go
@@ -1,3 +1,3 @@
-// Package keyring keeps a process's keys fresh: changed files are read without
-// a restart, and a near expiry is reported.
+// Package keyring reloads a process's keys when their files change, and logs warnings
+// before they expire.
 package keyring
--- a/internal/process/keyring/watcher_test.go
+++ b/internal/process/keyring/watcher_test.go
@@ -9,10 +9,10 @@
 	"hornbeamwood/internal/node/keys"
 )
 
-// An operator renews a node's keys while it runs, and the watcher looks just
-// between the writes of the two files. The node must neither stop nor stay
-// with the old keys until they expire.
-func TestRenewedKeysAreTakenWhole(t *testing.T) {
+// An operator renews a node's keys while it runs, and the watcher checks between the
+// writes of the two files. The node must neither stop nor keep the old keys until they
+// expire.
+func TestRenewedKeysAreLoadedAsAPair(t *testing.T) {
 	folder := t.TempDir()
 	a, err := keys.NewAuthority(folder, 24*time.Hour)
 	if err != nil {
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	w := &watcher{Config: Config{Ring: r, Files: files}}
-	w.stamp = w.stamps()
+	w.loaded = w.modTimes()
 	first := r.Expires()
 
 	old, err := os.ReadFile(i.CertificateFile)
@@ -47,16 +47,16 @@
 	write(t, i.CertificateFile, old, 1)
 	w.check()
 	if !r.Expires().Equal(first) {
-		t.Fatal("a certificate was taken with the key of another")
+		t.Fatal("a certificate was loaded with the key of another")
 	}
 	write(t, i.CertificateFile, renewed, 2)
 	w.check()
 	if !r.Expires().After(first) {
-		t.Error("the renewed keys were not taken")
+		t.Error("the renewed keys were not loaded")
 	}
 }
 
-// write replaces a file and gives it a time of its own, whatever the clock's resolution is.
+// write replaces a file and sets a distinct modification time, independent of the clock's resolution.
 func write(t *testing.T, path string, b []byte, hours int) {
 	t.Helper()
 	if err := os.WriteFile(path, b, 0o600); err != nil {
