--- a/internal/process/platform/doc.go
+++ b/internal/process/platform/doc.go
@@ -1,2 +1,2 @@
-// Package platform answers the platform: health, readiness and metrics.
+// Package platform serves the health, readiness and metrics endpoints of a process.
 package platform
--- a/internal/process/platform/handler.go
+++ b/internal/process/platform/handler.go
@@ -7,15 +7,15 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Config is what a Handler reports.
+// Config configures a Handler.
 type Config struct {
-	// Ready returns nil while the process takes new work, and otherwise why it does not.
+	// Ready returns nil while the process accepts new work, and otherwise why it doesn't.
 	Ready func() error
 	// Metrics are the process's own metrics.
 	Metrics *metrics.Set
 }
 
-// Handler answers /healthz, /readyz and /metrics.
+// Handler serves /healthz, /readyz and /metrics.
 type Handler interface {
 	http.Handler
 	// Register adds the three paths to mux.
@@ -27,7 +27,7 @@
 	mux    *http.ServeMux
 }
 
-// New returns a Handler.
+// New returns a Handler for c.
 func New(c Config) Handler {
 	h := &handler{config: c, mux: http.NewServeMux()}
 	h.Register(h.mux)
