--- a/internal/process/sitecontrol/control.go
+++ b/internal/process/sitecontrol/control.go
@@ -147,7 +147,7 @@
 		name: p.config.Host.Internal, orderDelay: orderDelay,
 		propose: p.leader.Propose, isLeader: p.isLeader, current: func() (controllease.Lease, bool) { return p.currentLease(m) }, logger: p.config.Logger,
 	}
-	p.storeFollower = &storeFollower{process: p, client: p.config.Stores, clock: stores.NewClock(), starts: newStoreStarts(), followed: map[string]*followedStore{}, epochs: map[string]context.CancelFunc{}}
+	p.storeFollower = &storeFollower{process: p, client: p.config.Stores, clock: stores.NewClock(), starts: newStoreStarts(), followed: map[string]*followedStore{}, restartChecks: map[string]context.CancelFunc{}}
 }
 
 // setUpWatch sets up the relay, the rows that this replica serves and those that it follows.
--- a/internal/process/sitecontrol/lease.go
+++ b/internal/process/sitecontrol/lease.go
@@ -109,9 +109,9 @@
 // A new leader requests the lease at once, because entries get no rows of the stores
 // until it holds the lease.
 func (h *leaseHolder) run(ctx context.Context) {
-	requestedAt, returned := time.Time{}, false
+	requestedAt, earlierReleased := time.Time{}, false
 	for wait.For(ctx, leaderCheckInterval) {
-		returned = returned || h.isLeader() || h.releaseEarlier(ctx)
+		earlierReleased = earlierReleased || h.isLeader() || h.releaseEarlier(ctx)
 		switch {
 		case !h.isLeader():
 			requestedAt = time.Time{}
--- a/internal/process/sitecontrol/store_epochs.go
+++ b/internal/process/sitecontrol/store_epochs.go
@@ -13,17 +13,17 @@
 // followEpochs starts and ends the restart checks of the stores; the caller holds l.mu.
 func (l *storeFollower) followEpochs(ctx context.Context, all *sync.WaitGroup, wanted map[string]document.Store) {
 	for a := range wanted {
-		if _, ok := l.epochs[a]; ok {
+		if _, ok := l.restartChecks[a]; ok {
 			continue
 		}
 		following, cancel := context.WithCancel(ctx)
-		l.epochs[a] = cancel
+		l.restartChecks[a] = cancel
 		all.Go(func() { l.watchEpoch(following, a) })
 	}
-	for a, cancel := range l.epochs {
+	for a, cancel := range l.restartChecks {
 		if _, ok := wanted[a]; !ok {
 			cancel()
-			delete(l.epochs, a)
+			delete(l.restartChecks, a)
 		}
 	}
 }
--- a/internal/process/sitecontrol/store_follower.go
+++ b/internal/process/sitecontrol/store_follower.go
@@ -51,9 +51,9 @@
 
 	mu       sync.Mutex
 	followed map[string]*followedStore
-	// epochs holds the cancel function of each store's restart check.
-	epochs map[string]context.CancelFunc
-	starts *storeStarts
+	// restartChecks holds the cancel function of each store's restart check.
+	restartChecks map[string]context.CancelFunc
+	starts        *storeStarts
 	// shortPartsQueue holds the short parts that are still to be shown.
 	shortPartsQueue []shortParts
 }
@@ -240,8 +240,8 @@
 	}
 }
 
-// known returns the table's revision up to which all entries have the rows that were
-// in contact within StaleAfter, with this replica, its relay or other relays.
+// known returns the table's revision up to which all entries have the rows. Only entries
+// count that polled within StaleAfter, either this replica directly or any relay.
 func (l *storeFollower) known() uint64 {
 	return min(l.watchServer.AcknowledgedRevision(stores.StaleAfter), l.relay.mirrors.AcknowledgedRevision(l.relay.self, stores.StaleAfter))
 }
