--- a/client_test.go
+++ b/client_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// answer is what one HTTP request of a test came back with.
+// answer is the response or the error of one HTTP request of a test.
 type answer struct {
 	status int
 	header http.Header
@@ -24,8 +24,8 @@
 	header                 map[string]string
 }
 
-// client waits as long as the tests do; a hung server shows as a failed request.
-var client = &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+// client times out like the tests' waits, so that a hung server shows as a failed request.
+var client = &http.Client{Timeout: waitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
 func (c call) do() answer {
 	q, err := http.NewRequest(c.method, c.url, strings.NewReader(c.body))
@@ -45,7 +45,7 @@
 	return answer{status: r.StatusCode, header: r.Header, body: string(b), err: err}
 }
 
-// completion is what a streamed completion brought.
+// completion is the result of a streamed completion.
 type completion struct {
 	status int
 	text   string
@@ -68,7 +68,7 @@
 	} `json:"usage"`
 }
 
-// read returns what a body of server-sent events holds.
+// completion decodes a body of server-sent events.
 func (a answer) completion() completion {
 	c := completion{status: a.status, raw: a.body}
 	s := bufio.NewScanner(strings.NewReader(a.body))
@@ -109,7 +109,7 @@
 	return a.completion()
 }
 
-// getJSON reads a JSON answer of a stand-in.
+// getJSON requests a URL of a stand-in and decodes the JSON response.
 func getJSON[T any](t *testing.T, url string) T {
 	t.Helper()
 	var v T
@@ -124,7 +124,7 @@
 	return v
 }
 
-// quick sends a request to a process that may be frozen.
+// quick sends a request to a process that may be suspended, and returns an empty answer after a second.
 func quick(c call) answer {
 	answers := make(chan answer, 1)
 	go func() { answers <- c.do() }()
--- a/crashing_request_test.go
+++ b/crashing_request_test.go
@@ -13,8 +13,8 @@
 
 var crashingEngine = engineTable + "crashes = true\n"
 
-// alive counts the engines that still run.
-func (f *fleet) alive() int {
+// runningEngines counts the engines that still run.
+func (f *fleet) runningEngines() int {
 	n := 0
 	for _, h := range f.engines {
 		select {
@@ -26,11 +26,11 @@
 	return n
 }
 
-// One request crashes every server that runs it, and its caller sends it again
-// and again through every entry. Without a limit it takes the whole fleet down
-// and all other users see their answers end; with it two servers are lost, the
-// request gets its final answer at once, and the others are served.
-func TestCrashingRequestIsStopped(t *testing.T) {
+// One request crashes every server that runs it, and its caller resends it through every
+// entry. Without quarantine it crashes the whole fleet and ends the streams of all other
+// users. With it, at most two servers are lost, the request is refused at once, and other
+// requests are served.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	const servers = 5
 	f := newFleet(t, 3, 3)
 	f.startNodes()
@@ -75,8 +75,8 @@
 	}
 	close(stop)
 	innocents.Wait()
-	if n := f.alive(); n < servers-2 {
-		t.Errorf("%d of %d servers are left; at most two may be lost", n, servers)
+	if n := f.runningEngines(); n < servers-2 {
+		t.Errorf("%d of %d servers still run; at most two may be lost", n, servers)
 	}
 	for i, e := range f.entries {
 		eventually(t, "an innocent request is served by "+e.name, func() bool {
@@ -86,7 +86,7 @@
 	f.operatorClears(t, f.entries[1])
 }
 
-// operatorClears takes the request out of quarantine and looks whether every entry forgets it.
+// operatorClears removes the request from quarantine and checks that every entry removes it.
 func (f *fleet) operatorClears(t *testing.T, e *host) {
 	list := func(e *host) []string {
 		a := call{method: http.MethodGet, url: e.url() + "/quarantine", key: operatorKey}.do()
--- a/end_to_end_test.go
+++ b/end_to_end_test.go
@@ -59,7 +59,7 @@
 checks-fencing = true
 `
 
-// applyTree sends a whole tree through an entry until the control log takes it.
+// applyTree sends a whole tree through an entry until it is accepted.
 func (f *fleet) applyTree(h *host, tree string) {
 	f.t.Helper()
 	eventually(f.t, "the tree is accepted", func() bool {
@@ -80,7 +80,7 @@
 	eventually(f.t, h.name+" serves "+model, func() bool { return complete(h, key, model, "ready?", 1).status == http.StatusOK })
 }
 
-func TestThinPath(t *testing.T) {
+func TestEndToEnd(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	f.startNodes()
 	store := f.startStandin("store-1", "store", "[store]\nmemory-bytes = 8000000\ndisk-bytes = 8000000\nlink-rate = 100000000\n")
@@ -91,7 +91,7 @@
 		f.serves(e, gateKey, "draft")
 	}
 
-	t.Run("a streamed completion arrives whole", func(t *testing.T) {
+	t.Run("a streamed completion arrives complete", func(t *testing.T) {
 		prompt := "is lot 7 released?"
 		c := complete(f.entries[0], gateKey, "draft", prompt, 12)
 		var want strings.Builder
@@ -145,10 +145,9 @@
 	})
 }
 
-// A dossier comes back after other prompts have pushed its cache out of the
-// engines' memory, and once more after all entries were restarted. Its user
-// waits for a whole prefill unless a store still has the pieces and somebody
-// knows of them.
+// A dossier is sent again after other prompts have evicted its cache from the engines'
+// memory, and once more after all entries were restarted. It needs a full prefill unless
+// a store still has the pieces and the entries know of them.
 func returningPrompt(t *testing.T, f *fleet, store *host, servers []*host) {
 	dossier := strings.Repeat("specification of coatings and lots; ", 230)
 	if c := complete(f.entries[0], gateKey, "draft", dossier, 4); !c.done {
@@ -175,8 +174,8 @@
 	}
 }
 
-// returns pushes a prompt out of the engines' memory by those of another
-// workspace and sends it again, until its pieces come from the store.
+// returns evicts a prompt from the engines' memory by prompts of another workspace and
+// sends it again, until its pieces come from the store.
 func (f *fleet) returns(t *testing.T, servers []*host, prompt string) {
 	t.Helper()
 	eventually(t, "the prompt is served from the store", func() bool {
--- a/faults_test.go
+++ b/faults_test.go
@@ -18,16 +18,16 @@
 )
 
 var (
-	faultTime = flag.Duration("faults.time", time.Minute, "how long TestFaults brings about failures")
+	faultTime = flag.Duration("faults.time", time.Minute, "how long TestFaults injects faults")
 	faultSeed = flag.Uint64("faults.seed", 20261203, "seed of the schedule of TestFaults")
 )
 
-// record keeps what callers and operators of TestFaults were told.
+// record collects the answers to callers and operators of TestFaults.
 type record struct {
 	mu          sync.Mutex
 	stamps      map[string][]answer
 	edits       map[uint64]string
-	wrong       []string
+	violations  []string
 	completions atomic.Int64
 	failures    map[string]int
 	stop        chan struct{}
@@ -46,7 +46,7 @@
 func (r *record) fault(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.wrong = append(r.wrong, fmt.Sprintf(format, args...))
+	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
 // each runs f until the record is closed.
@@ -63,7 +63,7 @@
 	})
 }
 
-// complete sends one completion and checks that what comes is the whole answer to it or an error.
+// complete sends one completion and checks that the result is its complete answer or an error.
 func (r *record) complete(e *host, name string, i int) {
 	prompt := fmt.Sprintf("%s %d %s", name, i%7, strings.Repeat("dossier of lots ", 40*(i%7)))
 	tokens := 3 + i%5
@@ -78,11 +78,11 @@
 		fmt.Fprintf(&want, "%s-%d ", engine.Digest(prompt), n)
 	}
 	if c.text != want.String() {
-		r.fault("%s through %s got another answer: %q, want %q", prompt[:20], e.name, c.text, want.String())
+		r.fault("%s through %s got a wrong answer: %q, want %q", prompt[:20], e.name, c.text, want.String())
 	}
 }
 
-// failed counts a completion that was not whole by what its caller was told.
+// failed counts an incomplete completion by the error that its caller got.
 func (r *record) failed(c completion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,8 +101,8 @@
 // stamp sends one non-idempotent call through one entry after the other until it has an outcome.
 func (r *record) stamp(f *fleet, name string, i int) {
 	key := fmt.Sprintf("%s-%d", name, i)
-	for try := range 6 {
-		e := f.entries[(i+try)%len(f.entries)]
+	for attempt := range 6 {
+		e := f.entries[(i+attempt)%len(f.entries)]
 		a := call{
 			method: http.MethodPost, url: e.url() + "/services/stamp/issue", key: gateKey, body: key,
 			header: map[string]string{"Idempotency-Key": key},
@@ -117,7 +117,7 @@
 	}
 }
 
-// edit changes one setting against the newest revision; what was accepted is kept.
+// edit changes one setting against the newest revision and records it if it is accepted.
 func (r *record) edit(e *host, name string, i int) {
 	got := call{method: http.MethodGet, url: e.url() + "/settings/workspaces/gate", key: operatorKey}.do()
 	if got.status != http.StatusOK {
@@ -137,7 +137,7 @@
 	if a.status == http.StatusOK && json.Unmarshal([]byte(a.body), &o) == nil && o.Outcome == "accepted" {
 		r.mu.Lock()
 		if other, ok := r.edits[o.Revision]; ok && other != id {
-			r.wrong = append(r.wrong, fmt.Sprintf("revision %d was promised to %s and to %s", o.Revision, other, id))
+			r.violations = append(r.violations, fmt.Sprintf("revision %d was acknowledged to %s and to %s", o.Revision, other, id))
 		}
 		r.edits[o.Revision] = id
 		r.mu.Unlock()
@@ -145,7 +145,7 @@
 	time.Sleep(100 * time.Millisecond)
 }
 
-// fault is one failure that the schedule of TestFaults may bring about.
+// fault is one fault that the schedule of TestFaults may inject.
 type fault struct {
 	name string
 	run  func(f *fleet, r *rand.Rand)
@@ -155,8 +155,8 @@
 	return all[r.IntN(len(all))]
 }
 
-// freeze stops a process as a frozen VM would and lets it go on after d.
-func (f *fleet) freeze(h *host, d time.Duration) {
+// suspend stops a process, as the suspension of its VM would, and resumes it after d.
+func (f *fleet) suspend(h *host, d time.Duration) {
 	p := f.processes[h.name]
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(d)
@@ -176,19 +176,18 @@
 var faults = []fault{
 	{"an entry is killed", func(f *fleet, r *rand.Rand) { f.restart(pick(r, f.entries), f.startEntry, false) }},
 	{"an entry is restarted", func(f *fleet, r *rand.Rand) { f.restart(pick(r, f.entries), f.startEntry, true) }},
-	{"an entry is frozen", func(f *fleet, r *rand.Rand) { f.freeze(pick(r, f.entries), 5*time.Second) }},
+	{"an entry is suspended", func(f *fleet, r *rand.Rand) { f.suspend(pick(r, f.entries), 5*time.Second) }},
 	{"a control replica is killed", func(f *fleet, r *rand.Rand) { f.restart(pick(r, f.controls), f.startControl, false) }},
 	{"a control replica is restarted", func(f *fleet, r *rand.Rand) { f.restart(pick(r, f.controls), f.startControl, true) }},
-	{"a control replica is frozen", func(f *fleet, r *rand.Rand) { f.freeze(pick(r, f.controls), 6*time.Second) }},
+	{"a control replica is suspended", func(f *fleet, r *rand.Rand) { f.suspend(pick(r, f.controls), 6*time.Second) }},
 	{"an engine is killed", func(f *fleet, r *rand.Rand) { f.restart(pick(r, f.engines), f.restartStandin, false) }},
 	{"an engine leaves", func(f *fleet, r *rand.Rand) { f.restart(pick(r, f.engines), f.restartStandin, true) }},
 	{"the store is killed", func(f *fleet, r *rand.Rand) { f.restart(pick(r, f.stores), f.restartStandin, false) }},
 }
 
-// Processes are killed, frozen and restarted one after the other and at the
-// same time while callers and operators work. A user would notice a wrong or
-// cut answer, a second certificate number on one lot, or a setting that came
-// back; none of these may happen.
+// Processes are killed, suspended and restarted while callers and operators send
+// requests. There must be no wrong answer, no truncated answer that looks complete, no
+// second certificate number on one lot, and no accepted setting that is lost.
 func TestFaults(t *testing.T) {
 	f := newFleet(t, 3, 3)
 	f.startNodes()
@@ -223,9 +222,9 @@
 	r.check(t, f, stamps)
 }
 
-// check compares what was told with what the servers and the control log have.
+// check compares the recorded answers with the state of the servers and the control log.
 func (r *record) check(t *testing.T, f *fleet, stamps *host) {
-	for _, w := range r.wrong {
+	for _, w := range r.violations {
 		t.Error(w)
 	}
 	executions := getJSON[map[string]int](t, stamps.url()+"/standin/executions")
@@ -239,10 +238,10 @@
 			t.Errorf("%s imported %d pieces with wrong bytes", e.name, n)
 		}
 	}
-	t.Logf("completions %d whole, failed %v; stamps %d, of them %d with outcome; edits accepted %d",
+	t.Logf("completions %d complete, failed %v; stamps %d, of them %d with outcome; edits accepted %d",
 		r.completions.Load(), r.failures, len(r.stamps), outcomes, len(r.edits))
 	if r.completions.Load() == 0 || outcomes == 0 || len(r.edits) == 0 {
-		t.Error("nothing was served during the faults; the checks say nothing")
+		t.Error("no request of some kind succeeded during the faults, so the checks are void")
 	}
 }
 
@@ -277,7 +276,7 @@
 	return 1
 }
 
-// checkEdits looks each promised revision up in the audit trail.
+// checkEdits looks up each acknowledged revision in the audit trail.
 func (r *record) checkEdits(t *testing.T, e *host) {
 	a := call{method: http.MethodGet, url: e.url() + "/settings-history?limit=200", key: operatorKey}.do()
 	var h struct {
@@ -298,7 +297,7 @@
 	}
 	for revision, id := range r.edits {
 		if revision >= oldest && kept[revision] != id {
-			t.Errorf("revision %d was accepted as %s; the trail has %q", revision, id, kept[revision])
+			t.Errorf("revision %d was accepted as %s; the audit trail has %q", revision, id, kept[revision])
 		}
 	}
 }
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -13,7 +13,7 @@
 	"hornbeamwood/internal/settings/digest"
 )
 
-// Keys and ports that all fleets of these tests use; each process has a loopback IP of its own.
+// Keys and ports that all fleets of these tests use; each process has its own loopback IP.
 const (
 	operatorKey = "operator-key"
 	announceKey = "announce-key"
@@ -33,11 +33,11 @@
 	engines   []*host
 	stores    []*host
 	processes map[string]*process
-	// fillers counts the prompts that pushed others out of the engines' memory.
+	// fillers counts the prompts that were sent to evict others from the engines' memory.
 	fillers int
 }
 
-// host is one VM: an address and the process on it.
+// host is one VM with its address and its process.
 type host struct {
 	name string
 	ip   string
@@ -49,7 +49,7 @@
 	return fmt.Sprintf("http://%s:%d", h.ip, httpPort)
 }
 
-// newFleet writes keys and node files for a deployment; nothing runs yet.
+// newFleet writes keys and node files for a deployment and starts no processes.
 func newFleet(t *testing.T, controls, entries int) *fleet {
 	t.Helper()
 	folder := t.TempDir()
@@ -82,7 +82,7 @@
 // networks counts the fleets of this test process.
 var networks int
 
-// network returns the first three numbers of loopback addresses that no other test process uses.
+// network returns the first three octets of loopback addresses that no other test process uses.
 func network() string {
 	networks++
 	n := os.Getpid()*8 + networks
@@ -138,7 +138,7 @@
 	return f.processes[h.name]
 }
 
-// startStandin runs a stand-in with the given tables of its file.
+// startStandin runs a stand-in with the given tables in its settings file.
 func (f *fleet) startStandin(name, kind, tables string) *host {
 	h := f.host(name)
 	var urls []string
@@ -157,7 +157,7 @@
 	return f.processes[h.name]
 }
 
-// startNodes runs all replicas and entries and waits until an operator could edit.
+// startNodes starts all replicas and entries.
 func (f *fleet) startNodes() {
 	f.t.Helper()
 	for _, h := range f.controls {
--- a/hornbeamwood.go
+++ b/hornbeamwood.go
@@ -1,7 +1,7 @@
 // Package hornbeamwood serves language-model prompts that return after long
-// gaps. It wires the defaults of the two long-running processes: entries,
-// which callers, operators and backend servers talk to, and replicas of the
-// control log.
+// gaps. It constructs the two kinds of long-running processes with their default
+// components: entries, which serve callers, operators and backend servers, and
+// replicas of the control log.
 package hornbeamwood
 
 import (
@@ -19,11 +19,11 @@
 	"hornbeamwood/internal/settings/section"
 )
 
-// Config is what a Process is made from.
+// Config configures a Process.
 type Config struct {
 	// File is the node file.
 	File node.File
-	// Logger takes the numbered events.
+	// Logger receives the numbered events.
 	Logger log.Interface
 }
 
--- a/lost_entry_test.go
+++ b/lost_entry_test.go
@@ -6,11 +6,10 @@
 	"testing"
 )
 
-// An entry's VM is lost while a stamp that it dispatched still runs, and does
-// not come back. The caller sends the stamp again through another entry. It
-// must not run a second time, and the caller must not be told for ever that it
-// still runs: soon the answer is that its outcome is unknown, and an operator
-// who finds out what happened settles it.
+// An entry's VM is lost for good while a stamp that it dispatched still runs. The caller
+// resends the stamp through another entry. It must not run a second time. The answer must
+// not stay that the call still runs, but soon be that its outcome is unknown, and an
+// operator must be able to resolve it.
 func TestCallOfALostEntryEndsAsUnknown(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	f.startNodes()
@@ -29,7 +28,7 @@
 
 	stamp.url = f.entries[1].url() + "/services/stamp/issue"
 	var last answer
-	eventually(t, "the resend learns that the outcome is unknown", func() bool {
+	eventually(t, "the resend is answered with an unknown outcome", func() bool {
 		last = stamp.do()
 		if last.status == http.StatusCreated {
 			t.Fatalf("a resend got an outcome that nobody recorded: %s", last.body)
@@ -51,6 +50,6 @@
 		t.Fatalf("resolve: %d %s", a.status, a.body)
 	}
 	if a := stamp.do(); a.header.Get("Hornbeamwood-Verdict") != "ran" || ran() != 1 {
-		t.Errorf("after the operator's word: verdict %q, %d runs: %s", a.header.Get("Hornbeamwood-Verdict"), ran(), a.body)
+		t.Errorf("after the operator resolved it: verdict %q, %d runs: %s", a.header.Get("Hornbeamwood-Verdict"), ran(), a.body)
 	}
 }
--- a/measure_test.go
+++ b/measure_test.go
@@ -21,10 +21,10 @@
 
 var measurePart = flag.String("measure.part", "", "run one part only: entries, workspaces, cell, load")
 
-// measureTime is how long each figure is taken over.
+// measureTime is the duration of each measurement.
 const measureTime = 10 * time.Second
 
-// usage is what one process has used since it started.
+// usage is the resource usage of one process since its start.
 type usage struct {
 	cpu  time.Duration
 	sent float64
@@ -69,12 +69,12 @@
 	return pages * float64(os.Getpagesize())
 }
 
-// average is what processes of one role use on average, a second.
+// average is the mean resource usage of the processes of one role, per second.
 type average struct {
 	cpuMillis, sentBytes, residentMB float64
 }
 
-// during runs f and returns what the processes used meanwhile.
+// during calls run and returns the mean usage of the hosts' processes meanwhile.
 func (f *fleet) during(hosts []*host, run func()) average {
 	before := make([]usage, len(hosts))
 	for i, h := range hosts {
@@ -94,7 +94,7 @@
 	return average{a.cpuMillis / n, a.sentBytes / n, a.residentMB / n}
 }
 
-// measuredTree is the settings of the load's certilote workspaces with n more ones.
+// measuredTree returns a settings tree with the workspaces of the certilote load and n more.
 func measuredTree(n int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "region = \"andes-centro\"\npiece-tokens = 4000\n[fleet]\nannounce-key-digests = [%q]\n[operators.ana]\nkey-digests = [%q]\n", digest.Of(announceKey), digest.Of(operatorKey))
@@ -117,7 +117,7 @@
 	return b.String()
 }
 
-// measuredFleet starts a deployment of three replicas, some entries and engines, a store and a service.
+// measuredFleet starts a deployment of three replicas, the given numbers of entries and engines, a store and a service.
 func measuredFleet(t *testing.T, entries, engines, workspaces int) *fleet {
 	f := newFleet(t, 3, entries)
 	for _, h := range f.controls {
@@ -137,9 +137,9 @@
 	return f
 }
 
-// TestMeasureProcesses prints what whole processes use: idle, by entries and by
-// workspaces, and under load. Without the flag -measure it does nothing,
-// because figures of a busy CI machine would say nothing.
+// TestMeasureProcesses prints the resource usage of whole processes: idle, by the number
+// of entries and of workspaces, and under load. Without the flag -measure it does
+// nothing, because figures of a busy CI machine are meaningless.
 func TestMeasureProcesses(t *testing.T) {
 	if !*measure {
 		return
@@ -174,7 +174,7 @@
 	},
 }
 
-// idle measures a fleet without requests.
+// idle prints the usage of a fleet without requests.
 func idle(t *testing.T, entries, engines, workspaces int) {
 	f := measuredFleet(t, entries, engines, workspaces)
 	what := fmt.Sprintf("idle, %d entries, %d servers, %d workspaces", entries, engines+2, workspaces+10)
@@ -182,25 +182,27 @@
 	f.stopEverything()
 }
 
+// print prints the usage of entries, control replicas and the leader during run.
 func (f *fleet) print(what string, run func()) {
 	f.t.Helper()
 	all := append(append([]*host(nil), f.entries...), f.controls...)
 	leader := f.leader()
 	_ = f.during(all, func() { time.Sleep(time.Second) })
-	var entries, controls, lead average
+	var entries, controls, leaderUsage average
 	entries = f.during(f.entries, func() {
 		controls = f.during(f.controls, func() {
-			lead = f.during([]*host{leader}, run)
+			leaderUsage = f.during([]*host{leader}, run)
 		})
 	})
 	for _, r := range []struct {
 		role string
 		a    average
-	}{{"entry", entries}, {"control", controls}, {"leader", lead}} {
+	}{{"entry", entries}, {"control", controls}, {"leader", leaderUsage}} {
 		fmt.Printf("%-45s %-8s %7.2f cpu ms/s %9.0f B/s %7.1f MB\n", what, r.role, r.a.cpuMillis, r.a.sentBytes, r.a.residentMB)
 	}
 }
 
+// load sends requests at the given rate and prints their results.
 func (f *fleet) load(rate float64) {
 	var out bytes.Buffer
 	c := load.Config{Deployment: "certilote", Rate: rate, Length: measureTime, Seed: 1, GapScale: 0.02, JSON: true}
--- a/process_test.go
+++ b/process_test.go
@@ -58,7 +58,7 @@
 	ended   chan struct{}
 }
 
-// log collects what a process prints.
+// log collects the output of a process.
 type log struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -119,26 +119,26 @@
 	_ = p.command.Process.Signal(s)
 }
 
-// kill ends the process at once, as a lost VM would.
+// kill ends the process at once, as the loss of its VM would.
 func (p *process) kill() {
 	_ = p.command.Process.Kill()
 	<-p.ended
 }
 
-// stop asks for a graceful stop and returns the exit code.
+// stop requests a graceful stop and returns the exit code.
 func (p *process) stop() int {
 	p.signal(syscall.SIGTERM)
 	<-p.ended
 	return p.command.ProcessState.ExitCode()
 }
 
-// patience bounds every wait of these tests; it decides nothing but when a hanging test gives up.
-const patience = 60 * time.Second
+// waitTimeout bounds every wait of these tests. It only limits how long a hanging test runs.
+const waitTimeout = 60 * time.Second
 
 // eventually waits until condition holds.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	until := time.Now().Add(patience)
+	until := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(until) {
 			t.Fatalf("gave up waiting: %s", what)
--- a/replaced_replica_test.go
+++ b/replaced_replica_test.go
@@ -12,7 +12,7 @@
 	"hornbeamwood/internal/entry/status"
 )
 
-// status asks an entry where the deployment stands.
+// status requests the status of the deployment from an entry.
 func (f *fleet) status(h *host) (status.Report, bool) {
 	a := call{method: http.MethodGet, url: h.url() + "/status", key: operatorKey}.do()
 	var r status.Report
@@ -20,7 +20,7 @@
 	return r, ok
 }
 
-// replica returns what an entry sees of one control replica.
+// replica returns the status of one control replica as an entry sees it.
 func (f *fleet) replica(seen, h *host) status.Replica {
 	r, _ := f.status(seen)
 	for _, x := range r.Replicas {
@@ -31,7 +31,7 @@
 	return status.Replica{}
 }
 
-// patch changes the fleet's settings against the newest revision and returns the answer.
+// patch edits a branch of the settings against the newest revision and returns the answer.
 func (f *fleet) patch(h *host, id, branch, body string) answer {
 	got := call{method: http.MethodGet, url: h.url() + "/settings" + branch, key: operatorKey}.do()
 	if got.status != http.StatusOK {
@@ -49,10 +49,10 @@
 	eventually(f.t, "edit "+id+" is accepted", func() bool { return f.patch(h, id, branch, body).status == http.StatusOK })
 }
 
-// A control VM loses its disk and comes back under its old name and address.
-// If it voted at once, it and one other could elect a leader that lacks
-// accepted edits; an operator would see a setting revert. It stays without a
-// vote until an operator admits it, and then a second VM can be lost.
+// A control VM loses its disk and restarts under its old name and address. If it voted
+// at once, it and one other replica could elect a leader that lacks accepted edits, and
+// an operator would see a setting revert. It must have no vote until an operator admits
+// it. After that, the loss of a second VM must be tolerated.
 func TestReplacedReplicaAndASecondLoss(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	f.startNodes()
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	f.startControl(lost)
-	eventually(t, "the replaced replica is there without a vote", func() bool { return f.replica(f.entries[0], lost).Role == "blank" })
+	eventually(t, "the replaced replica runs without a vote", func() bool { return f.replica(f.entries[0], lost).Role == "blank" })
 
 	f.processes[third.name].signal(syscall.SIGSTOP)
 	for i := range 3 {
@@ -87,7 +87,7 @@
 		return r.Role == "follower" && r.CaughtUp && r.Identity == identity
 	})
 	f.accepted(f.entries[0], "after-repair", "/workspaces/gate", "max-in-flight = 300\n")
-	eventually(t, "it votes in place of the lost one", func() bool {
+	eventually(t, "it votes in place of the lost replica", func() bool {
 		r := f.replica(f.entries[1], lost)
 		return r.Votes && r.Voters == 3
 	})
@@ -109,7 +109,7 @@
 	}
 	for _, id := range []string{"first", "before-0", "before-29", "admit", "after-repair", "after-second-loss"} {
 		if !kept[id] {
-			t.Errorf("the accepted edit %s is gone: %s", id, a.body)
+			t.Errorf("the accepted edit %s is lost: %s", id, a.body)
 		}
 	}
 }
--- a/rolling_restart_test.go
+++ b/rolling_restart_test.go
@@ -11,7 +11,7 @@
 	"hornbeamwood/internal/standin/engine"
 )
 
-// balancer sends each request to an entry whose health check passed lately, as the platform's does.
+// balancer selects entries whose readiness check passed recently, as the platform's load balancer does.
 type balancer struct {
 	mu    sync.Mutex
 	ready []*host
@@ -50,13 +50,12 @@
 	return b.ready[b.next%len(b.ready)]
 }
 
-// slowEngine decodes so slowly that a stream lasts longer than the notice time of a stop.
+// slowEngine decodes so slowly that a stream lasts longer than a stopping entry serves new requests.
 var slowEngine = strings.Replace(engineTable, "decode-rate = 500", "decode-rate = 20", 1)
 
-// All VMs are restarted one after the other while long streams and stamps run.
-// A user would notice a planned stop by a cut stream, a refused request or a
-// stamp without its one outcome; none of these may happen.
-func TestRollingRestartCutsNothing(t *testing.T) {
+// All VMs are restarted one after the other while long streams and stamps run. A planned
+// stop must not abort a stream, refuse a request or leave a stamp without its one outcome.
+func TestRollingRestartAbortsNoRequest(t *testing.T) {
 	f := newFleet(t, 3, 3)
 	f.startNodes()
 	for i := range 3 {
@@ -104,7 +103,7 @@
 	}
 }
 
-// knowsReady says whether an entry knows the server as ready by a fresh announcement.
+// knowsReady returns whether an entry has a recent announcement of the server as ready.
 func (f *fleet) knowsReady(e, server *host) bool {
 	r, _ := f.status(e)
 	for _, s := range r.Servers {
@@ -127,7 +126,7 @@
 		e := b.pick()
 		c := complete(e, gateKey, "draft", prompt, tokens)
 		if c.status != http.StatusOK || !c.done || strings.Count(c.text, engine.Digest(prompt)) != tokens {
-			t.Errorf("%s through %s: status %d, whole %v, %d of %d tokens: %s", prompt, e.name, c.status, c.done, strings.Count(c.text, engine.Digest(prompt)), tokens, tail(c.raw))
+			t.Errorf("%s through %s: status %d, complete %v, %d of %d tokens: %s", prompt, e.name, c.status, c.done, strings.Count(c.text, engine.Digest(prompt)), tokens, tail(c.raw))
 			return
 		}
 	}
--- a/rollout_test.go
+++ b/rollout_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// A new weight version is rolled out while callers work and the process that
-// gives the orders is frozen and comes back late. More than two loads at once
-// would slow all of them, and a server that got two orders would be out of
-// work twice; a user would notice slow first tokens or answers of two versions.
-func TestRolloutUnderAFrozenGiver(t *testing.T) {
+// A new weight version is rolled out while the entry that gives the orders is suspended
+// and resumed later. More than two loads at once would slow down all of them, and a
+// server that got two orders would be unavailable twice. Users would get slow first
+// tokens or answers of two versions.
+func TestRolloutWithASuspendedOrderHolder(t *testing.T) {
 	f := newFleet(t, 3, 3)
 	f.startNodes()
 	weights := f.startStandin("weights-1", "weights", "[weights]\nload-time = \"1s\"\nfull-speed-loads = 2\n[weights.versions]\n\"draft/v1\" = 1000\n\"draft/v2\" = 1000\n")
@@ -28,13 +28,13 @@
 	}
 
 	f.accepted(f.entries[0], "roll-out", "/models/draft", "weight-version = \"v2\"\n")
-	var frozen sync.WaitGroup
-	frozen.Go(func() {
+	var suspensions sync.WaitGroup
+	suspensions.Go(func() {
 		for _, e := range f.entries {
-			f.freeze(e, 7*time.Second)
+			f.suspend(e, 7*time.Second)
 		}
 	})
-	eventually(t, "every engine holds the new version", func() bool {
+	eventually(t, "every engine has the new version", func() bool {
 		n := 0
 		for _, e := range f.engines {
 			if f.holds(e, "draft@v2") {
@@ -43,16 +43,16 @@
 		}
 		return n == len(f.engines)
 	})
-	frozen.Wait()
-	if most := getJSON[int](t, weights.url()+"/standin/most-at-once"); most > 2 {
-		t.Errorf("%d weight loads ran at once", most)
+	suspensions.Wait()
+	if maxLoads := getJSON[int](t, weights.url()+"/standin/most-at-once"); maxLoads > 2 {
+		t.Errorf("%d weight loads ran at once", maxLoads)
 	}
 	for _, e := range f.entries {
 		f.serves(e, gateKey, "draft")
 	}
 }
 
-// holds asks the entries that answer whether a server holds a model's version.
+// holds returns whether a server holds a model's version, according to any entry that answers.
 func (f *fleet) holds(server *host, holding string) bool {
 	for _, e := range f.entries {
 		a := call{method: http.MethodGet, url: e.url() + "/readyz"}
--- a/settings_test.go
+++ b/settings_test.go
@@ -19,7 +19,7 @@
 // plant is the branch that the edits of these tests change.
 const plant = "/settings/workspaces/plant"
 
-// edited is what an entry answered to an edit.
+// edited is an entry's answer to an edit.
 type edited struct {
 	Outcome  string `json:"outcome"`
 	Revision uint64 `json:"revision"`
@@ -42,7 +42,7 @@
 	return x
 }
 
-// accept sends an edit until an entry says that it is accepted, always under the same id.
+// accept sends an edit with the same ID until an entry accepts it.
 func (f *fleet) accept(e *host, path, id string, base uint64, body string) edited {
 	f.t.Helper()
 	var x edited
@@ -56,7 +56,7 @@
 	return x
 }
 
-// revision returns what an entry reads as the newest revision, 0 while it can't.
+// revision returns the newest revision that an entry reads, 0 while it can't read it.
 func revision(e *host) uint64 {
 	a := call{method: http.MethodGet, url: e.url() + "/settings/fleet", key: operatorKey}.do()
 	var n uint64
@@ -89,14 +89,14 @@
 	a, b := f.entries[0], f.entries[1]
 	t.Run("race", func(t *testing.T) { raceThroughTwoEntries(t, a, b) })
 	t.Run("verbs", func(t *testing.T) { verbsAgainstAnEntry(t, a) })
-	t.Run("frozen entry", func(t *testing.T) { frozenEntry(t, f, a, b) })
-	t.Run("frozen leaders", func(t *testing.T) { frozenLeaders(t, f) })
-	t.Run("late replica", func(t *testing.T) { lateReplica(t, f) })
+	t.Run("suspended entry", func(t *testing.T) { suspendedEntry(t, f, a, b) })
+	t.Run("suspended leaders", func(t *testing.T) { suspendedLeaders(t, f) })
+	t.Run("lagging replica", func(t *testing.T) { laggingReplica(t, f) })
 	t.Run("no quorum", func(t *testing.T) { withoutQuorum(t, f) })
 }
 
-// Operators send edits against the same number through two entries at once.
-// One may win; a second winner would overwrite what it never saw.
+// Operators send edits against the same revision through two entries at once. Only one
+// may be accepted; a second one would overwrite a change that its operator never saw.
 func raceThroughTwoEntries(t *testing.T, a, b *host) {
 	base := revision(a)
 	results := make([]edited, 8)
@@ -111,9 +111,9 @@
 	for i, x := range results {
 		if x.Outcome == "accepted" {
 			won++
-			again := edit([]*host{b, a}[i%2], plant, fmt.Sprint("race-", i), base, priority(10+i))
-			if !again.Repeated || again.Revision != x.Revision {
-				t.Errorf("sent again through the other entry: %+v", again)
+			resent := edit([]*host{b, a}[i%2], plant, fmt.Sprint("race-", i), base, priority(10+i))
+			if !resent.Repeated || resent.Revision != x.Revision {
+				t.Errorf("resent through the other entry: %+v", resent)
 			}
 			continue
 		}
@@ -126,8 +126,8 @@
 	}
 }
 
-// The command line is what operators type: it must reach any entry, tell what
-// became of an edit, and end with the exit code that scripts go by.
+// The command line must work with any entry, print the outcome of an edit, and end with
+// the exit code that scripts rely on.
 func verbsAgainstAnEntry(t *testing.T, e *host) {
 	for _, c := range []struct {
 		arguments string
@@ -152,32 +152,31 @@
 	}
 }
 
-// An entry VM freezes while an operator takes a workspace's key away, and goes
-// on after the edit is in force. For callers with that key it must not be the
-// door that was forgotten.
-func frozenEntry(t *testing.T, f *fleet, a, b *host) {
+// An entry VM is suspended while an operator revokes a workspace's key, and resumed after
+// the edit is in force. It must not serve callers with that key.
+func suspendedEntry(t *testing.T, f *fleet, a, b *host) {
 	f.processes[b.name].signal(syscall.SIGSTOP)
 	x := f.accept(a, plant+"?wait=in-force", "revoke", revision(a), "key-digests = []\n")
 	if !x.InForce {
-		t.Fatalf("not in force while an entry is frozen: %s", x.body)
+		t.Fatalf("not in force while an entry is suspended: %s", x.body)
 	}
 	waiting := sendUnread(t, b, plantKey, 40)
 	f.processes[b.name].signal(syscall.SIGCONT)
 	for _, c := range waiting {
 		if status := readStatus(t, c); status == http.StatusOK {
-			t.Error("served with a key that was taken away before")
+			t.Error("a pending request was served with a revoked key")
 		}
 	}
 	f.serves(b, gateKey, "draft")
 	if c := complete(b, plantKey, "draft", "am I still let in?", 1); c.status == http.StatusOK {
-		t.Errorf("served with a key that was taken away: %s", c.raw)
+		t.Errorf("served with a revoked key: %s", c.raw)
 	}
 	key := fmt.Sprintf("key-digests = [%q]\n", digest.Of(plantKey))
 	f.accept(a, plant, "give-back", revision(a), key)
 	f.serves(b, plantKey, "draft")
 }
 
-// sendUnread sends requests whole to an entry that may be frozen, so that they are the first that it finds when it goes on.
+// sendUnread sends complete requests to an entry that may be suspended, so that it reads them first when it resumes.
 func sendUnread(t *testing.T, e *host, key string, n int) []net.Conn {
 	t.Helper()
 	all := make([]net.Conn, n)
@@ -207,31 +206,31 @@
 	return r.StatusCode
 }
 
-// The leading control VM is frozen for more than a lease while operators edit,
-// and goes on; then the one that leads by then. It must not bring an older
-// revision back to anybody, nor keep the others from accepting, the one that
-// has only just come back among them.
-func frozenLeaders(t *testing.T, f *fleet) {
+// The leading control VM is suspended for longer than a lease while operators edit, and
+// resumed; then the next leader, and so on. A resumed replica must not serve an older
+// revision, nor keep the others, including one that was resumed just before, from
+// accepting edits.
+func suspendedLeaders(t *testing.T, f *fleet) {
 	for i := range 3 {
 		c := f.leader()
 		p := f.processes[c.name]
 		p.signal(syscall.SIGSTOP)
-		last := editsFor(t, f, 6*time.Second, fmt.Sprint("frozen-", i))
+		last := editsFor(t, f, 6*time.Second, fmt.Sprint("suspended-", i))
 		p.signal(syscall.SIGCONT)
 		if last == 0 {
-			t.Errorf("no edit was accepted while %s was frozen", c.name)
+			t.Errorf("no edit was accepted while %s was suspended", c.name)
 		}
 		for range 100 {
 			for _, e := range f.entries {
 				if r := revision(e); r != 0 && r < last {
-					t.Fatalf("%s reads revision %d after %d once %s went on", e.name, r, last, c.name)
+					t.Fatalf("%s reads revision %d after %d once %s was resumed", e.name, r, last, c.name)
 				}
 			}
 		}
 	}
 }
 
-// leader returns the replica that was elected in the highest term, by what the replicas log.
+// leader returns the replica that was elected in the highest term according to the replicas' logs.
 func (f *fleet) leader() *host {
 	var leader *host
 	highest := -1
@@ -246,12 +245,12 @@
 		}
 	}
 	if leader == nil {
-		f.t.Fatal("no replica logged that it leads")
+		f.t.Fatal("no replica logged that it was elected")
 	}
 	return leader
 }
 
-// editsFor edits through all entries in turn and returns the last accepted revision, 0 for none.
+// editsFor sends edits through all entries in turn for the given time and returns the last accepted revision, 0 for none.
 func editsFor(t *testing.T, f *fleet, d time.Duration, name string) uint64 {
 	last := uint64(0)
 	until := time.Now().Add(d)
@@ -270,13 +269,13 @@
 	return last
 }
 
-// A control VM misses hundreds of edits, comes back, and another one is lost
-// at once. No accepted edit may be lost with it, and an operator whose answer
-// was lost at the beginning still gets the first outcome.
-func lateReplica(t *testing.T, f *fleet) {
+// A control VM misses hundreds of edits and restarts, and another one is lost right
+// after it has caught up. No accepted edit may be lost. An operator who lost the answer
+// to the first edit and resends it must still get the first outcome.
+func laggingReplica(t *testing.T, f *fleet) {
 	const edits = 300
-	late, lost := f.controls[2], f.controls[0]
-	f.processes[late.name].kill()
+	lagging, lost := f.controls[2], f.controls[0]
+	f.processes[lagging.name].kill()
 	e := f.entries[0]
 	var first, last edited
 	firstBase := uint64(0)
@@ -287,25 +286,25 @@
 			first = last
 		}
 	}
-	f.startControl(late)
-	eventually(t, "the late replica has caught up", func() bool {
-		return strings.Contains(f.processes[late.name].output.String(), "process-started") && revision(f.entries[1]) == last.Revision
+	f.startControl(lagging)
+	eventually(t, "the lagging replica has caught up", func() bool {
+		return strings.Contains(f.processes[lagging.name].output.String(), "process-started") && revision(f.entries[1]) == last.Revision
 	})
 	f.processes[lost.name].kill()
-	eventually(t, "the late replica and the other one answer", func() bool { return revision(e) != 0 })
+	eventually(t, "the lagging replica and the remaining one answer", func() bool { return revision(e) != 0 })
 	if r := revision(f.entries[1]); r != last.Revision {
 		t.Errorf("revision %d after %d", r, last.Revision)
 	}
-	again := f.accept(f.entries[1], plant, "hundreds-0", firstBase, priority(0))
-	if !again.Repeated || again.Revision != first.Revision {
-		t.Errorf("sent again: %+v, first %+v", again, first)
+	resent := f.accept(f.entries[1], plant, "hundreds-0", firstBase, priority(0))
+	if !resent.Repeated || resent.Revision != first.Revision {
+		t.Errorf("resent: %+v, first %+v", resent, first)
 	}
 	f.startControl(lost)
 }
 
-// Two of three control VMs are lost. No entry can know whether its settings
-// are still the newest: within a lease each refuses new work, says that
-// nothing ran and fails its readiness check. When one VM is back, they are too.
+// Two of three control VMs are lost, so no entry can know whether its settings are still
+// the newest. Within the duration of a lease each entry refuses new work with the verdict
+// not-run and fails its readiness check. When one VM is back, the entries serve again.
 func withoutQuorum(t *testing.T, f *fleet) {
 	for _, c := range f.controls[:2] {
 		f.processes[c.name].kill()
--- a/start_errors_test.go
+++ b/start_errors_test.go
@@ -11,7 +11,7 @@
 	"hornbeamwood/internal/node/keys"
 )
 
-// replaceIn changes a text in a node file.
+// replaceIn replaces a text in a node file.
 func (f *fleet) replaceIn(h *host, old, new string) {
 	f.t.Helper()
 	b, err := os.ReadFile(h.file)
@@ -24,7 +24,7 @@
 	f.write(h.file, strings.Replace(string(b), old, new, 1))
 }
 
-// fails runs a program that must end by itself and returns its exit code and what it printed.
+// fails runs a program that must end by itself and returns its exit code and output.
 func fails(t *testing.T, arguments ...string) (int, string) {
 	t.Helper()
 	p := start(t, strings.Join(arguments[:1], " "), "hornbeamwood", arguments...)
@@ -32,15 +32,15 @@
 	return p.command.ProcessState.ExitCode(), p.output.String()
 }
 
-// An operator sets a VM up with a file or a folder of another one. The process
-// must not start on it, because it would answer for the other or damage its
-// state; what it prints must name what is wrong.
-func TestWrongSetUpIsAClearError(t *testing.T) {
+// An operator configures a VM with a file or a folder of another one. The process must
+// not start, because it would act in the other's name or damage its state. Its output
+// must name the error.
+func TestWrongSetupIsAClearError(t *testing.T) {
 	f := newFleet(t, 3, 1)
 	first, second := f.controls[0], f.controls[1]
 	f.startControl(first)
 	folder := filepath.Join(f.folder, "data-"+first.name)
-	eventually(t, "the data folder is there", func() bool {
+	eventually(t, "the data folder exists", func() bool {
 		files, err := os.ReadDir(folder)
 		return err == nil && len(files) > 0
 	})
@@ -80,7 +80,7 @@
 	})
 }
 
-// The tour that the README names must work on any machine, without set-up.
+// The demo in the README must work on any machine without configuration.
 func TestDemoOnce(t *testing.T) {
 	p := start(t, "demo", "hornbeamwood", "demo", "--once", "--listen", network()+".1:8080")
 	<-p.ended
