--- /dev/null
+++ b/internal/process/sitecontrol/store_epochs.go
@@ -0,0 +1,56 @@
+package sitecontrol
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"hornbeamwood/internal/base/wait"
+	"hornbeamwood/internal/site/document"
+	"hornbeamwood/internal/site/topic"
+)
+
+// followEpochs starts and ends the restart checks of the stores; the caller holds l.mu.
+func (l *storeFollower) followEpochs(ctx context.Context, all *sync.WaitGroup, wanted map[string]document.Store) {
+	for a := range wanted {
+		if _, ok := l.restartChecks[a]; ok {
+			continue
+		}
+		following, cancel := context.WithCancel(ctx)
+		l.restartChecks[a] = cancel
+		all.Go(func() { l.watchEpoch(following, a) })
+	}
+	for a, cancel := range l.restartChecks {
+		if _, ok := wanted[a]; !ok {
+			cancel()
+			delete(l.restartChecks, a)
+		}
+	}
+}
+
+// watchEpoch shows which start of a store answers, until ctx ends.
+//
+// An entry keeps using the last lease holder's rows of the stores until another replica
+// holds the lease. A store that restarts meanwhile is empty, and parts that are saved to
+// it again aren't whole yet. The entry must therefore learn of the restart from replicas
+// that don't hold the lease.
+func (l *storeFollower) watchEpoch(ctx context.Context, address string) {
+	next := int64(0)
+	for ctx.Err() == nil {
+		polling, cancel := context.WithTimeout(ctx, eventsTimeout)
+		f, err := l.client.Events(polling, address, next, eventsWait)
+		cancel()
+		if ctx.Err() != nil {
+			return
+		}
+		if err != nil {
+			f.Epoch = 0
+		} else {
+			l.starts.record(address, f.Epoch, time.Now())
+		}
+		l.clock.Observe(f.Clock)
+		next = f.Next
+		l.put(topic.Epochs, address, f.Epoch)
+		wait.For(ctx, epochPause)
+	}
+}
