--- a/internal/process/sitecontrol/announcements.go
+++ b/internal/process/sitecontrol/announcements.go
@@ -69,7 +69,7 @@
 	a.mu.Unlock()
 	event.ServerAnnounced.Write(a.logger, log.Fields{
 		"server": s.ID, "service": s.Service, "address": s.Address, "zone": s.Zone, "born": s.StartedAt,
-		"sequence": s.Sequence, "state": s.State.String(), "silent": s.Silent, "home": s.Home,
+		"sequence": s.Sequence, "state": s.State.String(), "silent": s.Silent, "home": s.HomeReplica,
 	})
 	return a.show(s)
 }
@@ -82,7 +82,7 @@
 // shown, so this is the only place where the later announcement is shown.
 func (a *announcements) contradict(s directory.Server) {
 	known, ok := a.directory.Get(s.ID)
-	if ok && known.Home == a.home && !known.Silent && known.Sequence > s.Sequence {
+	if ok && known.HomeReplica == a.home && !known.Silent && known.Sequence > s.Sequence {
 		a.show(known)
 	}
 }
@@ -98,7 +98,7 @@
 
 // announce records a server's announcement.
 func (a *announcements) announce(ctx context.Context, s directory.Server) error {
-	s.Home, s.Silent = a.home, false
+	s.HomeReplica, s.Silent = a.home, false
 	if s.State != directory.Ready {
 		return a.leave(ctx, s)
 	}
@@ -186,12 +186,12 @@
 // silent returns whether announcements of the server have stopped coming.
 func (a *announcements) silent(s directory.Server, now time.Time) bool {
 	bound := time.Duration(missedHeartbeats * float64(a.heartbeat))
-	if s.Home == a.home {
+	if s.HomeReplica == a.home {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		return now.Sub(a.lastAnnounced[s.ID]) > bound
 	}
-	ago, ok := a.sinceContact(s.Home)
+	ago, ok := a.sinceContact(s.HomeReplica)
 	if now.Sub(a.resumedAt) < orphanTimeout {
 		return false
 	}
--- a/internal/process/sitecontrol/control.go
+++ b/internal/process/sitecontrol/control.go
@@ -157,7 +157,7 @@
 		caughtUp: func() bool { return p.replica.Status().CaughtUp }, siteEntries: func() int { return p.watchServer.Entries() }, logger: p.config.Logger,
 	})
 	server := watch.NewServer(watch.Config{
-		Method: watch.Watch, Zone: p.config.Host.Zone, Excluded: topic.NotRelayed, Node: p.node, Table: p.table,
+		Method: watch.Watch, Zone: p.config.Host.Zone, Excluded: topic.RelayedOnly, Node: p.node, Table: p.table,
 		CaughtUp: func() bool { return p.replica.Status().CaughtUp },
 		Holder:   func() (uint64, int64) { return p.leaseHolder.fencingNumber(), p.storeFollower.clock.Now() },
 	})
@@ -204,10 +204,10 @@
 		p.showDocument(h)
 	}
 	for model, version := range p.section.TargetVersions() {
-		p.put(topic.Versions, model, version)
+		p.put(topic.TargetVersions, model, version)
 	}
 	for model, at := range p.section.TargetVersionTimes() {
-		p.put(topic.NamedAt, model, at)
+		p.put(topic.TargetVersionTimes, model, at)
 	}
 }
 
--- a/internal/process/sitecontrol/engine_caches.go
+++ b/internal/process/sitecontrol/engine_caches.go
@@ -54,7 +54,7 @@
 func (c *engineCacheFollower) follow(ctx context.Context, all *sync.WaitGroup) {
 	wanted := map[string]directory.Server{}
 	for _, s := range (weightsSite{c.process}).Engines() {
-		if s.Home == c.config.Host.Internal {
+		if s.HomeReplica == c.config.Host.Internal {
 			wanted[engineStartKey(s)] = s
 		}
 	}
--- a/internal/process/sitecontrol/followed_store.go
+++ b/internal/process/sitecontrol/followed_store.go
@@ -45,7 +45,7 @@
 
 // showPartsRow writes the present state of parts to one row; the caller holds x.mu.
 func (l *storeFollower) showPartsRow(x *followedStore, key string, whole bool, parts []stores.Part) {
-	s := topic.StoreSummary{Address: x.inventory.Address, Listed: time.Now().UnixNano(), Whole: whole}
+	s := topic.StoreSummary{Address: x.inventory.Address, Listed: time.Now().UnixNano(), ReplacesEarlier: whole}
 	for _, p := range parts {
 		if tokens, ok := x.inventory.Fetchable(p); ok {
 			s.Parts = append(s.Parts, p.Hash())
--- a/internal/process/sitecontrol/operator.go
+++ b/internal/process/sitecontrol/operator.go
@@ -59,7 +59,7 @@
 func (p *process) putDocument(ctx context.Context, d document.Document, source []byte) (section.Result, error) {
 	h, ok := p.section.Active()
 	if ok && d.Revision <= h.Document.Revision {
-		return section.Result{Taken: true, Revision: h.Document.Revision}, nil
+		return section.Result{Accepted: true, Revision: h.Document.Revision}, nil
 	}
 	r, err := p.putDelta(ctx, h, d, source)
 	if err == nil && r.MissingChunks {
@@ -101,7 +101,7 @@
 		return section.Result{}, err
 	}
 	r, err := codec.Unmarshal[section.Result](b)
-	if err == nil && !r.Taken {
+	if err == nil && !r.Accepted {
 		err = verdict.New(verdict.Ran, http.StatusInternalServerError, "not-taken", "the control log could not read the change")
 	}
 	return r, err
--- a/internal/process/sitecontrol/relay.go
+++ b/internal/process/sitecontrol/relay.go
@@ -82,12 +82,12 @@
 		peerSums: map[string]share.Sum{}, followedEngines: map[string]map[string]bool{},
 	}
 	noLease := func() (uint64, int64) { return 0, 0 }
-	r.entries = watch.NewServer(watch.Config{Method: watch.Hints, Zone: c.zone, Node: c.node, Table: r.allHints, CaughtUp: c.caughtUp, Holder: noLease, Pause: r.hintsPause})
+	r.entries = watch.NewServer(watch.Config{Method: watch.Hints, Zone: c.zone, Node: c.node, Table: r.allHints, CaughtUp: c.caughtUp, Holder: noLease, RoundInterval: r.hintsPause})
 	watch.NewServer(watch.Config{
 		Method: watch.Exchange, Zone: c.zone, Node: c.node, Table: r.localHints, CaughtUp: c.caughtUp, Holder: noLease,
-		Pause: func(int) time.Duration { return watch.LargeSitePause }, BatchReplicas: true,
+		RoundInterval: func(int) time.Duration { return watch.LargeSiteInterval }, BatchReplicas: true,
 	})
-	r.mirrors = watch.NewMirrors(watch.MirrorsConfig{Node: c.node, Relayed: topic.Relayed, Pause: func(int) time.Duration { return holderStatesPause }})
+	r.mirrors = watch.NewMirrors(watch.MirrorsConfig{Node: c.node, Relayed: topic.Relayed, RoundInterval: func(int) time.Duration { return holderStatesPause }})
 	rpc.Receive(c.node, watch.Loads, func(_ rpc.Peer, l share.Report) { r.loads.Add(l, time.Now()) })
 	rpc.Receive(c.node, watch.Prefills, func(_ rpc.Peer, all []watch.Prefill) { r.applyPrefills(all) })
 	r.follower = watch.NewFollower(watch.FollowerConfig{
@@ -128,7 +128,7 @@
 // siteAdjusted returns the pause, on a large site watch.LargeSitePause at least.
 func (r *relay) siteAdjusted(pause time.Duration) time.Duration {
 	if r.siteEntries() > watch.MaxSingleRelayEntries {
-		return max(pause, watch.LargeSitePause)
+		return max(pause, watch.LargeSiteInterval)
 	}
 	return pause
 }
--- a/internal/process/sitecontrol/store_epochs.go
+++ b/internal/process/sitecontrol/store_epochs.go
@@ -50,7 +50,7 @@
 		}
 		l.clock.Observe(f.Clock)
 		next = f.Next
-		l.put(topic.Epochs, address, f.Epoch)
+		l.put(topic.StoreEpochs, address, f.Epoch)
 		wait.For(ctx, epochPause)
 	}
 }
--- a/internal/process/sitecontrol/store_follower_test.go
+++ b/internal/process/sitecontrol/store_follower_test.go
@@ -207,8 +207,8 @@
 			if len(r.Value) > maxRowBytes {
 				t.Errorf("row %s has %d bytes", r.Key, len(r.Value))
 			}
-			if s.Whole != (shown == 0) {
-				t.Errorf("row %s replaces what was shown before: %v", r.Key, s.Whole)
+			if s.ReplacesEarlier != (shown == 0) {
+				t.Errorf("row %s replaces what was shown before: %v", r.Key, s.ReplacesEarlier)
 			}
 			shown += len(s.Parts)
 		}
--- a/internal/process/siteentry/documents_test.go
+++ b/internal/process/siteentry/documents_test.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	all, err := chunk.Cut(text, func(chunk.Digest) (chunk.Chunk, bool) { return chunk.Chunk{}, false })
+	all, err := chunk.Split(text, func(chunk.Digest) (chunk.Chunk, bool) { return chunk.Chunk{}, false })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/process/siteentry/engine_caches.go
+++ b/internal/process/siteentry/engine_caches.go
@@ -15,7 +15,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		delete(s.engineCaches, r.Key)
-		s.residency.Confirm(r.Key, nil, 0)
+		s.residency.ApplyReport(r.Key, nil, 0)
 		return nil
 	}
 	return decodeRow(r, func(c topic.EngineCache) {
@@ -39,7 +39,7 @@
 	if c.Parts == nil {
 		c.Parts = map[uint64]int{}
 	}
-	s.residency.Confirm(v.ID, c.Parts, c.MinPartTokens)
+	s.residency.ApplyReport(v.ID, c.Parts, c.MinPartTokens)
 }
 
 // clearEngineCaches returns to estimates of what engines have cached. No relay reports it any more, and the
@@ -48,7 +48,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for server := range s.engineCaches {
-		s.residency.Confirm(server, nil, 0)
+		s.residency.ApplyReport(server, nil, 0)
 	}
 	clear(s.engineCaches)
 }
--- a/internal/process/siteentry/entry.go
+++ b/internal/process/siteentry/entry.go
@@ -125,7 +125,7 @@
 			answered := c.Codec.Answer(h).Attempt
 			return answered == "" || answered == attempt
 		},
-		Dialled: dials.Inc,
+		OnDial: dials.Inc,
 	})
 	b := c.Host.Bounds
 	p.budget = retry.NewBudget(retry.Terms{Ratio: b.RetryRatio, Window: b.RetryWindow, Slack: b.RetrySlack})
--- a/internal/process/siteentry/holder_state.go
+++ b/internal/process/siteentry/holder_state.go
@@ -156,7 +156,7 @@
 		return l.applyPart(r)
 	case topic.StoreSummaries:
 		return decodeRow(r, l.applyStoreSummary)
-	case topic.Epochs:
+	case topic.StoreEpochs:
 		return decodeRow(r, func(epoch int64) { l.storeEpochs[r.Key] = epoch })
 	case topic.StoresUp:
 		return decodeRow(r, func(up bool) { l.storesUp[r.Key] = up })
@@ -308,8 +308,8 @@
 	s.recentSaves[p] = now
 }
 
-// FetchUntil implements caller.Site.
-func (s *site) FetchUntil() int64 {
+// FetchDeadline implements caller.Site.
+func (s *site) FetchDeadline() int64 {
 	now := s.clock.Now()
 	if now == 0 {
 		return 0
--- a/internal/process/siteentry/holder_state_test.go
+++ b/internal/process/siteentry/holder_state_test.go
@@ -33,7 +33,7 @@
 	s.apply("old", watch.Answer{Epoch: 1, Fencing: 4, CaughtUp: true, Rows: []rowtable.Row{
 		row(t, topic.Parts, stores.Part{Salt: "m/1", ID: "p"}.AtStore("1:1").Key(), 300),
 		row(t, topic.StoresUp, "1:1", true),
-		row(t, topic.Epochs, "1:1", int64(7)),
+		row(t, topic.StoreEpochs, "1:1", int64(7)),
 	}})
 	return s
 }
@@ -53,11 +53,11 @@
 	if fetchable() {
 		t.Error("the part is used though no replica confirms that the store still runs")
 	}
-	s.apply("other", watch.Answer{Epoch: 1, Rows: []rowtable.Row{row(t, topic.Epochs, "1:1", int64(7))}})
+	s.apply("other", watch.Answer{Epoch: 1, Rows: []rowtable.Row{row(t, topic.StoreEpochs, "1:1", int64(7))}})
 	if !fetchable() {
 		t.Error("the part is not used though another replica confirms the store's incarnation")
 	}
-	s.apply("other", watch.Answer{Epoch: 1, Rows: []rowtable.Row{row(t, topic.Epochs, "1:1", int64(8))}})
+	s.apply("other", watch.Answer{Epoch: 1, Rows: []rowtable.Row{row(t, topic.StoreEpochs, "1:1", int64(8))}})
 	if fetchable() {
 		t.Error("the part is used though the store has restarted")
 	}
@@ -66,7 +66,7 @@
 // Two replicas claim the lease; one of them has been superseded and doesn't know.
 func TestHigherFencingNumberCounts(t *testing.T) {
 	s := newSiteWithStore(t)
-	s.apply("new", watch.Answer{Epoch: 1, Fencing: 5, Rows: []rowtable.Row{row(t, topic.StoresUp, "1:1", true), row(t, topic.Epochs, "1:1", int64(7))}})
+	s.apply("new", watch.Answer{Epoch: 1, Fencing: 5, Rows: []rowtable.Row{row(t, topic.StoresUp, "1:1", true), row(t, topic.StoreEpochs, "1:1", int64(7))}})
 	s.apply("old", watch.Answer{Epoch: 1, Fencing: 4})
 	if len(s.Copies("m/1", "p", 300)) != 0 {
 		t.Error("the superseded holder's state is used")
--- a/internal/process/siteentry/reports.go
+++ b/internal/process/siteentry/reports.go
@@ -56,7 +56,7 @@
 		return
 	}
 	if x, ok := t.Service(v.Service); ok && x.Engine != nil {
-		s.residency.Note(r.Server, r.Salt, r.Part, r.Tokens, x.Engine.CapacityTokens, time.Now())
+		s.residency.RecordSent(r.Server, r.Salt, r.Part, r.Tokens, x.Engine.CapacityTokens, time.Now())
 	}
 }
 
@@ -111,7 +111,7 @@
 func (p *process) scaledInterval(d time.Duration) time.Duration {
 	d *= time.Duration(1 + p.hints.servedEntries()/entriesPerInterval)
 	if p.site.manyEntries() {
-		return max(d, watch.LargeSitePause)
+		return max(d, watch.LargeSiteInterval)
 	}
 	return d
 }
--- a/internal/process/siteentry/site.go
+++ b/internal/process/siteentry/site.go
@@ -150,11 +150,11 @@
 		return decodeRow(r, func(m []string) { s.applyMembers(address, m) })
 	case topic.Weights:
 		return decodeRow(r, func(l topic.LoadedWeights) { s.applyLoadedWeights(r.Key, l) })
-	case topic.Parts, topic.StoreSummaries, topic.StoresUp, topic.Busy, topic.Epochs:
+	case topic.Parts, topic.StoreSummaries, topic.StoresUp, topic.Busy, topic.StoreEpochs:
 		return s.applyHolderRow(address, r)
-	case topic.Versions:
+	case topic.TargetVersions:
 		return decodeRow(r, func(v int64) { s.applyTargetVersion(r.Key, v) })
-	case topic.NamedAt:
+	case topic.TargetVersionTimes:
 		return decodeRow(r, func(at int64) { s.applyTargetVersionTime(r.Key, at) })
 	}
 	// The topic comes from a newer replica version.
@@ -211,7 +211,7 @@
 		s.confirmEngineCache(v)
 		event.ServerAnnounced.Write(s.logger, log.Fields{
 			"server": v.ID, "service": v.Service, "address": v.Address, "zone": v.Zone, "born": v.StartedAt,
-			"sequence": v.Sequence, "state": v.State.String(), "silent": v.Silent, "home": v.Home,
+			"sequence": v.Sequence, "state": v.State.String(), "silent": v.Silent, "home": v.HomeReplica,
 		})
 	}
 }
--- a/internal/process/siteentry/site_test.go
+++ b/internal/process/siteentry/site_test.go
@@ -50,7 +50,7 @@
 	s := newDiscardSite()
 	now := time.Now()
 	s.applyServer(directory.Server{ID: "a", StartedAt: 1, Service: "x", Address: "a:1"})
-	s.residency.Note("a", "m/1", "part", 3000, 90_000, now)
+	s.residency.RecordSent("a", "m/1", "part", 3000, 90_000, now)
 	if err := s.applyRow("r", rowtable.Row{Topic: topic.Servers, Key: "a"}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/process/siteentry/store_parts.go
+++ b/internal/process/siteentry/store_parts.go
@@ -21,7 +21,7 @@
 // applyStoreSummary applies a summary of a store's listing.
 func (l *holderState) applyStoreSummary(s topic.StoreSummary) {
 	store := stores.ShortAddress(s.Address)
-	if s.Whole && l.usedTokens[store] > 0 {
+	if s.ReplacesEarlier && l.usedTokens[store] > 0 {
 		for part, held := range l.parts {
 			if _, ok := held[store]; ok {
 				l.remove(stores.PartLocation{Store: store, Part: part})
--- a/internal/process/siteentry/store_summary_test.go
+++ b/internal/process/siteentry/store_summary_test.go
@@ -13,7 +13,7 @@
 
 // storeSummary returns the row of a store that contains the parts with these sizes in tokens.
 func storeSummary(whole bool, sizes map[string]int) topic.StoreSummary {
-	s := topic.StoreSummary{Address: "1:1", Whole: whole}
+	s := topic.StoreSummary{Address: "1:1", ReplacesEarlier: whole}
 	for id, tokens := range sizes {
 		s.Parts = append(s.Parts, stores.Part{Salt: "m/1", ID: id}.Hash())
 		s.Tokens = append(s.Tokens, uint32(tokens))
--- a/internal/serve/backend/client.go
+++ b/internal/serve/backend/client.go
@@ -29,8 +29,8 @@
 type Config struct {
 	// Belongs returns whether a response belongs to the attempt; one that does not is skipped.
 	Belongs func(attempt string, h http.Header) bool
-	// Dialled, if set, is called for each new connection.
-	Dialled func()
+	// OnDial, if set, is called for each new connection.
+	OnDial func()
 }
 
 // Client sends requests to servers.
@@ -175,8 +175,8 @@
 func (l *client) dial(ctx context.Context, t Target, deadline time.Time) (*conn, error) {
 	ctx, cancel := context.WithDeadline(ctx, wait.Earlier(deadline, time.Now().Add(dialTimeout)))
 	defer cancel()
-	if l.config.Dialled != nil {
-		l.config.Dialled()
+	if l.config.OnDial != nil {
+		l.config.OnDial()
 	}
 	c, err := tcp.Dial(ctx, t.Address)
 	if err != nil {
--- a/internal/serve/caller/choose.go
+++ b/internal/serve/caller/choose.go
@@ -200,8 +200,8 @@
 	stored := len(all) > 0
 	for _, h := range j.Residency.Holders(salt, p.ID, p.Tokens, now) {
 		s, ok := j.Site.Server(h.Server)
-		assumed := !h.Since.IsZero()
-		if !ok || s.Silent || assumed && (stored || now.Sub(h.Since) < assumedPrefillTime) {
+		assumed := !h.SentAt.IsZero()
+		if !ok || s.Silent || assumed && (stored || now.Sub(h.SentAt) < assumedPrefillTime) {
 			continue
 		}
 		all = append(all, choose.Copy{
@@ -269,7 +269,7 @@
 // prepare sets what is determined only when the request is sent: the stores that save its
 // parts, and the deadline of its fetches.
 func (j *job) prepare(d *request.Dispatch, version int64) {
-	if d.FetchDeadline = j.Site.FetchUntil(); d.FetchDeadline == 0 {
+	if d.FetchDeadline = j.Site.FetchDeadline(); d.FetchDeadline == 0 {
 		d.Fetch = nil
 	}
 	parts := j.request.Prompt.Parts
@@ -290,7 +290,7 @@
 func (j *job) recordParts(s directory.Server, salt string, e document.Engine, from string, now time.Time) {
 	parts := j.request.Prompt.Parts
 	for i, p := range parts[:max(0, len(parts)-1)] {
-		j.Residency.Note(s.ID, salt, p.ID, p.Tokens, e.CapacityTokens, now)
+		j.Residency.RecordSent(s.ID, salt, p.ID, p.Tokens, e.CapacityTokens, now)
 		if from[i] == 'r' && p.Tokens >= longPartTokens {
 			j.Site.ReportPrefill(salt, p.ID, p.Tokens, s.ID)
 		}
--- a/internal/serve/caller/config.go
+++ b/internal/serve/caller/config.go
@@ -72,9 +72,9 @@
 	// StoreStateAge returns the age of the store inventories that Copies uses, negative if there
 	// are none.
 	StoreStateAge() time.Duration
-	// FetchUntil returns the deadline, on the servers' clock, of a fetch that starts now, zero if
+	// FetchDeadline returns the deadline, on the servers' clock, of a fetch that starts now, zero if
 	// it cannot be determined.
-	FetchUntil() int64
+	FetchDeadline() int64
 	// Entries returns how many entries share the servers.
 	Entries() int
 }
--- a/internal/serve/caller/deadline.go
+++ b/internal/serve/caller/deadline.go
@@ -13,7 +13,7 @@
 // server has even less time for it. If the budget allows no retry, it would be wasted for
 // nothing.
 func (j *job) attemptDeadline(now time.Time) time.Time {
-	if !j.route.Repeatable() || j.runs+1 >= j.route.MaxAttempts || !j.Budget.Available(j.service.Name, now) {
+	if !j.route.Retryable() || j.runs+1 >= j.route.MaxAttempts || !j.Budget.Available(j.service.Name, now) {
 		return j.deadline
 	}
 	first := firstAttemptTimeout(j.route)
--- a/internal/serve/caller/engine_wait.go
+++ b/internal/serve/caller/engine_wait.go
@@ -106,8 +106,8 @@
 // queueItem returns the queue item of the request.
 func (j *job) queueItem() waitqueue.Item {
 	last := j.deadline
-	if j.route.Silence > 0 {
-		last = wait.Earlier(last, j.arrived.Add(j.route.Silence))
+	if j.route.CallerEventTimeout > 0 {
+		last = wait.Earlier(last, j.arrived.Add(j.route.CallerEventTimeout))
 	}
 	return waitqueue.Item{
 		Rank:   waitqueue.Rank{TargetTime: j.arrived.Add(j.route.LatencyTarget - min(expectedFirstEvent, j.route.LatencyTarget/2)), Urgency: j.urgency()},
--- a/internal/serve/caller/engine_wait_test.go
+++ b/internal/serve/caller/engine_wait_test.go
@@ -33,7 +33,7 @@
 	now := time.Now()
 	j := &job{
 		gateway: &gateway{Config: Config{Site: s}}, arrived: now, deadline: now.Add(15 * time.Second),
-		route:   document.Route{LatencyTarget: time.Second, Silence: silence},
+		route:   document.Route{LatencyTarget: time.Second, CallerEventTimeout: silence},
 		request: request.Request{Prompt: &request.Prompt{Tokens: 12_000, Output: 400}},
 	}
 	j.awaitStores(t.Context())
--- a/internal/serve/caller/fake_test.go
+++ b/internal/serve/caller/fake_test.go
@@ -122,7 +122,7 @@
 func (s *fakeSite) ObserveVersion(string, string, int64)      {}
 func (s *fakeSite) Copies(string, string, int) []choose.Copy  { return nil }
 func (s *fakeSite) SaveTarget(string, string, int) string     { return "" }
-func (s *fakeSite) FetchUntil() int64                         { return 0 }
+func (s *fakeSite) FetchDeadline() int64                      { return 0 }
 func (s *fakeSite) Entries() int                              { return 1 }
 
 // script responds to one request on a connection and returns whether the connection stays
--- a/internal/serve/caller/gateway.go
+++ b/internal/serve/caller/gateway.go
@@ -42,7 +42,7 @@
 		return
 	}
 	ctx := q.Context()
-	if !j.route.Repeatable() && j.route.Kind != document.Streaming {
+	if !j.route.Retryable() && j.route.Kind != document.Streaming {
 		// The request may run only once. If it were stopped half-way, it would be unknown whether it
 		// ran.
 		ctx = context.WithoutCancel(ctx)
--- a/internal/serve/caller/job.go
+++ b/internal/serve/caller/job.go
@@ -136,7 +136,7 @@
 		return false
 	case j.runs >= max(1, j.route.MaxAttempts):
 		return false
-	case j.verdict != verdict.NotRun && !j.route.Repeatable():
+	case j.verdict != verdict.NotRun && !j.route.Retryable():
 		return false
 	case j.sends == 0:
 		return true
--- a/internal/site/chunk/chunk_test.go
+++ b/internal/site/chunk/chunk_test.go
@@ -27,7 +27,7 @@
 	properties.Property("joining the chunks of a text returns the text", prop.ForAll(
 		func(n int, seed uint64) bool {
 			text := randomRecords(n, seed)
-			all, err := Cut(text, findNone)
+			all, err := Split(text, findNone)
 			if err != nil {
 				return false
 			}
@@ -43,7 +43,7 @@
 func TestVersionsShareChunks(t *testing.T) {
 	before := randomRecords(4000, 7)
 	known := map[Digest]Chunk{}
-	all, err := Cut(before, findNone)
+	all, err := Split(before, findNone)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 	for name, at := range map[string]int{"start": 0, "middle": len(before) / 2, "end": len(before)} {
 		after := bytes.Join([][]byte{before[:at], []byte("something else"), before[at:]}, nil)
 		missing := 0
-		if _, err := Cut(after, func(d Digest) (Chunk, bool) {
+		if _, err := Split(after, func(d Digest) (Chunk, bool) {
 			c, ok := known[d]
 			if !ok {
 				missing++
@@ -69,7 +69,7 @@
 }
 
 func TestJoinRefusesContentThatDoesNotMatchItsDigest(t *testing.T) {
-	all, err := Cut(randomRecords(500, 3), findNone)
+	all, err := Split(randomRecords(500, 3), findNone)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/site/chunk/split.go
+++ b/internal/site/chunk/split.go
@@ -22,8 +22,8 @@
 // Finder returns an existing chunk by its digest.
 type Finder func(Digest) (Chunk, bool)
 
-// Cut returns the chunks of a text. Chunks that find returns are not compressed again.
-func Cut(text []byte, find Finder) ([]Chunk, error) {
+// Split returns the chunks of a text. Chunks that find returns are not compressed again.
+func Split(text []byte, find Finder) ([]Chunk, error) {
 	splitter := chunker.NewWithBoundaries(bytes.NewReader(text), polynomial, minBytes, maxBytes)
 	splitter.SetAverageBits(averageBits)
 	w, err := flate.NewWriter(nil, flate.DefaultCompression)
--- a/internal/site/directory/server.go
+++ b/internal/site/directory/server.go
@@ -31,8 +31,8 @@
 	WarmUp time.Duration
 	// Models are the weights that it has loaded.
 	Models []Weights
-	// Home is the control replica to which it announces itself.
-	Home string
+	// HomeReplica is the control replica to which it announces itself.
+	HomeReplica string
 }
 
 // Weights is a model with the version of its weights.
@@ -99,5 +99,5 @@
 		}
 	}
 	return s.ID == other.ID && s.StartedAt == other.StartedAt && s.Service == other.Service && s.Address == other.Address && s.Zone == other.Zone &&
-		s.Slots == other.Slots && s.State == other.State && s.Silent == other.Silent && s.Home == other.Home && (s.WarmUp > 0) == (other.WarmUp > 0)
+		s.Slots == other.Slots && s.State == other.State && s.Silent == other.Silent && s.HomeReplica == other.HomeReplica && (s.WarmUp > 0) == (other.WarmUp > 0)
 }
--- a/internal/site/document/document_test.go
+++ b/internal/site/document/document_test.go
@@ -21,7 +21,7 @@
 // Guards against activating a document with an unknown service or two routes with the same host
 // and prefix: every request of such a route would be refused, or routed arbitrarily.
 func TestInvalidDocuments(t *testing.T) {
-	if err := valid().Check(); err != nil {
+	if err := valid().Validate(); err != nil {
 		t.Fatal(err)
 	}
 	mutations := map[string]func(*Document){
@@ -37,7 +37,7 @@
 	for name, invalidate := range mutations {
 		d := valid()
 		invalidate(&d)
-		if err := d.Check(); !errors.Is(err, ErrInvalid) {
+		if err := d.Validate(); !errors.Is(err, ErrInvalid) {
 			t.Errorf("%s: got %v", name, err)
 		}
 	}
--- a/internal/site/document/route.go
+++ b/internal/site/document/route.go
@@ -18,8 +18,8 @@
 	LatencyTarget time.Duration `cbor:"target"`
 	// EventGapTarget is the longest gap between two events within which a stream meets its target; zero for none.
 	EventGapTarget time.Duration `cbor:"gap"`
-	// Silence is how long callers of a stream wait for its next event, including the first, before they disconnect; zero when that is unknown.
-	Silence time.Duration `cbor:"silence"`
+	// CallerEventTimeout is how long callers of a stream wait for its next event, including the first, before they disconnect; zero when that is unknown.
+	CallerEventTimeout time.Duration `cbor:"silence"`
 	// Priority is the priority of the requests; 0 is the most urgent.
 	Priority int `cbor:"priority"`
 	// Shares are the services with their weights.
@@ -42,8 +42,8 @@
 	Weight float64 `cbor:"weight"`
 }
 
-// Repeatable returns whether a request of the route may run more than once.
-func (r Route) Repeatable() bool {
+// Retryable returns whether a request of the route may run more than once.
+func (r Route) Retryable() bool {
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
--- a/internal/site/document/check.go
+++ b/internal/site/document/validate.go
@@ -8,8 +8,8 @@
 // ErrInvalid is wrapped by every error of Document.Check.
 var ErrInvalid = errors.New("the document is invalid")
 
-// Check returns an error that wraps ErrInvalid if the document can't be activated.
-func (d Document) Check() error {
+// Validate returns an error that wraps ErrInvalid if the document can't be activated.
+func (d Document) Validate() error {
 	return errors.Join(d.checkServices(), d.checkRoutes(), d.checkKeys())
 }
 
--- a/internal/site/parts/residency.go
+++ b/internal/site/parts/residency.go
@@ -26,18 +26,18 @@
 type Holder struct {
 	// Server is the engine's ID.
 	Server string
-	// Since is when the part was sent to the engine, zero when the engine itself reports the part.
-	Since time.Time
+	// SentAt is when the part was sent to the engine, zero when the engine itself reports the part.
+	SentAt time.Time
 }
 
 // Residency tracks which parts are in the memory of engines: from their reports, and
 // without a report from the requests that were sent to them.
 type Residency interface {
-	// Note records that the part was sent to an engine with a memory of capacity tokens.
-	Note(server, salt, part string, tokens, capacity int, now time.Time)
-	// Confirm applies an engine's report of the cached tokens of each part of at least
+	// RecordSent records that the part was sent to an engine with a memory of capacity tokens.
+	RecordSent(server, salt, part string, tokens, capacity int, now time.Time)
+	// ApplyReport applies an engine's report of the cached tokens of each part of at least
 	// minTokens, by the hash of its stores.Part. A nil map means that no report is available any more.
-	Confirm(server string, reported map[uint64]int, minTokens int)
+	ApplyReport(server string, reported map[uint64]int, minTokens int)
 	// Holds returns whether the engine has the part, or will have it before a request that is sent now.
 	Holds(server, salt, part string, tokens int, now time.Time) bool
 	// Holders returns the engines that have the part, the most recent first.
@@ -72,8 +72,8 @@
 	return e
 }
 
-// Note implements Residency.
-func (r *residency) Note(server, salt, part string, tokens, capacity int, now time.Time) {
+// RecordSent implements Residency.
+func (r *residency) RecordSent(server, salt, part string, tokens, capacity int, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	h := hash(salt, part)
@@ -83,8 +83,8 @@
 	}
 }
 
-// Confirm implements Residency.
-func (r *residency) Confirm(server string, reported map[uint64]int, minTokens int) {
+// ApplyReport implements Residency.
+func (r *residency) ApplyReport(server string, reported map[uint64]int, minTokens int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, evicted := range r.engine(server).applyReport(reported, minTokens) {
@@ -142,7 +142,7 @@
 	var all []Holder
 	for _, server := range r.holders[h] {
 		if since, ok := r.engines[server].holds(h, tokens, now); ok {
-			all = append(all, Holder{Server: server, Since: since})
+			all = append(all, Holder{Server: server, SentAt: since})
 		}
 	}
 	return all
--- a/internal/site/section/command.go
+++ b/internal/site/section/command.go
@@ -52,8 +52,8 @@
 
 // Result is the result of a Command.
 type Result struct {
-	// Taken says that the command was valid, even if it changed nothing.
-	Taken bool `cbor:"taken"`
+	// Accepted says that the command was valid, even if it changed nothing.
+	Accepted bool `cbor:"taken"`
 	// MissingChunks says that the command left out chunks that are no longer stored. It has changed nothing, and the caller sends it again with all chunks.
 	MissingChunks bool `cbor:"lacking,omitempty"`
 	// Changed says that the command changed the state.
--- a/internal/site/section/put.go
+++ b/internal/site/section/put.go
@@ -21,7 +21,7 @@
 }
 
 func splitWithoutKnown(text []byte, active ActiveDocument) ([]chunk.Chunk, error) {
-	return chunk.Cut(text, func(d chunk.Digest) (chunk.Chunk, bool) {
+	return chunk.Split(text, func(d chunk.Digest) (chunk.Chunk, bool) {
 		c, ok := active.Chunk(d)
 		return c.WithoutData(), ok
 	})
--- a/internal/site/section/section.go
+++ b/internal/site/section/section.go
@@ -102,19 +102,19 @@
 		previous = *s.active
 	}
 	if s.active != nil && p.Revision <= previous.Document.Revision {
-		return Result{Taken: true}
+		return Result{Accepted: true}
 	}
 	encoded, encodedComplete := previous.fill(p.Document)
 	source, sourceComplete := previous.fill(p.Source)
 	if !encodedComplete || !sourceComplete {
-		return Result{Taken: true, MissingChunks: true}
+		return Result{Accepted: true, MissingChunks: true}
 	}
 	active, err := newActiveDocument(encoded, source)
 	if err != nil {
 		return Result{}
 	}
 	s.active = &active
-	return Result{Taken: true, Changed: true}
+	return Result{Accepted: true, Changed: true}
 }
 
 // applyPut activates a document from a log of an earlier release.
@@ -128,14 +128,14 @@
 
 func (s *section) setTargetVersion(n SetTargetVersion) Result {
 	if n.Model == "" || n.Version <= s.versions[n.Model] {
-		return Result{Taken: n.Model != ""}
+		return Result{Accepted: n.Model != ""}
 	}
 	s.versions[n.Model] = n.Version
 	delete(s.versionTimes, n.Model)
 	if n.At > 0 {
 		s.versionTimes[n.Model] = n.At
 	}
-	return Result{Taken: true, Changed: true}
+	return Result{Accepted: true, Changed: true}
 }
 
 func (s *section) changed() {
--- a/internal/site/section/section_test.go
+++ b/internal/site/section/section_test.go
@@ -30,7 +30,7 @@
 	for _, step := range steps {
 		active, _ := s.Active()
 		r := apply(t, s, put(t, document.Document{Revision: step.revision}, step.source, active))
-		if got := source(t, s); !r.Taken || r.Changed != step.changed || got != step.active {
+		if got := source(t, s); !r.Accepted || r.Changed != step.changed || got != step.active {
 			t.Errorf("%d %s: %+v, active %s", step.revision, step.source, r, got)
 		}
 	}
--- a/internal/site/topic/topic.go
+++ b/internal/site/topic/topic.go
@@ -15,8 +15,8 @@
 	Servers rowtable.Topic = 15
 	// Members holds the addresses of the control replicas as []string in one row.
 	Members rowtable.Topic = 3
-	// Versions holds the target version of each model's weights as an int64.
-	Versions rowtable.Topic = 4
+	// TargetVersions holds the target version of each model's weights as an int64.
+	TargetVersions rowtable.Topic = 4
 	// Parts holds the size of each part that may be fetched from a store, as an int under the key of its stores.PartLocation; only the rows of the lease holder are used.
 	Parts rowtable.Topic = 16
 	// StoresUp holds true for the address of each store that answers; only the rows of the lease holder are used.
@@ -29,12 +29,12 @@
 	Prefills rowtable.Topic = 9
 	// Loads holds the load of all entries at each engine as a share.Sum in one row; only that of the lease holder is used.
 	Loads rowtable.Topic = 10
-	// Epochs holds, for the address of each store, the epoch that the replica last saw as an int64, zero while the store doesn't answer.
-	Epochs rowtable.Topic = 11
+	// StoreEpochs holds, for the address of each store, the epoch that the replica last saw as an int64, zero while the store doesn't answer.
+	StoreEpochs rowtable.Topic = 11
 	// EngineCaches holds the long parts in the memory of each engine that announces itself to the replica, as an EngineCache under the engine's ID.
 	EngineCaches rowtable.Topic = 12
-	// NamedAt holds when each model's target version was set, by the servers' clock in Unix milliseconds as an int64, if that is known.
-	NamedAt rowtable.Topic = 13
+	// TargetVersionTimes holds when each model's target version was set, by the servers' clock in Unix milliseconds as an int64, if that is known.
+	TargetVersionTimes rowtable.Topic = 13
 	// StoreSummaries holds the parts of a store when it was listed, as a StoreSummary under the store's address and the size class of the parts; only the rows of the lease holder are used, and later rows of Parts take precedence.
 	StoreSummaries rowtable.Topic = 14
 )
@@ -59,8 +59,8 @@
 	Address string
 	// Listed is when the store was listed, in Unix nanoseconds. It makes each listing a change of the row, even when it equals the last one.
 	Listed int64
-	// Whole says that the summary replaces all earlier rows about the store.
-	Whole bool
+	// ReplacesEarlier says that the summary replaces all earlier rows about the store.
+	ReplacesEarlier bool
 	// Parts are the parts' hashes, Tokens their sizes.
 	Parts  []uint64
 	Tokens []uint32
@@ -89,15 +89,15 @@
 // their relays: all rows of the lease holder about stores and orders.
 func Relayed(t rowtable.Topic) bool {
 	switch t {
-	case Parts, StoreSummaries, StoresUp, Busy, Epochs:
+	case Parts, StoreSummaries, StoresUp, Busy, StoreEpochs:
 		return true
 	}
 	return false
 }
 
-// NotRelayed returns whether rows of the topic are left out of direct answers to entries
+// RelayedOnly returns whether rows of the topic are left out of direct answers to entries
 // that get them through a relay. The store epochs that each replica sees are sent directly
 // as well, because relayed rows are checked against them.
-func NotRelayed(t rowtable.Topic) bool {
-	return Relayed(t) && t != Epochs
+func RelayedOnly(t rowtable.Topic) bool {
+	return Relayed(t) && t != StoreEpochs
 }
--- a/internal/site/topic/topic_test.go
+++ b/internal/site/topic/topic_test.go
@@ -13,7 +13,7 @@
 	retired := map[rowtable.Topic]bool{1: true, 2: true, 5: true}
 	seen := map[rowtable.Topic]bool{}
 	for _, x := range []rowtable.Topic{
-		DocumentChunks, Servers, Members, Versions, Parts, StoresUp, Weights, Busy, Prefills, Loads, Epochs, EngineCaches, NamedAt, StoreSummaries,
+		DocumentChunks, Servers, Members, TargetVersions, Parts, StoresUp, Weights, Busy, Prefills, Loads, StoreEpochs, EngineCaches, TargetVersionTimes, StoreSummaries,
 	} {
 		if retired[x] || seen[x] {
 			t.Errorf("number %d is reused", x)
--- a/internal/site/watch/mirrors.go
+++ b/internal/site/watch/mirrors.go
@@ -16,10 +16,10 @@
 // sites the hop between relays would cost more time than one relay needs for all the work.
 const MaxSingleRelayEntries = 32
 
-// LargeSitePause is the time between two messages from one process to another on a site with
+// LargeSiteInterval is the time between two messages from one process to another on a site with
 // more than MaxSingleRelayEntries entries. Each process has several such peers; with this
 // interval the total cost of updates grows only linearly with the number of processes.
-const LargeSitePause = 100 * time.Millisecond
+const LargeSiteInterval = 100 * time.Millisecond
 
 // relayedHolders is the number of latest lease holders whose rows are relayed: the current one,
 // and its predecessor, which is needed until the current one has reported every store.
@@ -45,8 +45,8 @@
 	Node rpc.Node
 	// Relayed returns whether rows of the topic are relayed.
 	Relayed func(t rowtable.Topic) bool
-	// Pause returns the time between two rounds of answers to the given number of entries.
-	Pause func(entries int) time.Duration
+	// RoundInterval returns the time between two rounds of answers to the given number of entries.
+	RoundInterval func(entries int) time.Duration
 }
 
 type mirrors struct {
@@ -140,7 +140,7 @@
 	x.recordPoll(p)
 	if x.await(ctx, p) && !p.CatchingUp {
 		x.mu.Lock()
-		at := x.rounds.next(time.Now(), x.Pause(len(x.entries)))
+		at := x.rounds.next(time.Now(), x.RoundInterval(len(x.entries)))
 		x.mu.Unlock()
 		time.Sleep(time.Until(at))
 	}
--- a/internal/site/watch/mirrors_test.go
+++ b/internal/site/watch/mirrors_test.go
@@ -26,7 +26,7 @@
 // testMirrors returns mirrors whose clock the test advances.
 func testMirrors() (*mirrors, *time.Duration) {
 	now := time.Hour
-	return newMirrors(MirrorsConfig{Relayed: relayed, Pause: func(int) time.Duration { return 0 }}, func() time.Duration { return now }), &now
+	return newMirrors(MirrorsConfig{Relayed: relayed, RoundInterval: func(int) time.Duration { return 0 }}, func() time.Duration { return now }), &now
 }
 
 // poll returns the answer to an entry's poll.
@@ -174,7 +174,7 @@
 	}
 	s := &server{
 		watchers: map[string]watcher{}, advanced: make(chan struct{}),
-		Config: Config{Table: b, Excluded: relayed, Pause: defaultRoundInterval, CaughtUp: func() bool { return true }, Holder: func() (uint64, int64) { return 1, 0 }},
+		Config: Config{Table: b, Excluded: relayed, RoundInterval: defaultRoundInterval, CaughtUp: func() bool { return true }, Holder: func() (uint64, int64) { return 1, 0 }},
 	}
 	rows := func(p Poll) int {
 		a, err := s.watch(t.Context(), rpc.Peer{}, p)
--- a/internal/site/watch/server.go
+++ b/internal/site/watch/server.go
@@ -32,8 +32,8 @@
 	Zone string
 	// Excluded returns whether rows of the topic are left out for watchers that get them from a relay; nil excludes none.
 	Excluded func(t rowtable.Topic) bool
-	// Pause returns the time between two rounds of answers to the given number of watchers; nil means that it grows with their square.
-	Pause func(watchers int) time.Duration
+	// RoundInterval returns the time between two rounds of answers to the given number of watchers; nil means that it grows with their square.
+	RoundInterval func(watchers int) time.Duration
 	// Node serves the polls.
 	Node rpc.Node
 	// Table holds the rows.
@@ -86,8 +86,8 @@
 // NewServer registers the call and returns its Server; call it before the node serves.
 func NewServer(c Config) Server {
 	s := &server{Config: c, watchers: map[string]watcher{}, advanced: make(chan struct{})}
-	if s.Pause == nil {
-		s.Pause = defaultRoundInterval
+	if s.RoundInterval == nil {
+		s.RoundInterval = defaultRoundInterval
 	}
 	rpc.Handle(c.Node, c.Method, s.watch)
 	return s
@@ -141,7 +141,7 @@
 func (s *server) nextRound(now time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rounds.next(now, s.Pause(len(s.watchers)))
+	return s.rounds.next(now, s.RoundInterval(len(s.watchers)))
 }
 
 // defaultRoundInterval returns how long changes are batched for the given number of watchers.
--- a/internal/site/watch/watch_test.go
+++ b/internal/site/watch/watch_test.go
@@ -80,7 +80,7 @@
 		b := rowtable.New(1)
 		s := &server{
 			watchers: map[string]watcher{}, advanced: make(chan struct{}),
-			Config: Config{Table: b, Pause: func(int) time.Duration { return pause }, BatchReplicas: allInRounds, CaughtUp: func() bool { return true }, Holder: func() (uint64, int64) { return 0, 0 }},
+			Config: Config{Table: b, RoundInterval: func(int) time.Duration { return pause }, BatchReplicas: allInRounds, CaughtUp: func() bool { return true }, Holder: func() (uint64, int64) { return 0, 0 }},
 		}
 		go func() {
 			for i := range changes {
