--- a/internal/control/raft/change.go
+++ b/internal/control/raft/change.go
@@ -1,35 +1,36 @@
 package raft
 
-// Change returns the configuration that follows the latest one.
+// Change derives the next configuration from the latest one.
 type Change func(latest Configuration) (Configuration, error)
 
 // Change implements Core.
 //
-// Two changes at once could give two disjoint quorums, and a change before the
-// leader's first entry is committed could overlap with one of an earlier
-// leader; both are refused.
+// Two concurrent changes could result in two disjoint quorums. A change before
+// the leader's first entry is committed could overlap with one of an earlier
+// leader. Both are refused.
 func (r *core) Change(change Change) (index, term uint64, err error) {
-	if err := r.writable(); err != nil {
+	if err := r.checkWritable(); err != nil {
 		return 0, 0, err
 	}
-	if r.log.configured() > r.log.commit || r.log.commit < r.termStart {
+	if r.log.configurationIndex() > r.log.commit || r.log.commit < r.termStart {
 		return 0, 0, ErrChangePending
 	}
 	next, err := change(r.log.configuration())
 	if err != nil {
 		return 0, 0, err
 	}
-	if err := r.single(r.log.configuration(), next); err != nil {
+	if err := r.checkSingleVoterChange(r.log.configuration(), next); err != nil {
 		return 0, 0, err
 	}
 	index = r.appendEntries(Entry{Kind: EntryConfiguration, Data: next.encode()})
-	r.track()
+	r.trackMembers()
 	r.broadcast()
 	return index, r.term, nil
 }
 
-// single returns an error unless the change keeps a voter, adds at most one that has caught up, and drops at most one.
-func (r *core) single(latest, next Configuration) error {
+// checkSingleVoterChange returns an error unless at least one voter remains, at
+// most one voter is added or removed, and an added one has caught up.
+func (r *core) checkSingleVoterChange(latest, next Configuration) error {
 	if next.Voters() == 0 {
 		return ErrLastVoter
 	}
@@ -54,16 +55,16 @@
 	return nil
 }
 
-// finishChange steps down when a committed configuration no longer has the leader as a voter.
-func (r *core) finishChange(c Configuration) {
-	if r.log.configured() > r.log.commit || c.Voter(r.self()) {
+// stepDownIfRemoved steps down when the committed configuration no longer has the leader as a voter.
+func (r *core) stepDownIfRemoved(c Configuration) {
+	if r.log.configurationIndex() > r.log.commit || c.Voter(r.self()) {
 		return
 	}
 	r.broadcastCommit()
-	r.follow(r.term, None, "")
+	r.becomeFollower(r.term, None, "")
 }
 
-// AddLearner returns a Change that adds m without a vote; an identity that is a member already only gets m's name and address.
+// AddLearner returns a Change that adds m as a learner. For an existing member it only updates the name and address.
 func AddLearner(m Member) Change {
 	return func(latest Configuration) (Configuration, error) {
 		m.Voter = latest.Voter(m.Identity)
@@ -83,7 +84,7 @@
 	}
 }
 
-// Remove returns a Change that drops a member.
+// Remove returns a Change that removes a member.
 func Remove(id Identity) Change {
 	return func(latest Configuration) (Configuration, error) {
 		if _, ok := latest.Member(id); !ok {
--- a/internal/control/raft/commit_test.go
+++ b/internal/control/raft/commit_test.go
@@ -6,15 +6,15 @@
 	"hornbeamwood/internal/control/raft"
 )
 
-// A leader finds an entry of an earlier term on a majority of disks. Another
-// replica may still be elected that lacks it and overwrite it; a caller who
-// was told that it is accepted would see it vanish.
+// An entry of an earlier term is on a majority of disks. A replica that lacks it
+// may still be elected and overwrite it, so committing it by counting replicas
+// would lose an accepted command.
 func TestEntryOfEarlierTermIsNotCommittedByCounting(t *testing.T) {
 	c := replicaA(3, trio(), commands(1, 2))
 	term := elect(t, c)
 	acknowledge(c, "b", term, 2)
 	if got := c.Status().Commit; got != 0 {
-		t.Fatalf("commit %d by entries of earlier terms", got)
+		t.Fatalf("commit %d by counting entries of earlier terms", got)
 	}
 	acknowledge(c, "b", term, 3)
 	if got := c.Status().Commit; got != 3 {
@@ -22,9 +22,9 @@
 	}
 }
 
-// A leader's own disk is slower than the others'. Counting itself before its
-// sync would accept an edit that one disk holds; both others could then elect
-// a leader without it.
+// The leader's disk is slower than the others'. If it counted itself before its
+// own sync, it would commit an edit that is on one disk only, and the other two
+// could elect a leader without it.
 func TestLeaderCountsItselfAfterItsSync(t *testing.T) {
 	c := replicaA(1, trio(), nil)
 	term := elect(t, c)
@@ -44,9 +44,9 @@
 	}
 }
 
-// A peer sends entries with a gap, or a heartbeat that names entries which
-// this replica does not have; neither may be counted as its log.
-func TestMalformedAppendIsPassedOver(t *testing.T) {
+// A peer sends entries with a gap, or a heartbeat with a commit index beyond this
+// replica's log. Neither may change the log or the commit index.
+func TestMalformedAppendIsIgnored(t *testing.T) {
 	c := replicaA(1, trio(), nil)
 	c.Step(from("b", raft.Message{Kind: raft.MessageAppend, Term: 1, Entries: []raft.Entry{{Index: 2, Term: 1}}, Commit: 2}))
 	c.Step(from("b", raft.Message{Kind: raft.MessageHeartbeat, Term: 1, Commit: 7}))
@@ -58,9 +58,8 @@
 	}
 }
 
-// A new leader does not know yet what its predecessors committed. A read that
-// it confirms before its own first entry is committed could miss an accepted
-// edit.
+// A new leader does not know yet what its predecessors committed. A read
+// confirmed before its own first entry is committed could miss an accepted edit.
 func TestReadWaitsForTheLeadersFirstEntry(t *testing.T) {
 	c := replicaA(1, trio(), commands(1))
 	term := elect(t, c)
@@ -78,9 +77,9 @@
 	}
 }
 
-// A follower has entries that the leader does not know of, and the leader's
-// commit index is beyond what it has confirmed. Applying those entries would
-// give the follower a state that no other replica has.
+// A follower has entries that the leader lacks, and the leader's commit index is
+// beyond the last matching entry. Applying those entries would diverge the
+// follower's state from all others.
 func TestCommitStopsAtWhatMatches(t *testing.T) {
 	c := replicaA(2, trio(), commands(1, 1, 1))
 	c.Step(from("b", raft.Message{Kind: raft.MessageAppend, Term: 2, Index: 1, LogTerm: 1, Commit: 3}))
@@ -89,8 +88,8 @@
 	}
 }
 
-// A leader's entries arrive behind one that this replica has from another
-// leader. Taking them would leave a log that no leader ever had.
+// A leader's entries follow one that conflicts with an entry from another leader.
+// Appending them would create a log that no leader ever had.
 func TestAppendThatDoesNotFitIsRefused(t *testing.T) {
 	c := replicaA(2, trio(), commands(1, 1, 1))
 	c.Step(from("b", raft.Message{Kind: raft.MessageAppend, Term: 2, Index: 2, LogTerm: 2, Entries: []raft.Entry{{Index: 3, Term: 2}}}))
--- a/internal/control/raft/configuration.go
+++ b/internal/control/raft/configuration.go
@@ -6,7 +6,7 @@
 	"hornbeamwood/internal/base/codec"
 )
 
-// Configuration is the immutable set of members at one point of the log, in the order of their identities.
+// Configuration is the immutable set of members at one index of the log, sorted by identity.
 type Configuration struct {
 	// Members are the voters and learners.
 	Members []Member `cbor:"members"`
@@ -34,7 +34,7 @@
 	return Member{}, false
 }
 
-// Voter returns whether id counts towards quorums.
+// Voter reports whether id is a voter.
 func (c Configuration) Voter(id Identity) bool {
 	m, ok := c.Member(id)
 	return ok && m.Voter
@@ -56,12 +56,12 @@
 	return c.Voters()/2 + 1
 }
 
-// With returns a copy of c that holds m in place of any member of its identity.
+// With returns a copy of c with m added, or replaced if its identity is a member already.
 func (c Configuration) With(m Member) Configuration {
 	return NewConfiguration(append(c.Without(m.Identity).Members, m)...)
 }
 
-// Without returns a copy of c that does not hold id.
+// Without returns a copy of c without the member id.
 func (c Configuration) Without(id Identity) Configuration {
 	rest := make([]Member, 0, len(c.Members)+1)
 	for _, m := range c.Members {
@@ -87,7 +87,7 @@
 	return codec.Unmarshal[Configuration](b)
 }
 
-// Addresses returns where the members are reached.
+// Addresses returns the addresses of the members.
 func (c Configuration) Addresses() []string {
 	all := make([]string, 0, len(c.Members))
 	for _, m := range c.Members {
--- a/internal/control/raft/core.go
+++ b/internal/control/raft/core.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 )
 
-// Defaults of a Config.
+// Default values of the fields of Config.
 const (
 	defaultElectionTicks  = 10
 	defaultHeartbeatTicks = 2
@@ -12,20 +12,20 @@
 	defaultInflight       = 32
 )
 
-// maxKeptBytes bounds the entries that stay in memory behind a snapshot,
-// however many of them are asked for.
+// maxKeptBytes bounds the entries before a snapshot that stay in memory,
+// regardless of the number that Compact is to keep.
 const maxKeptBytes = 4 << 20
 
-// Config is what a Core starts from.
+// Config configures a Core.
 type Config struct {
-	// Group and Founding stand in each message; others are not taken.
+	// Group and Founding are set in each message; messages with other values are ignored.
 	Group    uint32
 	Founding string
-	// Self is this replica; Voter is not looked at.
+	// Self is this replica; its Voter field is ignored.
 	Self Member
 	// Initial is the configuration that the replicas were founded with.
 	Initial Configuration
-	// HardState, Snapshot and Entries are what the disk holds.
+	// HardState, Snapshot and Entries are the persisted state.
 	HardState HardState
 	Snapshot  SnapshotMeta
 	Entries   []Entry
@@ -33,39 +33,39 @@
 	ElectionTicks int
 	// HeartbeatTicks is the time between heartbeats. Default 2.
 	HeartbeatTicks int
-	// BatchBytes bounds the entries in a message. Default 128 KiB.
+	// BatchBytes bounds the total size of the entries in a message. Default 128 KiB.
 	BatchBytes int
-	// Inflight bounds the unanswered appends for each member. Default 32.
+	// Inflight bounds the unacknowledged appends for each member. Default 32.
 	Inflight int
-	// Random draws the election timeouts.
+	// Random randomizes the election timeouts.
 	Random *rand.Rand
 }
 
-// Core decides for one replica. It is not safe for concurrent use.
+// Core is the consensus state of one replica. It is not safe for concurrent use.
 type Core interface {
-	// Tick tells that a tick has passed.
+	// Tick advances the logical clock by one tick.
 	Tick()
-	// Step takes a message.
+	// Step processes a message from another replica.
 	Step(m Message)
 	// Propose appends commands at the leader and returns the index of the first and the term.
 	Propose(commands [][]byte) (index, term uint64, err error)
-	// Change appends the configuration that change returns for the latest one, at the leader.
+	// Change appends the configuration that change derives from the latest one, at the leader.
 	Change(change Change) (index, term uint64, err error)
-	// Read asks the leader for a ReadState with the given id.
+	// Read requests a ReadState with the given ID, at the leader.
 	Read(id uint64) error
-	// Transfer starts to hand leadership over to the member that has most of the log and returns whether there is one.
-	Transfer() bool
-	// Effects returns what is to be done and forgets it.
+	// TransferLeadership starts a leadership transfer to the most up-to-date active voter and reports whether there is one.
+	TransferLeadership() bool
+	// Effects returns the pending effects and clears them.
 	Effects() Effects
-	// Persisted tells that everything in the latest Effects is on disk.
+	// Persisted acknowledges that everything in the latest Effects is on disk.
 	Persisted()
-	// Compact tells that a snapshot is on disk and forgets all but the last keep entries before it.
+	// Compact records that a snapshot is on disk and drops all but the last keep entries before it.
 	Compact(s SnapshotMeta, keep uint64)
 	// ConfigurationAt returns the configuration in force at index.
 	ConfigurationAt(index uint64) Configuration
-	// Status returns where the replica stands.
+	// Status returns the replica's current state.
 	Status() Status
-	// Err returns why the log can't be trusted, nil while it can.
+	// Err returns the safety violation that stopped the core, nil if there is none.
 	Err() error
 }
 
@@ -80,36 +80,36 @@
 
 	leader        Identity
 	leaderAddress string
-	// target is the leader's commit index as last heard; known says that it was heard in this term.
-	target uint64
-	known  bool
-	// elapsed counts ticks since the leader was heard, or at the leader since the last quorum check.
-	elapsed int
-	beat    int
-	// sinceWatch counts ticks since the leader last looked for lost appends.
-	sinceWatch int
-	timeout    int
-	// met says that a leader was known since the start.
-	met bool
-	// asked says that a candidate took this replica for a voter and that its log was too short.
-	asked     bool
-	votes     map[Identity]bool
-	members   map[Identity]*progress
-	termStart uint64
-
-	round       uint64
-	roundWanted bool
-	reads       []pendingRead
-	transferee  Identity
-
-	incoming incoming
-
-	saved     HardState
-	taken     uint64
-	early     []Message
-	messages  []Message
-	install   *Snapshot
-	confirmed []ReadState
+	// leaderCommit is the leader's last received commit index; leaderCommitKnown is set once it was received in this term.
+	leaderCommit      uint64
+	leaderCommitKnown bool
+	// electionElapsed counts ticks since the last contact with the leader, or at the leader since the last quorum check.
+	electionElapsed  int
+	heartbeatElapsed int
+	// sinceResponseCheck counts ticks since the leader last checked for lost appends.
+	sinceResponseCheck int
+	electionTimeout    int
+	// leaderSeen is set once a leader was known since the start.
+	leaderSeen bool
+	// neededByCandidate is set when a candidate whose log is behind requested a pre-vote from this replica.
+	neededByCandidate bool
+	votes             map[Identity]bool
+	members           map[Identity]*progress
+	termStart         uint64
+
+	round          uint64
+	roundRequested bool
+	reads          []pendingRead
+	transferee     Identity
+
+	incomingSnapshot incoming
+
+	persistedState  HardState
+	persistingIndex uint64
+	early           []Message
+	messages        []Message
+	install         *Snapshot
+	confirmed       []ReadState
 }
 
 // New returns a Core that starts as a follower.
@@ -119,11 +119,11 @@
 	c.BatchBytes = orDefault(c.BatchBytes, defaultBatchBytes)
 	c.Inflight = orDefault(c.Inflight, defaultInflight)
 	r := &core{
-		config: c,
-		log:    newEntryLog(c.Initial, c.Snapshot, c.Entries),
-		term:   c.HardState.Term,
-		vote:   c.HardState.Vote,
-		saved:  c.HardState,
+		config:         c,
+		log:            newEntryLog(c.Initial, c.Snapshot, c.Entries),
+		term:           c.HardState.Term,
+		vote:           c.HardState.Vote,
+		persistedState: c.HardState,
 	}
 	r.config.Entries = nil
 	r.resetTimeout()
@@ -157,15 +157,15 @@
 		return
 	}
 	r.log.snapshot = s
-	r.log.compact(r.log.tail(s.Index, keep, maxKeptBytes))
+	r.log.compact(r.log.compactionIndex(s.Index, keep, maxKeptBytes))
 }
 
-// send queues a message that must wait for the disk.
+// send queues a message that may be sent only after the pending state is persisted.
 func (r *core) send(m Message) {
 	r.messages = append(r.messages, r.stamp(m))
 }
 
-// sendEarly queues a leader's message, which tells nothing that its own disk must hold.
+// sendEarly queues a leader's message, which doesn't depend on state that the leader has yet to persist.
 func (r *core) sendEarly(m Message) {
 	r.early = append(r.early, r.stamp(m))
 }
@@ -174,9 +174,9 @@
 	m.Group = r.config.Group
 	m.Founding = r.config.Founding
 	m.From = r.self()
-	// A learner may know only a configuration without the leader's identity. A
-	// heartbeat that did not say where to answer would stay unanswered, and an
-	// append that was lost before would never be sent again.
+	// A learner may know only a configuration without the leader's identity. It
+	// could not respond to a heartbeat without the leader's address, and a lost
+	// append would never be resent.
 	if m.Kind != MessageHeartbeatResponse {
 		m.Address = r.config.Self.Address
 	}
@@ -186,18 +186,18 @@
 	return m
 }
 
-// resetTimeout draws the next election timeout.
+// resetTimeout resets the election timer with a new randomized timeout.
 //
-// Until a voter that has just started knows of a leader its timeouts are short:
-// after a loss of all replicas nobody serves until one of them leads. A leader
-// that works is heard within a heartbeat interval, before the shortest of them,
-// and who heard it grants no vote.
+// A voter that has not known a leader since its start uses short timeouts: after
+// a crash of all replicas nothing is served until one of them is elected. A
+// working leader's heartbeat arrives within a heartbeat interval, before the
+// shortest of these timeouts, and a replica that received it grants no vote.
 func (r *core) resetTimeout() {
-	r.elapsed = 0
-	if !r.met && r.log.configuration().Voter(r.self()) {
+	r.electionElapsed = 0
+	if !r.leaderSeen && r.log.configuration().Voter(r.self()) {
 		least := r.config.ElectionTicks/4 + 1
-		r.timeout = least + r.config.Random.IntN(max(1, r.config.ElectionTicks-least))
+		r.electionTimeout = least + r.config.Random.IntN(max(1, r.config.ElectionTicks-least))
 		return
 	}
-	r.timeout = r.config.ElectionTicks + r.config.Random.IntN(r.config.ElectionTicks)
+	r.electionTimeout = r.config.ElectionTicks + r.config.Random.IntN(r.config.ElectionTicks)
 }
--- a/internal/control/raft/core_test.go
+++ b/internal/control/raft/core_test.go
@@ -7,7 +7,7 @@
 	"hornbeamwood/internal/control/raft"
 )
 
-// trio is three voters and a learner.
+// trio returns a configuration of three voters and a learner.
 func trio() raft.Configuration {
 	return raft.NewConfiguration(
 		raft.Member{Name: "a", Identity: "a", Address: "10.0.0.1:1", Voter: true},
@@ -26,7 +26,7 @@
 	return all
 }
 
-// replicaA returns the core of a with the given log.
+// replicaA returns the core of member a with the given log.
 func replicaA(term uint64, initial raft.Configuration, entries []raft.Entry) raft.Core {
 	return raft.New(raft.Config{
 		Founding: "f", Self: raft.Member{Identity: "a", Address: "10.0.0.1:1"}, Initial: initial,
@@ -34,7 +34,7 @@
 	})
 }
 
-// flush carries out all effects at once and returns them joined.
+// flush acknowledges all effects as persisted and returns them combined.
 func flush(c raft.Core) raft.Effects {
 	var all raft.Effects
 	for {
@@ -54,20 +54,20 @@
 	}
 }
 
-// from returns m as b, or another, would send it to a.
+// from returns m as sent by id to a.
 func from(id raft.Identity, m raft.Message) raft.Message {
 	m.From, m.To, m.Founding = id, "a", "f"
 	return m
 }
 
-// timeOut lets time pass until the core campaigns.
+// timeOut ticks until the core campaigns.
 func timeOut(c raft.Core) {
 	for c.Status().Role == raft.Follower {
 		c.Tick()
 	}
 }
 
-// elect makes a the leader of the term after its own, with the vote of b.
+// elect makes a the leader of the next term, with the vote of b.
 func elect(t *testing.T, c raft.Core) uint64 {
 	t.Helper()
 	timeOut(c)
--- a/internal/control/raft/election.go
+++ b/internal/control/raft/election.go
@@ -1,14 +1,14 @@
 package raft
 
-// follow makes the replica a follower in term.
-func (r *core) follow(term uint64, leader Identity, address string) {
+// becomeFollower makes the replica a follower in term.
+func (r *core) becomeFollower(term uint64, leader Identity, address string) {
 	if term != r.term {
 		r.term, r.vote = term, None
 	}
 	r.role = Follower
-	r.met = r.met || leader != None
+	r.leaderSeen = r.leaderSeen || leader != None
 	if leader == None || leader != r.leader {
-		r.known = false
+		r.leaderCommitKnown = false
 	}
 	r.leader, r.leaderAddress = leader, address
 	r.votes, r.members, r.reads = nil, nil, nil
@@ -16,11 +16,11 @@
 	r.resetTimeout()
 }
 
-// campaign starts an election, or with PreCandidate asks whether one could be won.
+// campaign starts an election, or a pre-vote if role is PreCandidate.
 func (r *core) campaign(role Role, transfer bool) {
 	r.role = role
-	r.asked = false
-	r.leader, r.leaderAddress, r.known = None, "", false
+	r.neededByCandidate = false
+	r.leader, r.leaderAddress, r.leaderCommitKnown = None, "", false
 	r.votes = map[Identity]bool{}
 	r.members = nil
 	kind, term := MessagePreVote, r.term+1
@@ -34,51 +34,51 @@
 			r.send(Message{Kind: kind, To: m.Identity, Term: term, Index: r.log.last(), LogTerm: r.log.lastTerm(), Transfer: transfer})
 		}
 	}
-	r.poll(r.self(), true)
+	r.recordVote(r.self(), true)
 }
 
-// poll records a vote and acts when the election is decided.
-func (r *core) poll(from Identity, granted bool) {
+// recordVote records a vote and changes the role when the election is decided.
+func (r *core) recordVote(from Identity, granted bool) {
 	c := r.log.configuration()
 	if _, seen := r.votes[from]; seen || !c.Voter(from) {
-		// A replica that lost its disk answers under a new identity, which is
-		// no voter; its vote would let two leaders have a quorum in one term.
+		// A replica that lost its disk responds under a new identity, which is not
+		// a voter. Counting it could give two leaders a quorum in one term.
 		return
 	}
 	r.votes[from] = granted
-	yes := 0
+	grants := 0
 	for _, g := range r.votes {
 		if g {
-			yes++
+			grants++
 		}
 	}
-	if yes >= c.Quorum() {
-		r.won()
+	if grants >= c.Quorum() {
+		r.winElection()
 		return
 	}
-	if len(r.votes)-yes > c.Voters()-c.Quorum() {
-		r.follow(r.term, None, "")
+	if len(r.votes)-grants > c.Voters()-c.Quorum() {
+		r.becomeFollower(r.term, None, "")
 	}
 }
 
-func (r *core) won() {
+func (r *core) winElection() {
 	if r.role == PreCandidate {
 		r.campaign(Candidate, false)
 		return
 	}
-	r.lead()
+	r.becomeLeader()
 }
 
-// leased returns whether a leader was heard so recently that no election is due.
-func (r *core) leased() bool {
-	return r.leader != None && r.elapsed < r.config.ElectionTicks
+// inLeaderLease reports whether the last contact with the leader is within the minimum election timeout.
+func (r *core) inLeaderLease() bool {
+	return r.leader != None && r.electionElapsed < r.config.ElectionTicks
 }
 
-// stepPreVote answers whether the sender could get this replica's vote.
+// stepPreVote responds whether the sender would get this replica's vote.
 func (r *core) stepPreVote(m Message) {
 	behind := !r.log.upToDate(m.Index, m.LogTerm)
-	granted := m.Term > r.term && !r.leased() && !behind
-	r.asked = r.asked || behind && !r.leased()
+	granted := m.Term > r.term && !r.inLeaderLease() && !behind
+	r.neededByCandidate = r.neededByCandidate || behind && !r.inLeaderLease()
 	answer := Message{Kind: MessagePreVoteResponse, To: m.From, Term: m.Term, Reject: !granted}
 	if !granted {
 		answer.Term = r.term
@@ -86,13 +86,13 @@
 	r.reply(m, answer)
 }
 
-// stepVote grants the vote of the term to the first candidate that has the whole log.
+// stepVote grants the vote of the term to the first candidate whose log is up to date.
 func (r *core) stepVote(m Message) {
-	free := r.vote == None && r.leader == None || r.vote == m.From
-	granted := m.Term == r.term && free && r.log.upToDate(m.Index, m.LogTerm)
+	canVote := r.vote == None && r.leader == None || r.vote == m.From
+	granted := m.Term == r.term && canVote && r.log.upToDate(m.Index, m.LogTerm)
 	if granted {
 		r.vote = m.From
-		r.elapsed = 0
+		r.electionElapsed = 0
 	}
 	r.reply(m, Message{Kind: MessageVoteResponse, To: m.From, Reject: !granted})
 }
@@ -101,17 +101,17 @@
 	if r.role != PreCandidate || !m.Reject && m.Term != r.term+1 {
 		return
 	}
-	r.poll(m.From, !m.Reject)
+	r.recordVote(m.From, !m.Reject)
 }
 
 func (r *core) stepVoteResponse(m Message) {
 	if r.role != Candidate || m.Term != r.term {
 		return
 	}
-	r.poll(m.From, !m.Reject)
+	r.recordVote(m.From, !m.Reject)
 }
 
-// stepTimeoutNow campaigns at once: the leader hands over.
+// stepTimeoutNow starts an election at once, on a leadership transfer.
 func (r *core) stepTimeoutNow(m Message) {
 	if m.From == r.leader && r.log.configuration().Voter(r.self()) {
 		r.campaign(Candidate, true)
--- a/internal/control/raft/errors.go
+++ b/internal/control/raft/errors.go
@@ -3,20 +3,21 @@
 import "errors"
 
 var (
-	// ErrNotLeader says that only the leader takes this and that nothing was appended.
+	// ErrNotLeader means that the replica is not the leader and appended nothing.
 	ErrNotLeader = errors.New("raft: not the leader")
-	// ErrTransferring says that the leader is handing over and that nothing was appended.
-	ErrTransferring = errors.New("raft: leadership is being handed over")
-	// ErrChangePending says that an earlier membership change, or the leader's first entry, is not committed yet.
+	// ErrTransferring means that a leadership transfer is in progress and that nothing was appended.
+	ErrTransferring = errors.New("raft: a leadership transfer is in progress")
+	// ErrChangePending means that an earlier membership change, or the leader's first entry, is not committed yet.
 	ErrChangePending = errors.New("raft: an earlier change is not committed yet")
-	// ErrNotCaughtUp says that a learner lacks committed entries and can't become a voter.
+	// ErrNotCaughtUp means that a learner lacks committed entries and can't become a voter.
 	ErrNotCaughtUp = errors.New("raft: the learner has not caught up")
-	// ErrSeveralVoters says that a change would add or drop more than one voter.
+	// ErrSeveralVoters means that a change would add or remove more than one voter.
 	ErrSeveralVoters = errors.New("raft: more than one voter would change")
-	// ErrUnknownMember says that no member has the identity.
+	// ErrUnknownMember means that no member has the identity.
 	ErrUnknownMember = errors.New("raft: no such member")
-	// ErrLastVoter says that the last voter can't be removed.
+	// ErrLastVoter means that the last voter can't be removed.
 	ErrLastVoter = errors.New("raft: the last voter can't be removed")
-	// ErrDiverged says that a leader asked to overwrite a committed entry; the log must not be trusted.
-	ErrDiverged = errors.New("raft: a committed entry would be overwritten")
+	// ErrDiverged means that another leader is active in this leader's term, so that
+	// committed entries could be overwritten; the log is not safe to use.
+	ErrDiverged = errors.New("raft: two leaders in one term, a committed entry would be overwritten")
 )
--- a/internal/control/raft/follower.go
+++ b/internal/control/raft/follower.go
@@ -1,6 +1,6 @@
 package raft
 
-// stepAppend takes a leader's entries.
+// stepAppend handles an append from the leader.
 func (r *core) stepAppend(m Message) {
 	if m.Index < r.log.commit {
 		r.reply(m, Message{Kind: MessageAppendResponse, Index: r.log.commit, Round: m.Round})
@@ -18,7 +18,7 @@
 	r.reply(m, Message{Kind: MessageAppendResponse, Index: last, Round: m.Round})
 }
 
-// contiguous returns whether the entries follow m.Index without a gap.
+// contiguous reports whether the entries follow m.Index without a gap.
 func contiguous(m Message) bool {
 	for i, e := range m.Entries {
 		if e.Index != m.Index+1+uint64(i) {
@@ -28,7 +28,7 @@
 	return true
 }
 
-// hint returns the last index at which the logs may match: entries of a later term than the leader's can't.
+// hint returns the last index at which the logs may match; an entry of a later term than the leader's entry can't match.
 func (r *core) hint(m Message) uint64 {
 	index := min(m.Index, r.log.last())
 	for index > r.log.commit {
@@ -41,59 +41,59 @@
 }
 
 func (r *core) stepHeartbeat(m Message) {
-	// The leader sends no higher commit than what it knows to match here.
+	// The leader limits Commit to the entries that it knows to match.
 	r.log.commit = max(r.log.commit, min(m.Commit, r.log.last()))
 	r.reply(m, Message{Kind: MessageHeartbeatResponse, Round: m.Round})
 }
 
-// incoming is a snapshot of which some chunks have arrived.
+// incoming is a partially received snapshot.
 type incoming struct {
 	meta SnapshotMeta
 	from Identity
 	data []byte
 }
 
-// stepSnapshot collects a chunk and installs the snapshot after the last one.
+// stepSnapshot appends a chunk to the incoming snapshot and installs it after the last chunk.
 func (r *core) stepSnapshot(m Message) {
 	if m.Snapshot == nil {
 		return
 	}
 	meta := *m.Snapshot
 	if r.log.matches(meta.Index, meta.Term) {
-		// Entries behind the snapshot may be acknowledged already; installing it
-		// would drop them, and an accepted edit with them.
+		// Entries after the snapshot may already be acknowledged. Installing it
+		// would drop them, and with them a committed edit.
 		r.log.commit = max(r.log.commit, meta.Index)
 	}
 	if meta.Index <= r.log.commit {
-		r.incoming = incoming{}
+		r.incomingSnapshot = incoming{}
 		r.reply(m, Message{Kind: MessageAppendResponse, Index: r.log.commit})
 		return
 	}
-	in := &r.incoming
+	in := &r.incomingSnapshot
 	if in.from != m.From || !in.meta.Same(meta) {
 		*in = incoming{meta: meta, from: m.From}
 	}
 	if m.Offset == uint64(len(in.data)) {
 		in.data = append(in.data, m.Data...)
 		if uint64(len(in.data)) >= meta.Size {
-			r.installIncoming(m)
+			r.installSnapshot(m)
 			return
 		}
 	}
 	r.reply(m, Message{Kind: MessageSnapshotResponse, Index: meta.Index, Offset: uint64(len(in.data))})
 }
 
-func (r *core) installIncoming(m Message) {
-	in := r.incoming
-	r.incoming = incoming{}
+func (r *core) installSnapshot(m Message) {
+	in := r.incomingSnapshot
+	r.incomingSnapshot = incoming{}
 	if !in.meta.Holds(in.data) {
-		// Half a snapshot, or chunks of two, would be a state that no replica
-		// ever had; the leader starts again from the first chunk.
+		// An incomplete snapshot, or one mixed from chunks of two, would be a
+		// state that no replica ever had. The leader restarts from the first chunk.
 		r.reply(m, Message{Kind: MessageSnapshotResponse, Index: in.meta.Index})
 		return
 	}
 	r.install = &Snapshot{Meta: in.meta, Data: in.data}
 	r.log.restore(in.meta)
-	r.taken = in.meta.Index
+	r.persistingIndex = in.meta.Index
 	r.reply(m, Message{Kind: MessageAppendResponse, Index: in.meta.Index})
 }
--- a/internal/control/raft/fuzz_test.go
+++ b/internal/control/raft/fuzz_test.go
@@ -7,9 +7,9 @@
 	"hornbeamwood/internal/control/raft"
 )
 
-// A peer of another version, or a broken one, sends messages that decode but
-// make no sense. The replica may pass them over; it must not end, nor commit
-// what nobody has.
+// A peer of another version, or a faulty one, sends messages that decode but are
+// invalid. The replica may ignore them. It must neither panic nor commit entries
+// that no replica has.
 func FuzzStep(f *testing.F) {
 	for _, kind := range []raft.MessageKind{raft.MessageAppend, raft.MessageAppendResponse, raft.MessageHeartbeatResponse, raft.MessageSnapshot, raft.MessageSnapshotResponse, raft.MessageVote} {
 		meta := raft.SnapshotMeta{Index: 9, Term: 2, Configuration: trio()}.WithData([]byte("x"))
--- a/internal/control/raft/identity.go
+++ b/internal/control/raft/identity.go
@@ -1,7 +1,7 @@
 package raft
 
-// Identity names one replica with one disk: random, 16 hexadecimal digits, never reused after the disk is lost.
+// Identity identifies one replica with one disk: 16 random hexadecimal digits, never reused after the disk is lost.
 type Identity string
 
-// None is the Identity of nobody.
+// None is the zero Identity; no replica has it.
 const None Identity = ""
--- a/internal/control/raft/leader.go
+++ b/internal/control/raft/leader.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// lead makes the candidate the leader of its term.
-func (r *core) lead() {
-	r.met = true
+// becomeLeader makes the candidate the leader of its term.
+func (r *core) becomeLeader() {
+	r.leaderSeen = true
 	r.role = Leader
 	r.leader, r.leaderAddress = r.self(), r.config.Self.Address
-	r.elapsed, r.beat, r.sinceWatch = 0, 0, 0
+	r.electionElapsed, r.heartbeatElapsed, r.sinceResponseCheck = 0, 0, 0
 	r.members = map[Identity]*progress{}
 	r.reads = nil
 	r.transferee = None
 	r.appendEntries(Entry{Kind: EntryNoop})
 	r.termStart = r.log.last()
-	r.track()
+	r.trackMembers()
 	r.broadcast()
 }
 
-// track keeps a progress for each member of the latest configuration but itself.
-func (r *core) track() {
+// trackMembers keeps a progress for each other member of the latest configuration.
+func (r *core) trackMembers() {
 	c := r.log.configuration()
 	for id := range r.members {
 		if _, ok := c.Member(id); !ok {
@@ -32,7 +32,7 @@
 	}
 }
 
-// appendEntries adds entries of the leader's term; index and term are filled in.
+// appendEntries assigns index and term to entries, appends them, and returns the index of the first.
 func (r *core) appendEntries(entries ...Entry) uint64 {
 	first := r.log.last() + 1
 	for i := range entries {
@@ -45,7 +45,7 @@
 
 // Propose implements Core.
 func (r *core) Propose(commands [][]byte) (index, term uint64, err error) {
-	if err := r.writable(); err != nil {
+	if err := r.checkWritable(); err != nil {
 		return 0, 0, err
 	}
 	entries := make([]Entry, len(commands))
@@ -57,7 +57,7 @@
 	return first, r.term, nil
 }
 
-func (r *core) writable() error {
+func (r *core) checkWritable() error {
 	if r.role != Leader || r.err != nil {
 		return ErrNotLeader
 	}
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// broadcast sends each member what it lacks.
+// broadcast sends each member the entries that it lacks.
 func (r *core) broadcast() {
 	for _, m := range r.log.configuration().Members {
 		if p, ok := r.members[m.Identity]; ok {
@@ -79,7 +79,7 @@
 // sendEntries sends a member as many batches as flow control allows.
 func (r *core) sendEntries(id Identity, p *progress) {
 	for p.next <= r.log.last() || p.state == probing && len(p.sent) == 0 {
-		if p.state == restoring || len(p.sent) >= r.window(p) {
+		if p.state == sendingSnapshot || len(p.sent) >= r.maxInflight(p) {
 			return
 		}
 		previous := p.next - 1
@@ -99,17 +99,17 @@
 	}
 }
 
-// window returns how many appends may be unanswered.
-func (r *core) window(p *progress) int {
+// maxInflight returns how many appends to a member may be unacknowledged.
+func (r *core) maxInflight(p *progress) int {
 	if p.state == probing {
 		return 1
 	}
 	return r.config.Inflight
 }
 
-// heartbeat confirms the leader to each member.
+// heartbeat sends a heartbeat to each member.
 func (r *core) heartbeat() {
-	r.beat = 0
+	r.heartbeatElapsed = 0
 	for _, m := range r.log.configuration().Members {
 		if p, ok := r.members[m.Identity]; ok {
 			r.sendEarly(Message{Kind: MessageHeartbeat, To: m.Identity, Index: r.log.commit, Commit: min(p.match, r.log.commit), Round: r.round})
@@ -117,10 +117,10 @@
 	}
 }
 
-// advanceCommit commits what a quorum has on disk, counting only entries of the leader's own term.
+// advanceCommit commits the entries that a quorum has on disk, counting replicas only for entries of the leader's own term.
 //
 // An entry of an earlier term that a quorum has can still be overwritten by a
-// leader that does not have it; counting it would undo what was accepted.
+// leader that lacks it. Committing it by counting could lose an accepted command.
 func (r *core) advanceCommit() {
 	c := r.log.configuration()
 	matches := make([]uint64, 0, len(c.Members))
@@ -137,7 +137,7 @@
 	}
 	r.log.commit = index
 	r.confirmReads()
-	r.finishChange(c)
+	r.stepDownIfRemoved(c)
 	if r.role == Leader {
 		r.broadcastCommit()
 	}
@@ -153,7 +153,7 @@
 	return 0
 }
 
-// broadcastCommit tells idle members of a new commit index without waiting for the next heartbeat.
+// broadcastCommit sends a new commit index to idle members without waiting for the next heartbeat.
 func (r *core) broadcastCommit() {
 	for _, m := range r.log.configuration().Members {
 		if p, ok := r.members[m.Identity]; ok && p.state == replicating && len(p.sent) == 0 {
--- a/internal/control/raft/log.go
+++ b/internal/control/raft/log.go
@@ -2,38 +2,38 @@
 
 import "slices"
 
-// placed is a configuration with the index from which it is in force.
-type placed struct {
+// indexedConfiguration is a configuration with the index from which it is in force.
+type indexedConfiguration struct {
 	index         uint64
 	configuration Configuration
 }
 
-// entryLog is the tail of the log in memory: everything after base.
+// entryLog is the part of the log in memory: all entries after base.
 type entryLog struct {
-	// base and baseTerm are the last entry that was compacted away.
+	// base and baseTerm are the index and term of the last compacted entry.
 	base, baseTerm uint64
 	entries        []Entry
 	// snapshot is the latest snapshot on disk.
 	snapshot SnapshotMeta
-	// stable is the last entry on disk, commit the last committed, handed the last given out to be applied.
-	stable, commit, handed uint64
-	configurations         []placed
+	// stable is the last entry on disk, commit the last committed one, applying the last one returned to be applied.
+	stable, commit, applying uint64
+	configurations           []indexedConfiguration
 }
 
 func newEntryLog(founding Configuration, snapshot SnapshotMeta, entries []Entry) *entryLog {
-	l := &entryLog{configurations: []placed{{0, founding}}}
+	l := &entryLog{configurations: []indexedConfiguration{{0, founding}}}
 	l.restore(snapshot)
 	l.append(entries)
 	l.stable = l.last()
 	return l
 }
 
-// restore replaces the whole log by a snapshot.
+// restore replaces the whole log with a snapshot.
 func (l *entryLog) restore(s SnapshotMeta) {
 	l.base, l.baseTerm, l.entries, l.snapshot = s.Index, s.Term, nil, s
-	l.stable, l.commit, l.handed = s.Index, s.Index, s.Index
+	l.stable, l.commit, l.applying = s.Index, s.Index, s.Index
 	if s.Index > 0 {
-		l.configurations = []placed{{s.Index, s.Configuration}}
+		l.configurations = []indexedConfiguration{{s.Index, s.Configuration}}
 	}
 }
 
@@ -70,7 +70,7 @@
 	return l.entries[first-l.base-1 : last-l.base : last-l.base]
 }
 
-// batch returns the entries from first on, at least one and at most about limit bytes.
+// batch returns the entries from first on: at least one, and at most about limit bytes.
 func (l *entryLog) batch(first uint64, limit int) []Entry {
 	size := 0
 	end := first
@@ -84,7 +84,7 @@
 	return l.slice(first, end-1)
 }
 
-// append adds entries behind the last one.
+// append adds entries after the last one.
 func (l *entryLog) append(entries []Entry) {
 	for _, e := range entries {
 		l.entries = append(l.entries, e)
@@ -92,15 +92,16 @@
 			continue
 		}
 		if c, err := decodeConfiguration(e.Data); err == nil {
-			l.configurations = append(l.configurations, placed{e.Index, c})
+			l.configurations = append(l.configurations, indexedConfiguration{e.Index, c})
 		}
 	}
 }
 
 // truncate drops the entries from index on.
 //
-// Messages in flight and the disk still read the dropped ones, so the next
-// append must not write over them: the cut slice has no spare capacity.
+// Messages in flight and pending disk writes may still read the dropped entries,
+// so the next append must not overwrite them. The truncated slice therefore has
+// no spare capacity.
 func (l *entryLog) truncate(index uint64) {
 	n := index - l.base - 1
 	l.entries = l.entries[:n:n]
@@ -110,7 +111,8 @@
 	}
 }
 
-// merge takes a leader's entries that follow index, which matches, and returns the last of them.
+// merge adds a leader's entries that follow the matching entry at index, drops
+// conflicting ones, and returns the index of the last added or matching entry.
 func (l *entryLog) merge(index uint64, entries []Entry) uint64 {
 	for i, e := range entries {
 		if l.matches(e.Index, e.Term) || e.Index <= l.base {
@@ -125,7 +127,7 @@
 	return index + uint64(len(entries))
 }
 
-// upToDate returns whether a candidate with the given last entry has all that this log could have committed.
+// upToDate reports whether a log with the given last entry is at least as up to date as this one.
 func (l *entryLog) upToDate(index, term uint64) bool {
 	own := l.lastTerm()
 	return term > own || term == own && index >= l.last()
@@ -136,8 +138,8 @@
 	return l.configurations[len(l.configurations)-1].configuration
 }
 
-// configured returns the index of the latest configuration.
-func (l *entryLog) configured() uint64 {
+// configurationIndex returns the index of the latest configuration.
+func (l *entryLog) configurationIndex() uint64 {
 	return l.configurations[len(l.configurations)-1].index
 }
 
@@ -151,8 +153,9 @@
 	return l.configurations[0].configuration
 }
 
-// tail returns the index behind which at most count entries and about limit bytes lead up to index.
-func (l *entryLog) tail(index, count uint64, limit int) uint64 {
+// compactionIndex returns the index up to which to compact so that at most count
+// entries and about limit bytes remain up to index.
+func (l *entryLog) compactionIndex(index, count uint64, limit int) uint64 {
 	at := min(index, l.last())
 	size := 0
 	for at > l.base && index-at < count {
@@ -165,7 +168,7 @@
 	return at
 }
 
-// compact forgets the entries up to index, which a snapshot holds.
+// compact drops the entries up to index, which a snapshot includes.
 func (l *entryLog) compact(index uint64) {
 	if index <= l.base || index > l.last() {
 		return
--- a/internal/control/raft/member.go
+++ b/internal/control/raft/member.go
@@ -2,12 +2,12 @@
 
 // Member is one replica of a Configuration.
 type Member struct {
-	// Name is the operator's name of the replica; it outlives a replaced disk.
+	// Name is the replica's name, given by the operator; it stays when the disk is replaced.
 	Name string `cbor:"name"`
-	// Identity names the replica together with its disk.
+	// Identity identifies the replica together with its disk.
 	Identity Identity `cbor:"identity"`
-	// Address is the IP and port that the others send to.
+	// Address is the IP address and port on which the replica receives messages.
 	Address string `cbor:"address"`
-	// Voter says whether the member counts towards quorums; a learner only receives the log.
+	// Voter reports whether the member counts towards quorums; a learner only receives the log.
 	Voter bool `cbor:"voter"`
 }
--- a/internal/control/raft/membership_test.go
+++ b/internal/control/raft/membership_test.go
@@ -8,8 +8,7 @@
 )
 
 // Operators change the members just after an election, or twice at once. Two
-// configurations that each have a quorum of their own could accept different
-// edits under one number.
+// configurations with disjoint quorums could commit different edits at one index.
 func TestMembershipChangesOneAtATime(t *testing.T) {
 	c := replicaA(1, trio(), nil)
 	term := elect(t, c)
@@ -37,9 +36,9 @@
 	}
 }
 
-// Answers come from replicas without a vote: a learner, a removed one, or one
-// that lost its disk and answers under a new identity. Counted, they would let
-// a leader be elected, or an edit be accepted, without a quorum.
+// Responses arrive from replicas that are no voters: a learner, a removed
+// replica, or one that lost its disk and has a new identity. Counting them would
+// elect a leader, or commit an edit, without a quorum.
 func TestOnlyVotersCount(t *testing.T) {
 	c := replicaA(1, trio(), nil)
 	timeOut(c)
@@ -47,7 +46,7 @@
 		c.Step(from(id, raft.Message{Kind: raft.MessagePreVoteResponse, Term: 2}))
 	}
 	if s := c.Status(); s.Role != raft.PreCandidate || s.Term != 1 {
-		t.Fatalf("elected by others than voters: %+v", s)
+		t.Fatalf("elected by replicas that are no voters: %+v", s)
 	}
 	term := elect(t, c)
 	acknowledge(c, "l", term, 1)
@@ -57,9 +56,9 @@
 	}
 }
 
-// A VM is replaced under its old address, and messages to the former disk, of
-// another group or of another founding still arrive there.
-func TestMessagesForOthersAreNotTaken(t *testing.T) {
+// A VM is replaced under its old address. Messages to the former disk, of another
+// group or of another founding still arrive there.
+func TestMessagesForOthersAreIgnored(t *testing.T) {
 	vote := from("b", raft.Message{Kind: raft.MessageVote, Term: 5, Transfer: true})
 	for _, change := range []func(*raft.Message){
 		func(m *raft.Message) { m.To = "old-a" },
@@ -72,14 +71,15 @@
 		change(&m)
 		c.Step(m)
 		if e := flush(c); len(e.Messages) > 0 || c.Status().Term != 1 {
-			t.Errorf("%+v was taken", m)
+			t.Errorf("%+v was processed", m)
 		}
 	}
 }
 
-// A membership change is replaced by another leader's entry before it is
-// committed; who went on with it would count votes in a group that never was.
-func TestReplacedMembershipChangeIsForgotten(t *testing.T) {
+// An uncommitted membership change is overwritten by another leader's entry. A
+// replica that kept it would count votes in a configuration that was never in
+// force.
+func TestOverwrittenMembershipChangeIsDropped(t *testing.T) {
 	leader := replicaA(1, trio(), nil)
 	term := elect(t, leader)
 	acknowledge(leader, "b", term, 1)
--- a/internal/control/raft/progress.go
+++ b/internal/control/raft/progress.go
@@ -1,43 +1,43 @@
 package raft
 
-// progressState is how a leader sends to a member.
+// progressState is how a leader replicates to a member.
 type progressState uint8
 
 const (
 	// probing sends one append at a time until the logs are known to match.
 	probing progressState = iota
-	// replicating sends ahead of the answers.
+	// replicating pipelines appends without waiting for responses.
 	replicating
-	// restoring sends a snapshot, a chunk at a time.
-	restoring
+	// sendingSnapshot sends a snapshot, one chunk at a time.
+	sendingSnapshot
 )
 
-// resendAfter is after how many quiet heartbeats a message counts as lost.
+// resendAfter is the number of heartbeat intervals without a response after which a message is presumed lost.
 const resendAfter = 2
 
-// progress is what a leader knows of one member.
+// progress is the replication state of one member at the leader.
 type progress struct {
 	state progressState
-	// match is the last entry known to be on the member's disk, next the one to send.
+	// match is the last entry known to be on the member's disk, next the next one to send.
 	match, next uint64
-	// sent holds the last index of each append that is not answered yet.
+	// sent holds the last index of each unacknowledged append.
 	sent []uint64
-	// active says that the member answered since the last quorum check.
+	// active is set when the member responded since the last quorum check.
 	active bool
-	// moved says that an append or a chunk was answered since the last heartbeat.
-	moved bool
-	// quiet counts heartbeats during which something was due and nothing was answered.
-	quiet int
-	// round is the latest heartbeat round that the member answered.
+	// responded is set when the member responded to an append or a chunk since the last check for lost messages.
+	responded bool
+	// unansweredIntervals counts heartbeat intervals during which a response was due and none arrived.
+	unansweredIntervals int
+	// round is the latest heartbeat round that the member acknowledged.
 	round uint64
-	// meta and offset are the snapshot being sent and the chunk in flight, wanted the chunk that was last asked for.
-	meta           SnapshotMeta
-	offset, wanted uint64
+	// meta and offset are the snapshot being sent and the offset of the chunk in flight, requestedOffset the offset last requested.
+	meta                    SnapshotMeta
+	offset, requestedOffset uint64
 }
 
-// acknowledge records that the member has everything up to index and returns whether that is news.
+// acknowledge records that the member has all entries up to index and reports whether match advanced.
 func (p *progress) acknowledge(index uint64) bool {
-	p.moved = true
+	p.responded = true
 	n := 0
 	for n < len(p.sent) && p.sent[n] <= index {
 		n++
@@ -51,7 +51,7 @@
 	return true
 }
 
-// probe goes back to the last entry that is known to match.
+// probe returns to probing from next, but not before the last entry that is known to match.
 func (p *progress) probe(next uint64) {
 	p.state = probing
 	p.next = max(next, p.match+1)
--- a/internal/control/raft/read.go
+++ b/internal/control/raft/read.go
@@ -1,6 +1,6 @@
 package raft
 
-// pendingRead waits until a quorum answered a heartbeat that was sent after the read came.
+// pendingRead is a read that waits for a quorum to acknowledge a heartbeat round that started after the read arrived.
 type pendingRead struct {
 	id    uint64
 	round uint64
@@ -12,35 +12,36 @@
 		return ErrNotLeader
 	}
 	r.reads = append(r.reads, pendingRead{id: id, round: r.round + 1})
-	r.roundWanted = true
+	r.roundRequested = true
 	return nil
 }
 
-// openRound sends one round of heartbeats for all reads that came since the last one.
-func (r *core) openRound() {
-	if !r.roundWanted || r.role != Leader {
-		r.roundWanted = false
+// startReadRound sends one round of heartbeats for all reads that arrived since the last round.
+func (r *core) startReadRound() {
+	if !r.roundRequested || r.role != Leader {
+		r.roundRequested = false
 		return
 	}
-	r.roundWanted = false
+	r.roundRequested = false
 	r.round++
 	r.heartbeat()
 	r.confirmReads()
 }
 
-// confirmReads confirms the reads whose round a quorum has answered.
+// confirmReads confirms the reads whose round a quorum has acknowledged.
 //
-// A leader that was frozen while another one was elected would serve old state
-// as fresh; a quorum that answers in its term proves that there was no other
-// when the round began. Its own first entry must be covered, because only then
-// does it know all that earlier leaders committed.
+// A leader whose process was suspended while another leader was elected would
+// serve stale state. A quorum that responds in its term proves that there was no
+// newer leader when the round began. The leader's own first entry must be
+// committed, because only then does it know everything that earlier leaders
+// committed.
 func (r *core) confirmReads() {
 	if r.log.commit < r.termStart {
 		return
 	}
 	for len(r.reads) > 0 {
 		read := r.reads[0]
-		n := r.count(func(_ Identity, p *progress) bool { return p.round >= read.round })
+		n := r.countVoters(func(_ Identity, p *progress) bool { return p.round >= read.round })
 		if read.round > r.round || n < r.log.configuration().Quorum() {
 			return
 		}
--- a/internal/control/raft/register_test.go
+++ b/internal/control/raft/register_test.go
@@ -2,19 +2,19 @@
 
 import "encoding/binary"
 
-// register is a state machine with one value that is edited against a
-// revision: an edit that names another revision than the present one loses.
+// register is a state machine with one value and a revision. An edit against
+// another revision than the current one has no effect.
 type register struct {
 	revision uint64
 	value    uint64
 }
 
-// edit is the command: the revision it was made against and the new value.
+// edit encodes the command that sets value if the register is at revision.
 func edit(revision, value uint64) []byte {
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, revision), value)
 }
 
-// apply returns the present revision and value after the command.
+// apply applies the command and returns the register after it.
 func (r *register) apply(command []byte) register {
 	if binary.BigEndian.Uint64(command) == r.revision {
 		r.revision++
--- a/internal/control/raft/resend_test.go
+++ b/internal/control/raft/resend_test.go
@@ -6,10 +6,10 @@
 	"hornbeamwood/internal/control/raft"
 )
 
-// A replica was started anew while an append was on its way to it, and callers
-// read all the time. The lost append must be sent again, or the replica never
-// catches up and the loss of another one stops all edits.
-func TestLostAppendIsSentAgainUnderSteadyReads(t *testing.T) {
+// A replica restarts while an append to it is in flight, and callers read all
+// the time. The lost append must be resent, or the replica never catches up and
+// the loss of another one blocks all edits.
+func TestLostAppendIsResentUnderSteadyReads(t *testing.T) {
 	c := replicaA(1, trio(), commands(1, 1, 1))
 	term := elect(t, c)
 	acknowledge(c, "b", term, 4)
@@ -28,22 +28,22 @@
 			}
 		}
 	}
-	t.Fatal("the learner answered 40 heartbeats and was not sent the lost append again")
+	t.Fatal("the lost append was not resent to the learner, which answered 40 heartbeats")
 }
 
-// Both VMs of the first members were replaced one after the other, and the
-// first append to the newest one is lost. All that this learner knows is the
-// founding configuration, without the leader; unless heartbeats say where to
-// answer, the leader never learns that the append was lost, and the learner
-// stays empty.
-func TestHeartbeatsSayWhereToAnswer(t *testing.T) {
+// The VMs of the first members were replaced one after the other, and the first
+// append to the newest one is lost. This learner knows only the founding
+// configuration, which lacks the leader. Without the leader's address in
+// heartbeats it can't respond, the leader never detects that the append was
+// lost, and the learner stays empty.
+func TestHeartbeatsCarryTheLeadersAddress(t *testing.T) {
 	c := replicaA(1, trio(), commands(1, 1, 1))
 	elect(t, c)
 	for range 10 {
 		c.Tick()
 		for _, m := range flush(c).Early {
 			if m.Kind == raft.MessageHeartbeat && m.Address != "10.0.0.1:1" {
-				t.Fatalf("a heartbeat to %s says %q", m.To, m.Address)
+				t.Fatalf("a heartbeat to %s has the address %q", m.To, m.Address)
 			}
 		}
 	}
--- a/internal/control/raft/answer.go
+++ b/internal/control/raft/response.go
@@ -1,7 +1,7 @@
 package raft
 
-// stepAtLeader takes a member's answer.
-func (r *core) stepAtLeader(m Message) {
+// stepResponse handles a member's response at the leader.
+func (r *core) stepResponse(m Message) {
 	p, ok := r.members[m.From]
 	if r.role != Leader || !ok {
 		return
@@ -23,10 +23,10 @@
 
 func (r *core) stepAppendResponse(m Message, p *progress) {
 	if m.Reject {
-		if m.Index < p.match || m.Index > r.log.last() || p.state == restoring || p.state == probing && m.Index != p.next-1 {
+		if m.Index < p.match || m.Index > r.log.last() || p.state == sendingSnapshot || p.state == probing && m.Index != p.next-1 {
 			return
 		}
-		p.moved = true
+		p.responded = true
 		p.probe(min(m.Index, m.Hint+1))
 		r.sendEntries(m.From, p)
 		return
@@ -34,13 +34,13 @@
 	if m.Index > r.log.last() {
 		return
 	}
-	news := p.acknowledge(m.Index)
-	if p.state == probing || p.state == restoring && m.Index >= p.meta.Index {
+	advanced := p.acknowledge(m.Index)
+	if p.state == probing || p.state == sendingSnapshot && m.Index >= p.meta.Index {
 		p.state = replicating
 		p.sent = nil
 		p.next = max(p.match+1, m.Index+1)
 	}
-	if news {
+	if advanced {
 		r.advanceCommit()
 	}
 	if r.role != Leader {
@@ -50,14 +50,14 @@
 	r.finishTransfer(m.From, p)
 }
 
-// stepHeartbeatResponse sends again what seems to be lost: the member answers, but not what it was sent.
+// stepHeartbeatResponse resends what is presumed lost: the member responds to heartbeats, but not to the appends or chunks sent to it.
 func (r *core) stepHeartbeatResponse(m Message, p *progress) {
-	if p.quiet < resendAfter {
+	if p.unansweredIntervals < resendAfter {
 		return
 	}
-	p.quiet = 0
-	if p.state == restoring {
-		p.offset = p.wanted
+	p.unansweredIntervals = 0
+	if p.state == sendingSnapshot {
+		p.offset = p.requestedOffset
 		r.sendChunk(m.From, p)
 		return
 	}
@@ -65,41 +65,42 @@
 	r.sendEntries(m.From, p)
 }
 
-// startSnapshot turns to sending the latest snapshot because the log no longer reaches back far enough.
+// startSnapshot begins to send the latest snapshot because the entries that the member needs are compacted.
 func (r *core) startSnapshot(id Identity, p *progress) {
-	p.state = restoring
+	p.state = sendingSnapshot
 	p.meta = r.log.snapshot
-	p.offset, p.wanted = 0, 0
+	p.offset, p.requestedOffset = 0, 0
 	p.sent = nil
 	r.sendChunk(id, p)
 }
 
-// sendChunk asks for a chunk to be read from the disk and sent.
+// sendChunk queues a snapshot message; the sender reads the chunk from disk and adds it.
 func (r *core) sendChunk(id Identity, p *progress) {
 	if p.meta.Index < r.log.snapshot.Index {
 		// The older snapshot is no longer on disk.
 		p.meta = r.log.snapshot
-		p.offset, p.wanted = 0, 0
+		p.offset, p.requestedOffset = 0, 0
 	}
 	meta := p.meta
 	r.sendEarly(Message{Kind: MessageSnapshot, To: id, Snapshot: &meta, Offset: p.offset})
 }
 
-// stepSnapshotResponse goes on with the chunk that the member wants.
+// stepSnapshotResponse sends the chunk that the member requests.
 //
-// An answer that wants an earlier chunk may be old, or come from a member that
-// restarted and took a late copy of the first ones. Going back at once would
-// send everything several times; never going back would leave that member
-// without the snapshot. It is noted, and counts when nothing else moves.
+// A response that requests an earlier chunk may be outdated, or come from a
+// member that restarted and received a delayed duplicate of the first chunks.
+// Going back at once would send every chunk several times; never going back
+// would leave that member without the snapshot. The offset is therefore
+// recorded, and used once the transfer makes no progress.
 func (r *core) stepSnapshotResponse(m Message, p *progress) {
-	if p.state != restoring || m.Index != p.meta.Index || m.Offset >= p.meta.Size {
+	if p.state != sendingSnapshot || m.Index != p.meta.Index || m.Offset >= p.meta.Size {
 		return
 	}
-	p.wanted = m.Offset
+	p.requestedOffset = m.Offset
 	if m.Offset <= p.offset && m.Offset != 0 {
 		return
 	}
-	p.moved = true
+	p.responded = true
 	p.offset = m.Offset
 	r.sendChunk(m.From, p)
 }
--- a/internal/control/raft/role.go
+++ b/internal/control/raft/role.go
@@ -1,22 +1,22 @@
 package raft
 
-// Role is what a replica does in its term.
+// Role is a replica's role in its term.
 type Role uint8
 
 const (
-	// Follower takes entries from a leader.
+	// Follower accepts entries from a leader.
 	Follower Role = iota
-	// PreCandidate asks whether it could win an election, without a new term.
+	// PreCandidate checks whether it could win an election, without a new term.
 	PreCandidate
-	// Candidate asks for votes.
+	// Candidate requests votes.
 	Candidate
-	// Leader orders the log.
+	// Leader appends and replicates entries.
 	Leader
 )
 
-var roles = [...]string{"follower", "pre-candidate", "candidate", "leader"}
+var roleNames = [...]string{"follower", "pre-candidate", "candidate", "leader"}
 
-// String returns the role's name in status and logs.
+// String returns the role's name as shown in status and logs.
 func (r Role) String() string {
-	return roles[r]
+	return roleNames[r]
 }
--- a/internal/control/raft/schedule_test.go
+++ b/internal/control/raft/schedule_test.go
@@ -15,18 +15,19 @@
 )
 
 var (
-	stepsFlag = flag.Int("raft.steps", 400000, "steps of the random schedules of TestRandomSchedules")
+	stepsFlag = flag.Int("raft.steps", 400000, "total number of steps of the random schedules of TestRandomSchedules")
 	seedFlag  = flag.Int64("raft.seed", 20261203, "seed of the random schedules of TestRandomSchedules")
 )
 
-// stepsPerRun is the length of one schedule.
+// stepsPerRun is the number of steps in one schedule.
 const stepsPerRun = 2000
 
 var errFault = errors.New("injected fault")
 
-// action is one kind of step and how often it comes, in relation to the others.
+// action is one kind of step.
 type action struct {
-	name   string
+	name string
+	// weight is the relative frequency of the action.
 	weight uint32
 	do     func(w *world, v *vm, choice int)
 }
@@ -40,22 +41,22 @@
 	{"read", 60, func(w *world, _ *vm, n int) { w.atLeader(n, w.read) }},
 	{"drop", 40, func(w *world, _ *vm, n int) { w.drop(n) }},
 	{"duplicate", 40, func(w *world, _ *vm, n int) { w.deliver(n, true) }},
-	{"cut one direction", 8, func(w *world, v *vm, n int) { w.cuts[[2]string{v.address, w.vms[n%len(w.vms)].address}] = true }},
-	{"cut off", 4, func(w *world, v *vm, _ int) { w.isolate(v) }},
-	{"heal", 12, func(w *world, _ *vm, _ int) { clear(w.cuts) }},
-	{"silence", 12, func(w *world, _ *vm, n int) { w.silence(3 + n%10) }},
-	{"freeze leader", 8, func(w *world, _ *vm, n int) { w.atLeader(n, func(v *vm) { v.frozen = true }) }},
-	{"thaw", 8, func(w *world, _ *vm, _ int) { w.thaw() }},
+	{"cut one direction", 8, func(w *world, v *vm, n int) { w.cutLinks[[2]string{v.address, w.vms[n%len(w.vms)].address}] = true }},
+	{"isolate", 4, func(w *world, v *vm, _ int) { w.isolate(v) }},
+	{"heal links", 12, func(w *world, _ *vm, _ int) { clear(w.cutLinks) }},
+	{"tick without delivery", 12, func(w *world, _ *vm, n int) { w.tickWithoutDelivery(3 + n%10) }},
+	{"suspend leader", 8, func(w *world, _ *vm, n int) { w.atLeader(n, func(v *vm) { v.suspended = true }) }},
+	{"resume", 8, func(w *world, _ *vm, _ int) { w.resume() }},
 	{"crash leader", 6, func(w *world, _ *vm, n int) { w.atLeader(n, (*vm).stop) }},
 	{"crash and restart", 16, func(_ *world, v *vm, _ int) { v.restart() }},
 	{"crash", 8, func(_ *world, v *vm, _ int) { v.stop() }},
 	{"restart", 24, func(w *world, _ *vm, _ int) { w.restart() }},
 	{"lose disk", 3, func(w *world, v *vm, _ int) { w.loseDisk(v) }},
 	{"change members", 24, func(w *world, _ *vm, n int) { w.atLeader(n, func(v *vm) { w.change(v, n) }) }},
-	{"join", 24, func(w *world, _ *vm, _ int) { w.admit() }},
-	{"snapshot", 12, func(_ *world, v *vm, n int) { v.save(uint64(n % 4)) }},
-	{"file fault", 4, func(w *world, v *vm, n int) { w.fault(v, n%6) }},
-	{"hand over", 4, func(w *world, _ *vm, n int) { w.atLeader(n, func(v *vm) { v.core.Transfer(); v.settle() }) }},
+	{"join", 24, func(w *world, _ *vm, _ int) { w.joinAdmitted() }},
+	{"snapshot", 12, func(_ *world, v *vm, n int) { v.saveSnapshot(uint64(n % 4)) }},
+	{"file fault", 4, func(w *world, v *vm, n int) { w.injectFault(v, n%6) }},
+	{"transfer leadership", 4, func(w *world, _ *vm, n int) { w.atLeader(n, func(v *vm) { v.core.TransferLeadership(); v.settle() }) }},
 }
 
 func (w *world) tickAll() {
@@ -64,20 +65,20 @@
 	}
 }
 
-// silence lets time pass while nothing arrives, so that several candidates meet.
-func (w *world) silence(ticks int) {
+// tickWithoutDelivery ticks all VMs without delivering messages, so that several candidates compete.
+func (w *world) tickWithoutDelivery(ticks int) {
 	for range ticks {
 		w.tickAll()
 	}
 }
 
-// thaw lets frozen VMs go on; callers that waited there are served first.
-func (w *world) thaw() {
+// resume resumes suspended VMs; calls that wait there are processed first.
+func (w *world) resume() {
 	for _, v := range w.vms {
-		if !v.frozen {
+		if !v.suspended {
 			continue
 		}
-		v.frozen = false
+		v.suspended = false
 		if v.core != nil {
 			w.read(v)
 			w.propose(v, false)
@@ -92,16 +93,16 @@
 }
 
 func (w *world) drop(n int) {
-	if len(w.flight) > 0 {
-		n %= len(w.flight)
-		w.flight = append(w.flight[:n:n], w.flight[n+1:]...)
+	if len(w.inFlight) > 0 {
+		n %= len(w.inFlight)
+		w.inFlight = append(w.inFlight[:n:n], w.inFlight[n+1:]...)
 	}
 }
 
 func (w *world) isolate(v *vm) {
 	for _, o := range w.vms {
-		w.cuts[[2]string{v.address, o.address}] = true
-		w.cuts[[2]string{o.address, v.address}] = true
+		w.cutLinks[[2]string{v.address, o.address}] = true
+		w.cutLinks[[2]string{o.address, v.address}] = true
 	}
 }
 
@@ -111,7 +112,7 @@
 	}
 }
 
-// restart ends a replica and starts it at once, so that messages to its former life still reach it.
+// restart crashes a replica and starts it at once, so that it still receives messages sent before the crash.
 func (v *vm) restart() {
 	if v.up {
 		v.crash()
@@ -128,16 +129,16 @@
 }
 
 func (w *world) loseDisk(v *vm) {
-	if v.identity != "" && w.mayLose(v) {
-		v.lose()
+	if v.identity != "" && w.canLoseDisk(v) {
+		v.replaceDisk()
 	}
 }
 
-// weigh draws how often each action comes in the schedule of a seed.
+// randomWeights returns the weight of each action in the schedule of a seed.
 //
-// With one mix for all schedules some faults need an order of steps that
-// hardly ever comes; a mix of its own for each seed reaches many more.
-func weigh(seed uint64) []uint32 {
+// With the same weights for all schedules, some faults need an order of steps
+// that is very unlikely. Random weights for each seed reach many more of them.
+func randomWeights(seed uint64) []uint32 {
 	random := rand.New(rand.NewPCG(seed, 2))
 	weights := make([]uint32, len(actions))
 	for i, a := range actions {
@@ -146,7 +147,7 @@
 	return weights
 }
 
-// step does the action that a drawn number stands for.
+// step performs the action that a random number encodes.
 func (w *world) step(number uint32) {
 	a, choice := w.action(number)
 	a.do(w, w.vms[choice%len(w.vms)], choice/len(w.vms))
@@ -167,24 +168,24 @@
 	panic("unreachable")
 }
 
-// calmRounds is how many rounds without faults a group gets to accept an edit and bring all members up to it.
-const calmRounds = 400
+// maxRecoveryRounds bounds the rounds without faults within which a group must accept an edit and replicate it to all members.
+const maxRecoveryRounds = 400
 
-// settles returns an error unless the group works again once the faults end.
-func (w *world) settles() error {
-	clear(w.cuts)
-	w.thaw()
+// checkLiveness returns an error unless the group recovers once the faults end.
+func (w *world) checkLiveness() error {
+	clear(w.cutLinks)
+	w.resume()
 	before := w.oracle.edits
-	for round := range calmRounds {
+	for round := range maxRecoveryRounds {
 		w.restart()
-		w.admit()
+		w.joinAdmitted()
 		w.tickAll()
 		w.atLeader(0, w.read)
-		for range maxFlight {
+		for range maxInFlight {
 			w.deliver(0, false)
 		}
-		if w.oracle.broken != nil {
-			return w.oracle.broken
+		if w.oracle.violation != nil {
+			return w.oracle.violation
 		}
 		if w.oracle.edits == before {
 			if round%10 == 0 {
@@ -192,15 +193,15 @@
 			}
 			continue
 		}
-		if w.level() {
+		if w.allCaughtUp() {
 			return nil
 		}
 	}
-	return fmt.Errorf("liveness: no edit reached all members within %d rounds without faults\n%v\n%v", calmRounds, w.vms, w.vms[0].last)
+	return fmt.Errorf("liveness: no edit reached all members within %d rounds without faults\n%v\n%v", maxRecoveryRounds, w.vms, w.vms[0].lastConfiguration)
 }
 
-// level returns whether every living member of the leader's configuration has applied all that is committed.
-func (w *world) level() bool {
+// allCaughtUp reports whether every running member of the leader's configuration has applied all committed entries.
+func (w *world) allCaughtUp() bool {
 	leaders := w.leaders()
 	if len(leaders) == 0 {
 		return false
@@ -214,20 +215,20 @@
 	return true
 }
 
-// runSchedule returns the first rule that a schedule breaks.
+// runSchedule runs a schedule and returns the first violation.
 func runSchedule(seed uint64, numbers []uint32) (*world, error) {
 	w := newWorld(seed)
 	for i, n := range numbers {
 		w.step(n)
-		if w.oracle.broken != nil {
-			return w, fmt.Errorf("step %d: %w", i, w.oracle.broken)
+		if w.oracle.violation != nil {
+			return w, fmt.Errorf("step %d: %w", i, w.oracle.violation)
 		}
 	}
-	return w, w.settles()
+	return w, w.checkLiveness()
 }
 
-// draw returns the numbers of the schedule that a seed stands for.
-func draw(seed uint64, steps int) []uint32 {
+// randomSchedule returns the schedule of a seed.
+func randomSchedule(seed uint64, steps int) []uint32 {
 	random := rand.New(rand.NewPCG(seed, 1))
 	numbers := make([]uint32, steps)
 	for i := range numbers {
@@ -236,58 +237,58 @@
 	return numbers
 }
 
-// reduce drops steps as long as the schedule still breaks a rule.
-func reduce(seed uint64, numbers []uint32) ([]uint32, error) {
-	_, broken := runSchedule(seed, numbers)
+// shrinkSchedule removes steps as long as the schedule still causes a violation.
+func shrinkSchedule(seed uint64, numbers []uint32) ([]uint32, error) {
+	_, violation := runSchedule(seed, numbers)
 	for size := len(numbers) / 2; size > 0; size /= 2 {
 		for at := 0; at+size <= len(numbers); {
 			shorter := slices.Concat(numbers[:at], numbers[at+size:])
 			if _, err := runSchedule(seed, shorter); err != nil {
-				numbers, broken = shorter, err
+				numbers, violation = shorter, err
 				continue
 			}
 			at += size
 		}
 	}
-	return numbers, broken
+	return numbers, violation
 }
 
-// names returns what the steps of a schedule do.
-func names(seed uint64, numbers []uint32) string {
-	w := &world{weights: weigh(seed)}
+// describeSchedule lists the actions of a schedule.
+func describeSchedule(seed uint64, numbers []uint32) string {
+	w := &world{weights: randomWeights(seed)}
 	var all []string
 	for _, n := range numbers {
 		a, choice := w.action(n)
-		all = append(all, fmt.Sprintf("%s %d/%d", a.name, choice%machinesOf(seed), choice/machinesOf(seed)))
+		all = append(all, fmt.Sprintf("%s %d/%d", a.name, choice%vmCount(seed), choice/vmCount(seed)))
 	}
 	return strings.Join(all, ", ")
 }
 
-// Messages between VMs are lost, late, doubled and overtake each other, links
-// fail in one direction, VMs die with unsynced writes, come back with empty
-// disks under their old addresses, and operators change the members meanwhile.
-// Were the log to allow it, an operator would see an accepted edit vanish, two
-// edits win under one number, or a read that is older than the one before.
+// Messages between VMs are lost, delayed, duplicated and reordered, links fail in
+// one direction, VMs crash with unsynced writes and return with empty disks at
+// their old addresses, and operators change the members meanwhile. The test
+// guards against a lost edit, two edits accepted at one revision, and a read that
+// is older than an earlier one.
 func TestRandomSchedules(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(*seedFlag)
 	parameters.MinSuccessfulTests = max(1, *stepsFlag/stepsPerRun)
 	steps, edits, reads, faults, terms, disks := 0, 0, 0, 0, 0, 0
 	run := 0
 	properties := gopter.NewProperties(parameters)
-	properties.Property("the log keeps its rules", prop.ForAll(
+	properties.Property("the safety and liveness properties hold", prop.ForAll(
 		func(seed uint64) (string, error) {
 			run++
-			numbers := draw(seed, stepsPerRun)
+			numbers := randomSchedule(seed, stepsPerRun)
 			w, err := runSchedule(seed, numbers)
 			steps += len(numbers)
 			edits += w.oracle.edits
 			reads += w.oracle.reads
 			faults += w.faults
 			terms += len(w.oracle.leaders)
-			disks += len(w.dead)
+			disks += len(w.lostIdentities)
 			if err != nil {
-				short, broken := reduce(seed, numbers)
-				return "", fmt.Errorf("%w\nshortest schedule found, seed %d: %v\n%s: %w", err, seed, short, names(seed, short), broken)
+				short, violation := shrinkSchedule(seed, numbers)
+				return "", fmt.Errorf("%w\nshortest schedule found, seed %d: %v\n%s: %w", err, seed, short, describeSchedule(seed, short), violation)
 			}
 			return "", nil
 		},
@@ -297,17 +298,17 @@
 	t.Logf("%d steps in %d schedules: %d edits accepted, %d reads confirmed, %d terms with a leader, %d disks lost, %d file faults", steps, run, edits, reads, terms, disks, faults)
 }
 
-// Schedules that broke a rule once; the numbers are their seeds.
-func TestSchedulesThatShowedFaults(t *testing.T) {
+// TestSchedulesThatFailedBefore runs the seeds of schedules that caused violations before.
+func TestSchedulesThatFailedBefore(t *testing.T) {
 	for _, seed := range []uint64{
-		// A replica that is removed in its own log stood still while the others needed it.
+		// A replica that was removed in its own log did not campaign while the others needed it.
 		1844937388822592023,
-		// A learner restarted in the middle of a snapshot and got a late copy of its first chunk.
+		// A learner restarted during a snapshot transfer and received a delayed duplicate of the first chunk.
 		12418803768635305241,
-		// A learner alone had the last entries, and a candidate took it for a voter.
+		// Only a learner had the last entries, and a candidate considered it a voter.
 		683914461263213200,
 	} {
-		if _, err := runSchedule(seed, draw(seed, stepsPerRun)); err != nil {
+		if _, err := runSchedule(seed, randomSchedule(seed, stepsPerRun)); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
 	}
--- a/internal/control/raft/snapshot.go
+++ b/internal/control/raft/snapshot.go
@@ -2,17 +2,17 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// SnapshotMeta describes the state that a snapshot holds.
+// SnapshotMeta describes a snapshot.
 type SnapshotMeta struct {
-	// Index is the last entry that the state includes.
+	// Index is the last entry that the snapshot includes.
 	Index uint64 `cbor:"index"`
 	// Term is the term of that entry.
 	Term uint64 `cbor:"term"`
-	// Configuration is the one in force at Index.
+	// Configuration is the configuration in force at Index.
 	Configuration Configuration `cbor:"configuration"`
 	// Size is the length of the data in bytes.
 	Size uint64 `cbor:"size"`
-	// Checksum is that of the data.
+	// Checksum is the xxHash64 checksum of the data.
 	Checksum uint64 `cbor:"checksum"`
 }
 
@@ -23,20 +23,20 @@
 	return m
 }
 
-// Holds returns whether data has the size and checksum of m.
+// Holds reports whether data has the size and checksum of m.
 func (m SnapshotMeta) Holds(data []byte) bool {
 	return m.Size == uint64(len(data)) && m.Checksum == xxhash.Sum64(data)
 }
 
-// Same returns whether chunks of m and other belong together.
+// Same reports whether m and other describe the same snapshot data, so that their chunks can be combined.
 func (m SnapshotMeta) Same(other SnapshotMeta) bool {
 	return m.Index == other.Index && m.Term == other.Term && m.Size == other.Size && m.Checksum == other.Checksum
 }
 
-// Snapshot is a state machine's state with its place in the log.
+// Snapshot is a state machine's state at an index of the log.
 type Snapshot struct {
-	// Meta is the snapshot's place in the log.
+	// Meta describes the snapshot.
 	Meta SnapshotMeta `cbor:"meta"`
-	// Data is the state machine's own encoding.
+	// Data is the state as encoded by the state machine.
 	Data []byte `cbor:"data"`
 }
--- a/internal/control/raft/snapshot_transfer_test.go
+++ b/internal/control/raft/snapshot_transfer_test.go
@@ -6,9 +6,9 @@
 	"hornbeamwood/internal/control/raft"
 )
 
-// A snapshot message is late: the follower has got the entries behind it from
-// the log meanwhile and has acknowledged them. Installing it would drop them,
-// and with them an edit that was accepted because this disk holds it.
+// A snapshot message is delayed. Meanwhile the follower received the entries
+// after the snapshot from the log and acknowledged them. Installing the snapshot
+// would drop them, and with them an edit that was committed by counting this disk.
 func TestLateSnapshotKeepsAcknowledgedEntries(t *testing.T) {
 	c := replicaA(1, trio(), nil)
 	c.Step(from("b", raft.Message{Kind: raft.MessageAppend, Term: 1, Entries: commands(1, 1, 1, 1, 1), Commit: 2}))
@@ -23,10 +23,10 @@
 	}
 }
 
-// A learner restarts in the middle of a snapshot, and a late copy of the first
-// chunk reaches it. It stands at the second chunk while the leader goes on
-// sending a later one; were its answers passed over as old ones, it would never
-// catch up and the operator would wait for its vote for ever.
+// A learner restarts during a snapshot transfer and receives a delayed duplicate
+// of the first chunk. It requests the second chunk while the leader sends a later
+// one. If the leader ignored its responses as outdated, the learner would never
+// catch up and never become a voter.
 func TestSnapshotGoesOnAfterTheReceiverRestarts(t *testing.T) {
 	c := replicaA(1, trio(), commands(1, 1, 1))
 	term := elect(t, c)
@@ -55,5 +55,5 @@
 			}
 		}
 	}
-	t.Fatal("the learner was never sent the chunk that it lacks")
+	t.Fatal("the missing chunk was never sent to the learner")
 }
--- a/internal/control/raft/status.go
+++ b/internal/control/raft/status.go
@@ -1,22 +1,23 @@
 package raft
 
-// Status is where a replica stands.
+// Status is the current state of a replica.
 type Status struct {
-	// Role is what the replica does in Term.
+	// Role is the replica's role in Term.
 	Role Role
 	// Term is the latest term seen.
 	Term uint64
-	// Leader is the leader of Term, None while unknown, and LeaderAddress where it is reached.
+	// Leader is the leader of Term, None while unknown, and LeaderAddress its address.
 	Leader        Identity
 	LeaderAddress string
-	// Commit is the last committed entry, Last the last entry, Snapshot the one that the latest snapshot includes.
+	// Commit is the last committed entry, Last the last entry, Snapshot the last entry in the latest snapshot.
 	Commit, Last, Snapshot uint64
-	// Target is what must be applied for the replica to have caught up, once Heard says that the leader told it.
-	Target uint64
-	Heard  bool
-	// Configuration is the latest one, committed or not; CommittedConfiguration the latest committed one.
+	// LeaderCommit is the leader's commit index, which must be applied for the replica to have caught up.
+	// LeaderCommitKnown is set once it was received in this term.
+	LeaderCommit      uint64
+	LeaderCommitKnown bool
+	// Configuration is the latest configuration, committed or not; CommittedConfiguration the latest committed one.
 	Configuration, CommittedConfiguration Configuration
-	// Matches is, at the leader, the last entry known to be on each member's disk.
+	// Matches is the last entry known to be on each member's disk; only the leader sets it.
 	Matches map[Identity]uint64
 }
 
@@ -28,11 +29,11 @@
 		Configuration:          r.log.configuration(),
 		CommittedConfiguration: r.log.configurationAt(r.log.commit),
 	}
-	s.Target, s.Heard = r.target, r.known
+	s.LeaderCommit, s.LeaderCommitKnown = r.leaderCommit, r.leaderCommitKnown
 	if r.role != Leader {
 		return s
 	}
-	s.Target, s.Heard = r.log.commit, r.log.commit >= r.termStart
+	s.LeaderCommit, s.LeaderCommitKnown = r.log.commit, r.log.commit >= r.termStart
 	s.Matches = make(map[Identity]uint64, len(r.members)+1)
 	for id, p := range r.members {
 		s.Matches[id] = p.match
--- a/internal/control/raft/step.go
+++ b/internal/control/raft/step.go
@@ -9,18 +9,18 @@
 		return
 	}
 	if m.Term < r.term {
-		r.stepOld(m)
+		r.stepLowerTerm(m)
 		return
 	}
 	r.dispatch(m)
 }
 
-// addressed returns whether m is for this replica with this disk, from one founded together with it.
+// addressed reports whether m is for this replica with this disk, and from a replica of the same group and founding.
 func (r *core) addressed(m Message) bool {
 	return m.To == r.self() && m.From != r.self() && m.Founding == r.config.Founding && m.Group == r.config.Group
 }
 
-// adoptTerm moves to the higher term of m and returns whether m counts.
+// adoptTerm adopts the higher term of m where needed and reports whether to process m.
 func (r *core) adoptTerm(m Message) bool {
 	switch m.Kind {
 	case MessagePreVote:
@@ -30,26 +30,26 @@
 			return true
 		}
 	case MessageVote:
-		if r.leased() && !m.Transfer {
-			// A replica that was removed or cut off would depose a working
-			// leader again and again; while the leader is heard it is passed over.
+		if r.inLeaderLease() && !m.Transfer {
+			// A replica that was removed or partitioned would depose a working
+			// leader repeatedly. Its requests are ignored while the leader is active.
 			return false
 		}
 	}
 	leader, address := None, ""
-	if fromLeader(m.Kind) {
+	if isFromLeader(m.Kind) {
 		leader, address = m.From, r.addressOf(m)
 	}
-	r.follow(m.Term, leader, address)
+	r.becomeFollower(m.Term, leader, address)
 	return true
 }
 
-func fromLeader(k MessageKind) bool {
+func isFromLeader(k MessageKind) bool {
 	return k == MessageAppend || k == MessageHeartbeat || k == MessageSnapshot
 }
 
-// stepOld answers messages of earlier terms so that an old leader learns of the new term.
-func (r *core) stepOld(m Message) {
+// stepLowerTerm responds to messages of earlier terms so that a deposed leader learns of the new term.
+func (r *core) stepLowerTerm(m Message) {
 	switch m.Kind {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
 		r.reply(m, Message{Kind: MessageAppendResponse, To: m.From, Reject: true})
@@ -59,14 +59,14 @@
 }
 
 func (r *core) dispatch(m Message) {
-	if fromLeader(m.Kind) {
+	if isFromLeader(m.Kind) {
 		if r.role == Leader {
-			// Two leaders in one term would both have a quorum; a copy of this
-			// identity must be running.
+			// Two leaders in one term would both have a quorum. Another process with
+			// a copy of this identity must be running.
 			r.err = ErrDiverged
 			return
 		}
-		r.hear(m)
+		r.recordLeaderContact(m)
 	}
 	switch m.Kind {
 	case MessagePreVote:
@@ -86,11 +86,11 @@
 	case MessageTimeoutNow:
 		r.stepTimeoutNow(m)
 	default:
-		r.stepAtLeader(m)
+		r.stepResponse(m)
 	}
 }
 
-// addressOf returns where the sender is reached.
+// addressOf returns the sender's address.
 func (r *core) addressOf(m Message) string {
 	if m.Address != "" {
 		return m.Address
@@ -102,15 +102,15 @@
 	return sender.Address
 }
 
-// hear notes that the leader of the term is alive.
-func (r *core) hear(m Message) {
-	r.asked = false
+// recordLeaderContact resets the election timer and records the leader of the term with its commit index.
+func (r *core) recordLeaderContact(m Message) {
+	r.neededByCandidate = false
 	address := r.addressOf(m)
 	if r.role != Follower {
-		r.follow(r.term, m.From, address)
+		r.becomeFollower(r.term, m.From, address)
 	}
 	r.leader, r.leaderAddress = m.From, address
-	r.elapsed = 0
+	r.electionElapsed = 0
 	if m.Kind == MessageSnapshot {
 		return
 	}
@@ -118,13 +118,13 @@
 	if m.Kind == MessageHeartbeat {
 		commit = m.Index
 	}
-	if !r.known {
-		r.target = 0
+	if !r.leaderCommitKnown {
+		r.leaderCommit = 0
 	}
-	r.target, r.known = max(r.target, commit), true
+	r.leaderCommit, r.leaderCommitKnown = max(r.leaderCommit, commit), true
 }
 
-// reply sends an answer once the disk holds what it promises.
+// reply queues a response to m that is sent once the state it depends on is persisted.
 func (r *core) reply(m, answer Message) {
 	answer.To = m.From
 	r.send(answer)
--- a/internal/control/raft/transfer.go
+++ b/internal/control/raft/transfer.go
@@ -1,7 +1,7 @@
 package raft
 
-// Transfer implements Core.
-func (r *core) Transfer() bool {
+// TransferLeadership implements Core.
+func (r *core) TransferLeadership() bool {
 	if r.role != Leader {
 		return false
 	}
@@ -19,12 +19,12 @@
 		return false
 	}
 	r.transferee = best
-	r.elapsed = 0
+	r.electionElapsed = 0
 	r.finishTransfer(best, r.members[best])
 	return true
 }
 
-// finishTransfer tells the transferee to campaign once it has the whole log.
+// finishTransfer asks the transferee to campaign once it has the whole log.
 func (r *core) finishTransfer(id Identity, p *progress) {
 	if id == r.transferee && p.match == r.log.last() {
 		r.sendEarly(Message{Kind: MessageTimeoutNow, To: id})
--- a/internal/control/raft/vm_test.go
+++ b/internal/control/raft/vm_test.go
@@ -10,10 +10,10 @@
 	"hornbeamwood/internal/control/raft"
 )
 
-// chunkBytes makes every snapshot go in several chunks.
+// chunkBytes is the size of a snapshot chunk, small enough that each snapshot takes several.
 const chunkBytes = 5
 
-// vm is one machine with a disk; core is nil while the replica is down or blank.
+// vm is a VM with a disk; core is nil while the replica is down or belongs to no group.
 type vm struct {
 	world    *world
 	name     string
@@ -23,24 +23,24 @@
 	core     raft.Core
 	identity raft.Identity
 	up       bool
-	// frozen says that the process stands still: it neither hears nor ticks.
-	frozen bool
-	// log and hard are what the replica has been told is on disk, snapshot the latest one.
+	// suspended is set while the process is suspended: it neither receives messages nor ticks.
+	suspended bool
+	// log and hardState are the acknowledged state on disk, snapshot the latest snapshot.
 	log map[uint64]raft.Entry
-	// writing is the first index of a write that was begun and not finished.
-	writing  uint64
-	hard     raft.HardState
-	snapshot raft.Snapshot
-	machine  register
-	applied  uint64
-	// heard are the addresses that the senders of messages gave.
-	heard  map[raft.Identity]string
-	edits  map[uint64]pendingEdit
-	reads  map[uint64]*pendingRead
-	readID uint64
-	starts uint64
-	// last is the configuration that the replica had when it was last up.
-	last raft.Configuration
+	// writing is the first index of an unfinished write.
+	writing   uint64
+	hardState raft.HardState
+	snapshot  raft.Snapshot
+	machine   register
+	applied   uint64
+	// senderAddresses are the addresses in received messages.
+	senderAddresses map[raft.Identity]string
+	edits           map[uint64]pendingEdit
+	reads           map[uint64]*pendingRead
+	readID          uint64
+	starts          uint64
+	// lastConfiguration is the replica's configuration at its last crash.
+	lastConfiguration raft.Configuration
 }
 
 // pendingEdit is an edit that a caller waits for.
@@ -53,7 +53,7 @@
 	confirmed bool
 }
 
-// start opens the folder and holds what it gives back to what was promised.
+// start opens the folder and checks that all acknowledged state is recovered.
 func (v *vm) start() {
 	store, err := disk.Open(disk.Config{Files: v.folder, Name: v.name, Random: v.world})
 	if errors.Is(err, errFault) {
@@ -65,7 +65,7 @@
 		return
 	}
 	if v.identity != "" && v.identity != store.Identity() {
-		v.world.oracle.fail("identity: %s was %s and came back as %s", v.name, v.identity, store.Identity())
+		v.world.oracle.fail("identity: %s was %s and restarted as %s", v.name, v.identity, store.Identity())
 	}
 	v.store, v.identity, v.up = store, store.Identity(), true
 	v.recover(store.State())
@@ -75,8 +75,8 @@
 }
 
 func (v *vm) recover(s disk.State) {
-	if s.HardState.Term < v.hard.Term || s.HardState.Term == v.hard.Term && v.hard.Vote != raft.None && s.HardState.Vote != v.hard.Vote {
-		v.world.oracle.fail("durability: %s lost its term or vote: %+v, had %+v", v.name, s.HardState, v.hard)
+	if s.HardState.Term < v.hardState.Term || s.HardState.Term == v.hardState.Term && v.hardState.Vote != raft.None && s.HardState.Vote != v.hardState.Vote {
+		v.world.oracle.fail("durability: %s lost its term or vote: %+v, had %+v", v.name, s.HardState, v.hardState)
 	}
 	recovered := map[uint64]raft.Entry{}
 	for _, e := range s.Entries {
@@ -84,15 +84,15 @@
 	}
 	for i := s.Snapshot.Index + 1; v.log[i].Index != 0; i++ {
 		if v.writing > 0 && i >= v.writing {
-			// A later leader overwrote from here on in a write that was not
-			// finished; what stood here conflicted with that leader's log.
+			// An unfinished write was overwriting the log from here on: the old
+			// entries conflicted with a later leader's log.
 			break
 		}
 		if recovered[i].Term != v.log[i].Term {
 			v.world.oracle.fail("durability: %s lost entry %d of term %d", v.name, i, v.log[i].Term)
 		}
 	}
-	v.hard, v.log, v.writing = s.HardState, recovered, 0
+	v.hardState, v.log, v.writing = s.HardState, recovered, 0
 	snapshot, err := v.store.LoadSnapshot()
 	if err != nil {
 		v.world.oracle.fail("durability: %s: %v", v.name, err)
@@ -106,9 +106,9 @@
 
 func (v *vm) run(f disk.Founding) {
 	s := v.store.State()
-	// Equal draws at two replicas would split the votes for ever.
+	// Equal election timeouts at two replicas would split every vote.
 	v.starts++
-	v.heard = map[raft.Identity]string{}
+	v.senderAddresses = map[raft.Identity]string{}
 	v.edits, v.reads = map[uint64]pendingEdit{}, map[uint64]*pendingRead{}
 	v.core = raft.New(raft.Config{
 		Founding: f.ID, Self: raft.Member{Name: v.name, Identity: v.identity, Address: v.address}, Initial: f.Configuration,
@@ -118,22 +118,22 @@
 	})
 }
 
-// crash ends the replica and loses a random part of what it had not synced.
+// crash ends the replica and loses a random part of its unsynced writes.
 func (v *vm) crash() {
 	if v.core != nil {
-		v.last = v.core.Status().Configuration
+		v.lastConfiguration = v.core.Status().Configuration
 	}
-	v.core, v.store, v.up, v.frozen = nil, nil, false, false
+	v.core, v.store, v.up, v.suspended = nil, nil, false, false
 	v.folder.Crash(v.world.random)
 }
 
-// lose replaces the VM under its old address: the next start finds a blank folder.
-func (v *vm) lose() {
+// replaceDisk replaces the VM at its old address: the next start opens an empty folder.
+func (v *vm) replaceDisk() {
 	v.crash()
-	v.world.dead[v.identity] = true
+	v.world.lostIdentities[v.identity] = true
 	v.folder = faultfile.New()
-	v.identity, v.hard, v.log, v.snapshot, v.writing = "", raft.HardState{}, nil, raft.Snapshot{}, 0
-	v.last = raft.Configuration{}
+	v.identity, v.hardState, v.log, v.snapshot, v.writing = "", raft.HardState{}, nil, raft.Snapshot{}, 0
+	v.lastConfiguration = raft.Configuration{}
 }
 
 func (v *vm) termAt(index uint64) (uint64, bool) {
@@ -147,7 +147,7 @@
 	return e.Term, ok
 }
 
-// settle does what the core wants, as package replica does.
+// settle carries out the core's effects, as package replica does.
 func (v *vm) settle() {
 	for v.core != nil {
 		e := v.core.Effects()
@@ -171,7 +171,7 @@
 		if err := v.store.Append(e.HardState, nil); err != nil {
 			return err
 		}
-		v.hard = *e.HardState
+		v.hardState = *e.HardState
 	}
 	if e.Install != nil {
 		v.writing = e.Install.Meta.Index + 1
@@ -194,7 +194,7 @@
 	}
 	for _, entry := range e.Entries {
 		v.log[entry.Index] = entry
-		v.world.oracle.persists(v, entry)
+		v.world.oracle.checkPersisted(v, entry)
 	}
 	return nil
 }
@@ -203,20 +203,20 @@
 	if e.Install != nil {
 		v.machine.restore(e.Install.Data)
 		v.applied = e.Install.Meta.Index
-		v.world.oracle.answers("snapshot", 0, v.applied, v.machine)
+		v.world.oracle.checkAnswer("snapshot", 0, v.applied, v.machine)
 	}
 	term := v.core.Status().Term
 	for _, entry := range e.Committed {
 		if entry.Index != v.applied+1 {
 			v.world.oracle.fail("state-machine safety: %s applies %d after %d", v.name, entry.Index, v.applied)
 		}
-		want := v.world.oracle.commits(v, entry, term)
+		want := v.world.oracle.checkApplied(v, entry, term)
 		if entry.Kind == raft.EntryCommand {
 			v.machine.apply(entry.Data)
 		}
 		v.applied = entry.Index
 		if v.machine != want {
-			v.world.oracle.fail("state-machine safety: %s has %+v after entry %d, a single copy %+v", v.name, v.machine, entry.Index, want)
+			v.world.oracle.fail("state-machine safety: %s has %+v after entry %d, the reference state is %+v", v.name, v.machine, entry.Index, want)
 		}
 		v.finish(entry)
 	}
@@ -225,17 +225,17 @@
 	}
 }
 
-// finish answers the caller whose edit was applied.
+// finish records the answer to the edit that entry applied.
 func (v *vm) finish(entry raft.Entry) {
 	p, ok := v.edits[entry.Index]
 	delete(v.edits, entry.Index)
 	if ok && p.term == entry.Term {
 		v.world.oracle.edits++
-		v.world.oracle.answers("edit", p.floor+1, entry.Index, v.machine)
+		v.world.oracle.checkAnswer("edit", p.floor+1, entry.Index, v.machine)
 	}
 }
 
-// observe answers reads and notes leadership after each step.
+// observe checks leadership and answers confirmed reads after each step.
 func (v *vm) observe() {
 	if v.core == nil {
 		return
@@ -245,7 +245,7 @@
 	}
 	s := v.core.Status()
 	if s.Role == raft.Leader {
-		v.world.oracle.leads(v, s.Term)
+		v.world.oracle.checkLeader(v, s.Term)
 	} else {
 		clear(v.edits)
 	}
@@ -253,13 +253,13 @@
 		if r.confirmed && v.applied >= r.index {
 			delete(v.reads, id)
 			v.world.oracle.reads++
-			v.world.oracle.answers("read", r.floor, v.applied, v.machine)
+			v.world.oracle.checkAnswer("read", r.floor, v.applied, v.machine)
 		}
 	}
 }
 
-// save takes a snapshot and drops the log before it.
-func (v *vm) save(keep uint64) {
+// saveSnapshot saves a snapshot and compacts the log before it.
+func (v *vm) saveSnapshot(keep uint64) {
 	if v.core == nil || v.applied <= v.snapshot.Meta.Index {
 		return
 	}
@@ -277,8 +277,8 @@
 	v.core.Compact(meta, keep)
 }
 
-// fill adds the chunk that a snapshot message asks for.
-func (v *vm) fill(m *raft.Message) bool {
+// addChunk adds the requested chunk to a snapshot message.
+func (v *vm) addChunk(m *raft.Message) bool {
 	if !v.snapshot.Meta.Same(*m.Snapshot) || m.Offset > m.Snapshot.Size {
 		return false
 	}
--- a/internal/control/raft/world_test.go
+++ b/internal/control/raft/world_test.go
@@ -11,45 +11,45 @@
 
 const (
 	founders = 3
-	// spares are the most VMs besides the founders.
-	spares = 2
-	// maxFlight bounds the messages under way; the oldest are lost first.
-	maxFlight = 300
+	// maxSpares is the maximum number of VMs besides the founders.
+	maxSpares = 2
+	// maxInFlight bounds the messages in flight; the oldest are lost first.
+	maxInFlight = 300
 )
 
-// parcel is a message on its way.
-type parcel struct {
+// envelope is a message in flight with the addresses of its sender and receiver.
+type envelope struct {
 	from, to string
 	message  raft.Message
 }
 
-// world is a few VMs, the messages between them, and the oracle.
+// world simulates a few VMs and the network between them, and checks them with the oracle.
 type world struct {
-	seed    uint64
-	weights []uint32
-	random  *rand.Rand
-	vms     []*vm
-	flight  []parcel
-	cuts    map[[2]string]bool
-	// dead are the identities whose disks are lost.
-	dead   map[raft.Identity]bool
-	oracle *oracle
-	value  uint64
-	faults int
+	seed     uint64
+	weights  []uint32
+	random   *rand.Rand
+	vms      []*vm
+	inFlight []envelope
+	cutLinks map[[2]string]bool
+	// lostIdentities are the identities whose disks are lost.
+	lostIdentities map[raft.Identity]bool
+	oracle         *oracle
+	value          uint64
+	faults         int
 }
 
-// machinesOf returns how many VMs the schedule of a seed has.
-func machinesOf(seed uint64) int {
-	return founders + int(seed%(spares+1))
+// vmCount returns the number of VMs in the schedule of a seed.
+func vmCount(seed uint64) int {
+	return founders + int(seed%(maxSpares+1))
 }
 
 func newWorld(seed uint64) *world {
 	w := &world{
-		seed: seed, weights: weigh(seed), random: rand.New(rand.NewPCG(seed, 7)), cuts: map[[2]string]bool{},
-		dead: map[raft.Identity]bool{}, oracle: newOracle(),
+		seed: seed, weights: randomWeights(seed), random: rand.New(rand.NewPCG(seed, 7)), cutLinks: map[[2]string]bool{},
+		lostIdentities: map[raft.Identity]bool{}, oracle: newOracle(),
 	}
 	members := make([]raft.Member, 0, founders)
-	for i := range machinesOf(seed) {
+	for i := range vmCount(seed) {
 		v := &vm{world: w, name: fmt.Sprintf("v%d", i), address: fmt.Sprintf("10.0.0.%d:1", i), folder: faultfile.New()}
 		v.start()
 		w.vms = append(w.vms, v)
@@ -64,7 +64,7 @@
 	return w
 }
 
-// Read draws identities from the world's seed.
+// Read implements io.Reader with random bytes from the seed, for identities.
 func (w *world) Read(b []byte) (int, error) {
 	for i := range b {
 		b[i] = byte(w.random.Uint32())
@@ -83,74 +83,74 @@
 	v.run(f)
 }
 
-// send puts messages on their way to the address that the sender knows.
+// send puts messages in flight to the addresses that the sender knows.
 func (w *world) send(v *vm, messages []raft.Message) {
 	for _, m := range messages {
-		if m.Kind == raft.MessageSnapshot && !v.fill(&m) {
+		if m.Kind == raft.MessageSnapshot && !v.addChunk(&m) {
 			continue
 		}
 		if to := w.addressOf(v, m.To); to != "" {
-			w.flight = append(w.flight, parcel{from: v.address, to: to, message: m})
+			w.inFlight = append(w.inFlight, envelope{from: v.address, to: to, message: m})
 		}
 	}
-	if n := len(w.flight) - maxFlight; n > 0 {
-		w.flight = w.flight[n:]
+	if n := len(w.inFlight) - maxInFlight; n > 0 {
+		w.inFlight = w.inFlight[n:]
 	}
 }
 
-// addressOf returns where v believes an identity to be: where it was last heard
-// from, or what the configuration says; the new VM has the old one's address.
+// addressOf returns the address that v knows for an identity: the one in its
+// last message, or the one in the configuration. A replaced VM keeps its address.
 func (w *world) addressOf(v *vm, id raft.Identity) string {
-	if address, ok := v.heard[id]; ok {
+	if address, ok := v.senderAddresses[id]; ok {
 		return address
 	}
 	m, _ := v.core.Status().Configuration.Member(id)
 	return m.Address
 }
 
-// deliver hands over the i-th message under way; a duplicate stays under way.
+// deliver delivers the i-th message in flight; a duplicated one stays in flight.
 func (w *world) deliver(i int, duplicate bool) {
-	if len(w.flight) == 0 {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	i %= len(w.flight)
-	p := w.flight[i]
+	i %= len(w.inFlight)
+	e := w.inFlight[i]
 	if !duplicate {
-		w.flight = append(w.flight[:i:i], w.flight[i+1:]...)
+		w.inFlight = append(w.inFlight[:i:i], w.inFlight[i+1:]...)
 	}
-	if w.cuts[[2]string{p.from, p.to}] {
+	if w.cutLinks[[2]string{e.from, e.to}] {
 		return
 	}
 	for _, v := range w.vms {
-		if v.address == p.to && v.core != nil && !v.frozen {
-			if p.message.Address != "" && p.message.To == v.identity {
-				v.heard[p.message.From] = p.message.Address
+		if v.address == e.to && v.core != nil && !v.suspended {
+			if e.message.Address != "" && e.message.To == v.identity {
+				v.senderAddresses[e.message.From] = e.message.Address
 			}
-			v.core.Step(p.message)
+			v.core.Step(e.message)
 			v.settle()
 		}
 	}
 }
 
 func (w *world) tick(v *vm) {
-	if v.core != nil && !v.frozen {
+	if v.core != nil && !v.suspended {
 		v.core.Tick()
 		v.settle()
 	}
 }
 
-// leaders returns the VMs that believe to lead.
+// leaders returns the running VMs whose replica is in the leader role.
 func (w *world) leaders() []*vm {
 	var found []*vm
 	for _, v := range w.vms {
-		if v.core != nil && !v.frozen && v.core.Status().Role == raft.Leader {
+		if v.core != nil && !v.suspended && v.core.Status().Role == raft.Leader {
 			found = append(found, v)
 		}
 	}
 	return found
 }
 
-// propose edits at a VM that believes to lead, against its own revision or an older one.
+// propose proposes an edit at a leader, against its current revision or an older one.
 func (w *world) propose(v *vm, stale bool) {
 	w.value++
 	revision := v.machine.revision
@@ -159,7 +159,7 @@
 	}
 	index, term, err := v.core.Propose([][]byte{edit(revision, w.value)})
 	if err == nil {
-		v.edits[index] = pendingEdit{term: term, floor: w.oracle.accepted}
+		v.edits[index] = pendingEdit{term: term, floor: w.oracle.acknowledged}
 	}
 	v.settle()
 }
@@ -167,28 +167,28 @@
 func (w *world) read(v *vm) {
 	v.readID++
 	if v.core.Read(v.readID) == nil {
-		v.reads[v.readID] = &pendingRead{floor: w.oracle.accepted}
+		v.reads[v.readID] = &pendingRead{floor: w.oracle.acknowledged}
 	}
 	v.settle()
 }
 
-// change makes the next useful membership change at a VM that believes to lead.
+// change proposes the next useful membership change at a leader.
 func (w *world) change(v *vm, choice int) {
 	c := v.core.Status().Configuration
-	if next := w.wanted(c, choice); next != nil {
+	if next := w.nextChange(c, choice); next != nil {
 		_, _, _ = v.core.Change(next)
 		v.settle()
 	}
 }
 
-func (w *world) wanted(c raft.Configuration, choice int) raft.Change {
+func (w *world) nextChange(c raft.Configuration, choice int) raft.Change {
 	for _, m := range c.Members {
-		if w.dead[m.Identity] && choice%2 == 0 {
+		if w.lostIdentities[m.Identity] && choice%2 == 0 {
 			return raft.Remove(m.Identity)
 		}
 	}
 	for _, m := range c.Members {
-		if !m.Voter && !w.dead[m.Identity] {
+		if !m.Voter && !w.lostIdentities[m.Identity] {
 			return raft.Promote(m.Identity)
 		}
 	}
@@ -203,14 +203,14 @@
 	return nil
 }
 
-// admit lets blank VMs join once a formed one that they reach has them in its committed configuration.
-func (w *world) admit() {
+// joinAdmitted starts the replicas of blank VMs that are in the committed configuration of a formed VM that they reach.
+func (w *world) joinAdmitted() {
 	for _, v := range w.vms {
 		if !v.up || v.core != nil {
 			continue
 		}
 		for _, o := range w.vms {
-			if o.core == nil || o.frozen || w.cuts[[2]string{o.address, v.address}] {
+			if o.core == nil || o.suspended || w.cutLinks[[2]string{o.address, v.address}] {
 				continue
 			}
 			if _, ok := o.core.Status().CommittedConfiguration.Member(v.identity); ok {
@@ -222,16 +222,16 @@
 	}
 }
 
-// mayLose returns whether a quorum of living disks is left in every configuration that may be in force.
-func (w *world) mayLose(v *vm) bool {
+// canLoseDisk reports whether every configuration that may be in force keeps a quorum of disks without v's.
+func (w *world) canLoseDisk(v *vm) bool {
 	for _, o := range w.vms {
-		configurations := []raft.Configuration{o.last}
+		configurations := []raft.Configuration{o.lastConfiguration}
 		if o.core != nil {
 			s := o.core.Status()
 			configurations = []raft.Configuration{s.Configuration, s.CommittedConfiguration}
 		}
 		for _, c := range configurations {
-			if !w.survives(c, v.identity) {
+			if !w.keepsQuorum(c, v.identity) {
 				return false
 			}
 		}
@@ -239,18 +239,18 @@
 	return true
 }
 
-func (w *world) survives(c raft.Configuration, lost raft.Identity) bool {
-	dead := 0
+func (w *world) keepsQuorum(c raft.Configuration, id raft.Identity) bool {
+	lost := 0
 	for _, m := range c.Members {
-		if m.Voter && (w.dead[m.Identity] || m.Identity == lost) {
-			dead++
+		if m.Voter && (w.lostIdentities[m.Identity] || m.Identity == id) {
+			lost++
 		}
 	}
-	return c.Voters() == 0 || c.Voters()-dead >= c.Quorum()
+	return c.Voters() == 0 || c.Voters()-lost >= c.Quorum()
 }
 
-// fault lets a file operation of v fail after some more have passed; the replica ends there.
-func (w *world) fault(v *vm, after int) {
+// injectFault makes a file operation of v fail after the given number of successful ones; the replica crashes then.
+func (w *world) injectFault(v *vm, after int) {
 	w.faults++
 	v.folder.SetFault(func(faultfile.Operation, string) error {
 		after--
--- a/internal/control/replica/applied.go
+++ b/internal/control/replica/applied.go
@@ -2,8 +2,8 @@
 
 // Applied is the outcome of a committed command.
 type Applied struct {
-	// Index is the command's place in the log.
+	// Index is the command's log index.
 	Index uint64 `cbor:"index"`
-	// Result is what the state machine returned.
+	// Result is the state machine's result.
 	Result []byte `cbor:"result"`
 }
--- a/internal/control/replica/progress.go
+++ b/internal/control/replica/applied_index.go
@@ -5,18 +5,18 @@
 	"sync"
 )
 
-// progress is the last applied index, which callers can wait for.
-type progress struct {
+// appliedIndex is the last applied index; callers can wait until it reaches a value.
+type appliedIndex struct {
 	mu      sync.Mutex
 	index   uint64
 	changed chan struct{}
 }
 
-func newProgress(index uint64) *progress {
-	return &progress{index: index, changed: make(chan struct{})}
+func newAppliedIndex(index uint64) *appliedIndex {
+	return &appliedIndex{index: index, changed: make(chan struct{})}
 }
 
-func (p *progress) advance(index uint64) {
+func (p *appliedIndex) advance(index uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if index <= p.index {
@@ -27,14 +27,14 @@
 	p.changed = make(chan struct{})
 }
 
-func (p *progress) get() (uint64, <-chan struct{}) {
+func (p *appliedIndex) get() (uint64, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.index, p.changed
 }
 
-// wait returns nil once index is applied, or the error of ctx or of end.
-func (p *progress) wait(ctx context.Context, index uint64, end <-chan struct{}) error {
+// wait returns nil once index is applied, or an error once ctx is done or end is closed.
+func (p *appliedIndex) wait(ctx context.Context, index uint64, end <-chan struct{}) error {
 	for {
 		at, changed := p.get()
 		if at >= index {
--- a/internal/control/replica/applier.go
+++ b/internal/control/replica/applier.go
@@ -9,19 +9,19 @@
 	"github.com/apex/log"
 )
 
-// job is what the applier does next: install a snapshot, then apply entries.
+// job is a unit of work of the applier: install a snapshot, then apply entries.
 type job struct {
 	install *raft.Snapshot
 	entries []raft.Entry
-	// configuration is the one in force at the last entry.
+	// configuration is the configuration in force at the last entry.
 	configuration raft.Configuration
 }
 
-// applier applies committed entries and takes snapshots, beside the loop, so that neither delays heartbeats.
+// applier applies committed entries and takes snapshots in its own goroutine, so that neither delays the loop's heartbeats.
 type applier struct {
 	replica *replica
 	jobs    *queue[job]
-	// entries and bytes were applied since the last snapshot.
+	// entries and bytes count what was applied since the last snapshot.
 	entries, bytes int
 	ended          chan struct{}
 }
@@ -36,7 +36,7 @@
 				return
 			}
 			for _, j := range jobs {
-				if err := a.do(j); err != nil {
+				if err := a.run(j); err != nil {
 					r.fail(err)
 					return
 				}
@@ -46,7 +46,7 @@
 	return a
 }
 
-func (a *applier) do(j job) error {
+func (a *applier) run(j job) error {
 	if j.install != nil {
 		if err := a.replica.config.Machine.Restore(j.install.Data); err != nil {
 			return fmt.Errorf("replica: restore the leader's snapshot: %w", err)
@@ -74,7 +74,7 @@
 	a.replica.pending.resolve(e, result)
 }
 
-// snapshot saves the state when enough was applied since the last time.
+// snapshot saves a snapshot if enough was applied since the last one.
 func (a *applier) snapshot(j job) error {
 	c := a.replica.config
 	if a.entries < c.SnapshotEntries && a.bytes < c.SnapshotBytes {
@@ -82,7 +82,7 @@
 	}
 	data, err := c.Machine.Snapshot()
 	if err != nil {
-		return fmt.Errorf("replica: take a snapshot: %w", err)
+		return fmt.Errorf("replica: encode a snapshot: %w", err)
 	}
 	last := j.entries[len(j.entries)-1]
 	meta := raft.SnapshotMeta{Index: last.Index, Term: last.Term, Configuration: j.configuration}.WithData(data)
@@ -91,7 +91,7 @@
 	}
 	event.SnapshotTaken.Write(c.Logger, log.Fields{"index": meta.Index, "bytes": meta.Size, "entries": a.entries})
 	a.entries, a.bytes = 0, 0
-	a.replica.saved.push(meta)
+	a.replica.savedSnapshots.push(meta)
 	a.replica.wakeUp()
 	return nil
 }
--- a/internal/control/replica/bench_test.go
+++ b/internal/control/replica/bench_test.go
@@ -12,18 +12,18 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// commandBytes is about the size of a ledger claim.
+// commandBytes is the approximate size of a ledger claim.
 const commandBytes = 200
 
-// counter is a Machine that keeps nothing but a number, so that the log's own cost is measured.
-type counter struct{ n atomic.Uint64 }
+// countingMachine is a Machine that only counts commands, so that the benchmarks measure the cost of the log itself.
+type countingMachine struct{ n atomic.Uint64 }
 
-func (c *counter) Apply(uint64, []byte) []byte { c.n.Add(1); return nil }
-func (c *counter) Snapshot() ([]byte, error)   { return make([]byte, 1000), nil }
-func (c *counter) Restore([]byte) error        { return nil }
+func (c *countingMachine) Apply(uint64, []byte) []byte { c.n.Add(1); return nil }
+func (c *countingMachine) Snapshot() ([]byte, error)   { return make([]byte, 1000), nil }
+func (c *countingMachine) Restore([]byte) error        { return nil }
 
-// processor returns the time that all threads of this process have used.
-func processor(b *testing.B) time.Duration {
+// cpuTime returns the CPU time that all threads of this process have used.
+func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -32,8 +32,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// group starts replicas with real folders, the default tick and a machine that costs nothing.
-func group(b *testing.B, size int) (*network, []Replica) {
+// startBenchGroup starts replicas with folders on disk, the default tick and a machine with negligible cost.
+func startBenchGroup(b *testing.B, size int) (*network, []Replica) {
 	b.Helper()
 	n := newNetwork()
 	var seeds []Seed
@@ -42,7 +42,7 @@
 	}
 	var all []Replica
 	for _, s := range seeds {
-		r, err := New(Config{Name: s.Name, Address: s.Address, Folder: b.TempDir(), Seeds: seeds, Transport: port{n, s.Address}, Machine: &counter{}})
+		r, err := New(Config{Name: s.Name, Address: s.Address, Folder: b.TempDir(), Seeds: seeds, Transport: testTransport{n, s.Address}, Machine: &countingMachine{}})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -58,8 +58,8 @@
 	return n, all
 }
 
-// leading waits for the replica that leads.
-func leading(all []Replica) Replica {
+// waitForBenchLeader waits until one of the replicas is the leader.
+func waitForBenchLeader(all []Replica) Replica {
 	for {
 		for _, r := range all {
 			if s := r.Status(); s.Role == "leader" && s.CaughtUp {
@@ -70,18 +70,18 @@
 	}
 }
 
-// BenchmarkPropose measures commands through a group of three with synced disks.
+// BenchmarkPropose measures commands proposed to a group of three with synced disks.
 func BenchmarkPropose(b *testing.B) {
 	for _, proposers := range []int{1, 16, 128} {
 		b.Run(fmt.Sprintf("proposers=%d", proposers), func(b *testing.B) {
-			n, all := group(b, 3)
-			leader := leading(all)
+			n, all := startBenchGroup(b, 3)
+			leader := waitForBenchLeader(all)
 			command := make([]byte, commandBytes)
 			var left atomic.Int64
 			left.Store(int64(b.N))
 			var mu sync.Mutex
 			latencies := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
-			bytes, used := n.bytes.Load(), processor(b)
+			bytes, used := n.bytes.Load(), cpuTime(b)
 			b.ResetTimer()
 			var wait sync.WaitGroup
 			for range proposers {
@@ -106,7 +106,7 @@
 			b.ReportMetric(float64(latencies.ValueAtQuantile(50)), "p50-µs")
 			b.ReportMetric(float64(latencies.ValueAtQuantile(99)), "p99-µs")
 			b.ReportMetric(float64(n.bytes.Load()-bytes)/float64(b.N), "sent-B/command")
-			b.ReportMetric(float64((processor(b)-used).Nanoseconds())/1e3/float64(b.N)/3, "cpu-µs/command/replica")
+			b.ReportMetric(float64((cpuTime(b)-used).Nanoseconds())/1e3/float64(b.N)/3, "cpu-µs/command/replica")
 		})
 	}
 }
@@ -115,8 +115,8 @@
 func BenchmarkRead(b *testing.B) {
 	for _, readers := range []int{1, 16, 128} {
 		b.Run(fmt.Sprintf("readers=%d", readers), func(b *testing.B) {
-			_, all := group(b, 3)
-			leader := leading(all)
+			_, all := startBenchGroup(b, 3)
+			leader := waitForBenchLeader(all)
 			var left atomic.Int64
 			left.Store(int64(b.N))
 			b.ResetTimer()
@@ -137,21 +137,21 @@
 	}
 }
 
-// BenchmarkIdle measures what a group costs that has nothing to do; one operation is one second.
+// BenchmarkIdle measures the cost of an idle group; one operation is one second.
 func BenchmarkIdle(b *testing.B) {
 	for _, size := range []int{3, 5, 7} {
 		b.Run(fmt.Sprintf("replicas=%d", size), func(b *testing.B) {
-			n, all := group(b, size)
-			leader := leading(all)
+			n, all := startBenchGroup(b, size)
+			leader := waitForBenchLeader(all)
 			address := leader.Status().Address
-			bytes, sent, used := n.bytes.Load(), n.bytesOf(address), processor(b)
+			bytes, sent, used := n.bytes.Load(), n.bytesOf(address), cpuTime(b)
 			b.ResetTimer()
 			for range b.N {
 				time.Sleep(time.Second)
 			}
 			b.StopTimer()
 			seconds := b.Elapsed().Seconds()
-			b.ReportMetric(float64((processor(b)-used).Microseconds())/seconds/float64(size), "cpu-µs/s/replica")
+			b.ReportMetric(float64((cpuTime(b)-used).Microseconds())/seconds/float64(size), "cpu-µs/s/replica")
 			b.ReportMetric(float64(n.bytes.Load()-bytes)/seconds, "group-B/s")
 			b.ReportMetric(float64(n.bytesOf(address)-sent)/seconds, "leader-sent-B/s")
 		})
--- a/internal/control/replica/calls.go
+++ b/internal/control/replica/calls.go
@@ -6,18 +6,18 @@
 	"hornbeamwood/internal/control/raft"
 )
 
-// read is a ReadIndex on its way.
-type read struct {
-	done chan readOutcome
+// pendingRead is a pending ReadIndex call.
+type pendingRead struct {
+	done chan readResult
 }
 
-type readOutcome struct {
+type readResult struct {
 	index uint64
 	err   error
 }
 
-func (q *read) finish(index uint64, err error) {
-	q.done <- readOutcome{index: index, err: err}
+func (q *pendingRead) finish(index uint64, err error) {
+	q.done <- readResult{index: index, err: err}
 }
 
 // Propose implements Replica.
@@ -37,7 +37,7 @@
 		return o.applied, o.err
 	case <-ctx.Done():
 	}
-	if p.take() {
+	if p.claim() {
 		return Applied{}, errTimeout(ctx.Err())
 	}
 	select {
@@ -49,8 +49,8 @@
 }
 
 func (r *replica) enqueue(p *proposal) error {
-	r.gate.RLock()
-	defer r.gate.RUnlock()
+	r.closeMu.RLock()
+	defer r.closeMu.RUnlock()
 	if r.closed {
 		return errStopped(r.Err())
 	}
@@ -64,7 +64,7 @@
 
 // ReadIndex implements Replica.
 func (r *replica) ReadIndex(ctx context.Context) (uint64, error) {
-	q := &read{done: make(chan readOutcome, 1)}
+	q := &pendingRead{done: make(chan readResult, 1)}
 	if err := r.enqueueRead(q); err != nil {
 		return 0, err
 	}
@@ -76,9 +76,9 @@
 	}
 }
 
-func (r *replica) enqueueRead(q *read) error {
-	r.gate.RLock()
-	defer r.gate.RUnlock()
+func (r *replica) enqueueRead(q *pendingRead) error {
+	r.closeMu.RLock()
+	defer r.closeMu.RUnlock()
 	if r.closed {
 		return errStopped(r.Err())
 	}
--- a/internal/control/replica/catch_up_bench_test.go
+++ b/internal/control/replica/catch_up_bench_test.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// bulk is a Machine whose snapshot has a given size.
-type bulk struct {
-	counter
+// largeSnapshotMachine is a Machine whose snapshot has a given size.
+type largeSnapshotMachine struct {
+	countingMachine
 	state []byte
 }
 
-func (b *bulk) Snapshot() ([]byte, error) { return b.state, nil }
+func (m *largeSnapshotMachine) Snapshot() ([]byte, error) { return m.state, nil }
 
-// bulkGroup is three replicas that snapshot often and keep no log behind it.
-type bulkGroup struct {
+// catchUpGroup is three replicas that take snapshots often and keep one log entry before them.
+type catchUpGroup struct {
 	b       *testing.B
 	network *network
 	configs []Config
 	all     []Replica
 }
 
-func newBulkGroup(b *testing.B, bytes int) *bulkGroup {
+func newCatchUpGroup(b *testing.B, bytes int) *catchUpGroup {
 	b.Helper()
-	g := &bulkGroup{b: b, network: newNetwork()}
+	g := &catchUpGroup{b: b, network: newNetwork()}
 	for _, s := range founders {
 		g.configs = append(g.configs, Config{
-			Name: s.Name, Address: s.Address, Folder: b.TempDir(), Seeds: founders, Transport: port{g.network, s.Address},
-			Machine: &bulk{state: make([]byte, bytes)}, SnapshotEntries: 8, KeepEntries: 1,
+			Name: s.Name, Address: s.Address, Folder: b.TempDir(), Seeds: founders, Transport: testTransport{g.network, s.Address},
+			Machine: &largeSnapshotMachine{state: make([]byte, bytes)}, SnapshotEntries: 8, KeepEntries: 1,
 		})
 	}
 	for i := range g.configs {
@@ -44,7 +44,7 @@
 	return g
 }
 
-func (g *bulkGroup) start(i int) {
+func (g *catchUpGroup) start(i int) {
 	r, err := New(g.configs[i])
 	if err != nil {
 		g.b.Fatal(err)
@@ -53,15 +53,15 @@
 	g.all[i] = r
 }
 
-func (g *bulkGroup) kill(i int) {
+func (g *catchUpGroup) kill(i int) {
 	g.network.detach(g.configs[i].Address)
 	g.all[i].(*replica).fail(errUnreachable)
 	<-g.all[i].Done()
 }
 
-// round lets a follower miss some snapshots and returns how long it takes to catch up.
-func (g *bulkGroup) round() time.Duration {
-	leader := leading(g.all)
+// measureCatchUp stops a follower, which misses some snapshots, and returns how long it takes to catch up after its restart.
+func (g *catchUpGroup) measureCatchUp() time.Duration {
+	leader := waitForBenchLeader(g.all)
 	down := 0
 	for g.all[down] == leader {
 		down++
@@ -80,15 +80,15 @@
 	return time.Since(begin)
 }
 
-// BenchmarkCatchUp measures how long a replica that was down takes to get a
-// snapshot from the leader, check, sync and restore it.
+// BenchmarkCatchUp measures how long a restarted replica takes to receive a
+// snapshot from the leader, and to verify, sync and restore it.
 func BenchmarkCatchUp(b *testing.B) {
 	for _, size := range []int{1, 4, 16} {
 		b.Run(fmt.Sprintf("MB=%d", size), func(b *testing.B) {
-			g := newBulkGroup(b, size<<20)
+			g := newCatchUpGroup(b, size<<20)
 			var spent time.Duration
 			for range b.N {
-				spent += g.round()
+				spent += g.measureCatchUp()
 			}
 			b.ReportMetric(spent.Seconds()*1e3/float64(b.N), "ms/catch-up")
 		})
--- a/internal/control/replica/cluster_test.go
+++ b/internal/control/replica/cluster_test.go
@@ -13,47 +13,47 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-// book is a Machine that keeps the commands in order.
-type book struct {
-	mu    sync.Mutex
-	lines []string
+// commandRecorder is a Machine that records the commands in order.
+type commandRecorder struct {
+	mu       sync.Mutex
+	commands []string
 }
 
-func (b *book) Apply(_ uint64, command []byte) []byte {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.lines = append(b.lines, string(command))
-	return binary.BigEndian.AppendUint64(nil, uint64(len(b.lines)))
+func (r *commandRecorder) Apply(_ uint64, command []byte) []byte {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.commands = append(r.commands, string(command))
+	return binary.BigEndian.AppendUint64(nil, uint64(len(r.commands)))
 }
 
-func (b *book) Snapshot() ([]byte, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return codec.Marshal(b.lines)
+func (r *commandRecorder) Snapshot() ([]byte, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return codec.Marshal(r.commands)
 }
 
-func (b *book) Restore(snapshot []byte) error {
-	lines, err := codec.Unmarshal[[]string](snapshot)
+func (r *commandRecorder) Restore(snapshot []byte) error {
+	commands, err := codec.Unmarshal[[]string](snapshot)
 	if err != nil {
 		return err
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.lines = lines
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.commands = commands
 	return nil
 }
 
-func (b *book) text() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return strings.Join(b.lines, " ")
+func (r *commandRecorder) joined() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return strings.Join(r.commands, " ")
 }
 
-// node is one VM: its folder outlives the replica on it.
+// node is a VM; its folder is kept across restarts of its replica.
 type node struct {
 	name, address, folder string
 	replica               Replica
-	book                  *book
+	recorder              *commandRecorder
 }
 
 // cluster is a group of replicas in this process.
@@ -65,8 +65,8 @@
 	adjust  func(*Config)
 }
 
-// patience is how long a condition may take before the test gives up; nothing is concluded from shorter times.
-const patience = 20 * time.Second
+// conditionTimeout is the timeout of a condition; a test draws no conclusions from shorter times.
+const conditionTimeout = 20 * time.Second
 
 func newCluster(t *testing.T, size int, adjust func(*Config)) *cluster {
 	t.Helper()
@@ -90,7 +90,7 @@
 func (c *cluster) config(n *node) Config {
 	config := Config{
 		Name: n.name, Folder: n.folder, Address: n.address, Seeds: c.seeds,
-		Transport: port{c.network, n.address}, Machine: n.book, Tick: 5 * time.Millisecond, Seed: uint64(len(n.name)) + uint64(n.address[7]),
+		Transport: testTransport{c.network, n.address}, Machine: n.recorder, Tick: 5 * time.Millisecond, Seed: uint64(len(n.name)) + uint64(n.address[7]),
 	}
 	if c.adjust != nil {
 		c.adjust(&config)
@@ -100,7 +100,7 @@
 
 func (c *cluster) start(n *node) {
 	c.t.Helper()
-	n.book = &book{}
+	n.recorder = &commandRecorder{}
 	r, err := New(c.config(n))
 	if err != nil {
 		c.t.Fatalf("%s: %v", n.name, err)
@@ -109,21 +109,21 @@
 	c.network.attach(n.address, r)
 }
 
-// kill cuts a replica off and ends it without a word to the others.
+// kill disconnects a replica and stops it without a leadership transfer.
 func (c *cluster) kill(n *node) {
 	c.network.detach(n.address)
-	c.network.thaw(n.address)
+	c.network.resume(n.address)
 	n.replica.(*replica).fail(errUnreachable)
 	<-n.replica.Done()
 }
 
-// until waits for a condition.
-func (c *cluster) until(what string, condition func() bool) {
+// waitUntil waits for a condition.
+func (c *cluster) waitUntil(what string, condition func() bool) {
 	c.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(conditionTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			c.t.Fatalf("gave up waiting: %s\n%s", what, c.describe())
+			c.t.Fatalf("timed out waiting for %s\n%s", what, c.describe())
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -137,14 +137,14 @@
 	return b.String()
 }
 
-// leader waits until one of the given nodes, or of all, leads.
-func (c *cluster) leader(among ...*node) *node {
+// waitForLeader waits until one of the given nodes, or of all, is the leader.
+func (c *cluster) waitForLeader(among ...*node) *node {
 	c.t.Helper()
 	if len(among) == 0 {
 		among = c.nodes
 	}
 	var leader *node
-	c.until("a leader", func() bool {
+	c.waitUntil("a leader", func() bool {
 		for _, n := range among {
 			if s := n.replica.Status(); s.Role == "leader" && s.CaughtUp {
 				leader = n
@@ -167,22 +167,23 @@
 	return rest
 }
 
-// write proposes at whoever leads among the nodes until it is committed. A
-// commit that is unknown, as after a change of the leader on a busy machine,
-// is read back before the next try, so that each word is written once.
-func (c *cluster) write(command string, among ...*node) {
+// commit proposes a command at the leader among the nodes until it is committed.
+// If the outcome of an attempt is unknown, for example after a leader change on a
+// busy machine, it reads the state before the next attempt, so that the command
+// is committed only once.
+func (c *cluster) commit(command string, among ...*node) {
 	c.t.Helper()
 	unknown := false
-	c.until("commit of "+command, func() bool {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+	c.waitUntil("commit of "+command, func() bool {
+		ctx, cancel := context.WithTimeout(context.Background(), conditionTimeout)
 		defer cancel()
-		n := c.leader(among...)
+		n := c.waitForLeader(among...)
 		if unknown {
 			i, err := n.replica.ReadIndex(ctx)
 			if err != nil || n.replica.WaitApplied(ctx, i) != nil {
 				return false
 			}
-			words := strings.Fields(n.book.text())
+			words := strings.Fields(n.recorder.joined())
 			if len(words) > 0 && words[len(words)-1] == command {
 				return true
 			}
@@ -193,10 +194,10 @@
 	})
 }
 
-// agree waits until all the nodes hold the same text.
-func (c *cluster) agree(text string, among ...*node) {
+// waitForState waits until all the nodes have the given state.
+func (c *cluster) waitForState(text string, among ...*node) {
 	c.t.Helper()
 	for _, n := range among {
-		c.until(fmt.Sprintf("%s holds %.40q", n.name, text), func() bool { return n.book.text() == text })
+		c.waitUntil(fmt.Sprintf("the state of %s to be %.40q", n.name, text), func() bool { return n.recorder.joined() == text })
 	}
 }
--- a/internal/control/replica/settle.go
+++ b/internal/control/replica/effects.go
@@ -9,8 +9,8 @@
 	"hornbeamwood/internal/control/raft"
 )
 
-// settle does what the core wants until it wants nothing more.
-func (l *loop) settle() error {
+// processEffects carries out the core's effects until there are none left.
+func (l *loop) processEffects() error {
 	if l.core == nil {
 		return l.replica.Err()
 	}
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// perform carries out effects in the order that safety asks for: disk before answers.
+// perform carries out effects in the order that safety requires: persist before responding.
 func (l *loop) perform(e raft.Effects) error {
 	l.send(e.Early)
 	if err := l.persist(e); err != nil {
@@ -46,8 +46,8 @@
 	l.send(e.Messages)
 	l.apply(e)
 	for _, s := range e.Reads {
-		if q, ok := l.confirm[s.ID]; ok {
-			delete(l.confirm, s.ID)
+		if q, ok := l.pendingReads[s.ID]; ok {
+			delete(l.pendingReads, s.ID)
 			q.finish(s.Index, nil)
 		}
 	}
@@ -90,7 +90,7 @@
 	l.replica.applier.jobs.push(j)
 }
 
-// send hands messages to the transport.
+// send passes messages to the transport.
 func (l *loop) send(messages []raft.Message) {
 	if len(messages) == 0 {
 		return
@@ -102,36 +102,36 @@
 			member, _ := c.Member(m.To)
 			address = member.Address
 		}
-		if address == "" || m.Kind == raft.MessageSnapshot && !l.fill(&m) {
+		if address == "" || m.Kind == raft.MessageSnapshot && !l.addChunk(&m) {
 			continue
 		}
 		l.replica.config.Transport.Send(address, m)
 	}
 }
 
-// fill adds the chunk that m asks for and returns whether its snapshot is still there.
-func (l *loop) fill(m *raft.Message) bool {
-	if l.sending == nil || !l.sending.Meta.Same(*m.Snapshot) {
+// addChunk adds the requested chunk to m and reports whether its snapshot is still on disk.
+func (l *loop) addChunk(m *raft.Message) bool {
+	if l.outgoingSnapshot == nil || !l.outgoingSnapshot.Meta.Same(*m.Snapshot) {
 		s, err := l.replica.store.LoadSnapshot()
 		if err != nil {
 			l.replica.fail(err)
 			return false
 		}
-		l.sending = &s
+		l.outgoingSnapshot = &s
 	}
-	if !l.sending.Meta.Same(*m.Snapshot) || m.Offset > l.sending.Meta.Size {
+	if !l.outgoingSnapshot.Meta.Same(*m.Snapshot) || m.Offset > l.outgoingSnapshot.Meta.Size {
 		return false
 	}
-	end := min(m.Offset+uint64(l.replica.config.ChunkBytes), l.sending.Meta.Size)
-	m.Data = l.sending.Data[m.Offset:end]
+	end := min(m.Offset+uint64(l.replica.config.ChunkBytes), l.outgoingSnapshot.Meta.Size)
+	m.Data = l.outgoingSnapshot.Data[m.Offset:end]
 	return true
 }
 
-// compact drops what the applier's snapshots cover.
+// compact compacts the log up to the snapshots that the applier saved.
 func (l *loop) compact() error {
-	for _, meta := range l.replica.saved.take() {
+	for _, meta := range l.replica.savedSnapshots.take() {
 		l.core.Compact(meta, uint64(l.replica.config.KeepEntries))
-		l.sending = nil
+		l.outgoingSnapshot = nil
 		if err := l.replica.store.Compact(meta.Index); err != nil {
 			return err
 		}
--- a/internal/control/replica/errors.go
+++ b/internal/control/replica/errors.go
@@ -7,7 +7,7 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-// Codes of the errors of this package.
+// Codes of the errors that this package returns.
 const (
 	CodeNotLeader     = "not-leader"
 	CodeNotFormed     = "not-formed"
@@ -21,7 +21,7 @@
 	CodeRefused       = "change-refused"
 )
 
-// retryAfter is about the time that an election takes.
+// retryAfter is the approximate duration of an election.
 const retryAfter = time.Second
 
 func unavailable(code, message string) verdict.Error {
@@ -29,11 +29,11 @@
 }
 
 func errNotLeader(cause NotLeaderError) error {
-	return unavailable(CodeNotLeader, "this replica does not lead the control log").WithCause(cause)
+	return unavailable(CodeNotLeader, "this replica is not the leader of the control log").WithCause(cause)
 }
 
 func errNotFormed() error {
-	return unavailable(CodeNotFormed, "this replica belongs to no group yet")
+	return unavailable(CodeNotFormed, "this replica has not joined a group yet")
 }
 
 func errStopped(cause error) error {
@@ -41,29 +41,29 @@
 }
 
 func errQueueFull() error {
-	return unavailable(CodeQueueFull, "too many commands are waiting")
+	return unavailable(CodeQueueFull, "the command queue is full")
 }
 
 func errDiskLow() error {
-	return verdict.New(verdict.NotRun, http.StatusInsufficientStorage, CodeDiskLow, "the disk of the control log has less than %d MiB left; nothing is accepted until an operator makes room", reserveBytes>>20)
+	return verdict.New(verdict.NotRun, http.StatusInsufficientStorage, CodeDiskLow, "the disk of the control log has less than %d MiB free; commands are rejected until an operator frees disk space", minFreeBytes>>20)
 }
 
 func errTooLarge() error {
-	return verdict.New(verdict.NotRun, http.StatusRequestEntityTooLarge, CodeTooLarge, "a command may have %d bytes at most", MaxCommand)
+	return verdict.New(verdict.NotRun, http.StatusRequestEntityTooLarge, CodeTooLarge, "the command is larger than %d bytes", MaxCommand)
 }
 
 func errTimeout(cause error) error {
-	return unavailable(CodeTimeout, "the time ran out before the command was taken").WithCause(cause)
+	return unavailable(CodeTimeout, "the call timed out before the command was appended").WithCause(cause)
 }
 
-// errCommitUnknown says that a command is in the log and may yet be committed, or be dropped.
+// errCommitUnknown means that a command was appended to the log and may still be committed or dropped.
 func errCommitUnknown(cause error) error {
-	return verdict.New(verdict.MayHaveRun, http.StatusServiceUnavailable, CodeCommitUnknown, "the command was taken, but whether it is committed is not known").
+	return verdict.New(verdict.MayHaveRun, http.StatusServiceUnavailable, CodeCommitUnknown, "the command was appended, but it is unknown whether it is committed").
 		WithRetryAfter(retryAfter).WithCause(cause)
 }
 
-func errChange(cause error) error {
-	return verdict.New(verdict.NotRun, http.StatusConflict, CodeRefused, "the membership change is refused").WithCause(cause)
+func errChangeRefused(cause error) error {
+	return verdict.New(verdict.NotRun, http.StatusConflict, CodeRefused, "the membership change is rejected").WithCause(cause)
 }
 
 func errChangePending(cause error) error {
--- a/internal/control/replica/formation.go
+++ b/internal/control/replica/formation.go
@@ -5,26 +5,26 @@
 	"hornbeamwood/internal/control/raft"
 )
 
-// Formation is what a replica answers to a probe: who it is and which group it belongs to.
+// Formation is a replica's answer to a probe: its identity and its group.
 type Formation struct {
 	// Group is the log's number.
 	Group uint32 `cbor:"group"`
 	// Name is the replica's name.
 	Name string `cbor:"name"`
-	// Identity names the replica with its disk.
+	// Identity identifies the replica together with its disk.
 	Identity raft.Identity `cbor:"identity"`
-	// Address is where the replica is reached.
+	// Address is the replica's address.
 	Address string `cbor:"address"`
-	// Formed says that the replica belongs to a group; the fields below are empty otherwise.
+	// Formed is set when the replica belongs to a group; the fields below are empty otherwise.
 	Formed bool `cbor:"formed"`
-	// Founding is the group's first configuration.
+	// Founding is the group's founding, with its initial configuration.
 	Founding disk.Founding `cbor:"founding"`
-	// Configuration is the latest committed one that the replica knows.
+	// Configuration is the latest committed configuration that the replica knows.
 	Configuration raft.Configuration `cbor:"configuration"`
 }
 
-// admits returns whether the group of f has id as a founding or present member.
-func (f Formation) admits(id raft.Identity) bool {
+// hasMember reports whether id is an initial or current member of the group.
+func (f Formation) hasMember(id raft.Identity) bool {
 	if !f.Formed {
 		return false
 	}
--- a/internal/control/replica/group_test.go
+++ b/internal/control/replica/group_test.go
@@ -8,28 +8,28 @@
 	"hornbeamwood/internal/control/raft"
 )
 
-// groupPort sends through a transport that carries several logs: each log's
-// replica on a VM has its own place behind the VM's address.
-type groupPort struct {
-	port  port
-	group uint32
+// groupTransport sends through a transport that several logs share: each log's
+// replica on a VM has its own address, derived from the VM's address.
+type groupTransport struct {
+	transport testTransport
+	group     uint32
 }
 
-func placeOf(address string, group uint32) string {
+func groupAddress(address string, group uint32) string {
 	return fmt.Sprintf("%s/%d", address, group)
 }
 
-func (g groupPort) Send(address string, m raft.Message) {
-	g.port.Send(placeOf(address, m.Group), m)
+func (g groupTransport) Send(address string, m raft.Message) {
+	g.transport.Send(groupAddress(address, m.Group), m)
 }
 
-func (g groupPort) Probe(ctx context.Context, address string) (Formation, error) {
-	return g.port.Probe(ctx, placeOf(address, g.group))
+func (g groupTransport) Probe(ctx context.Context, address string) (Formation, error) {
+	return g.transport.Probe(ctx, groupAddress(address, g.group))
 }
 
 // Two logs share three VMs and their addresses. A command of one must never
-// show up in the other, and the loss of one group's leader leaves the other's
-// alone.
+// appear in the other, and the loss of one group's leader must not affect the
+// other group.
 func TestGroupsShareATransport(t *testing.T) {
 	n := newNetwork()
 	seeds := founders
@@ -39,30 +39,30 @@
 		c := &cluster{t: t, network: n, seeds: seeds}
 		c.adjust = func(c *Config) {
 			c.Group = group
-			c.Transport = groupPort{port{n, placeOf(c.Address, group)}, group}
+			c.Transport = groupTransport{testTransport{n, groupAddress(c.Address, group)}, group}
 		}
 		for _, s := range seeds {
 			o := &node{name: s.Name, address: s.Address, folder: t.TempDir()}
 			c.start(o)
-			n.attach(placeOf(s.Address, group), o.replica)
+			n.attach(groupAddress(s.Address, group), o.replica)
 			groups[group] = append(groups[group], o)
 		}
 		c.nodes = groups[group]
 		clusters[group] = c
 		t.Cleanup(func() {
 			for _, o := range c.nodes {
-				n.detach(placeOf(o.address, group))
+				n.detach(groupAddress(o.address, group))
 				c.kill(o)
 			}
 		})
 	}
-	clusters[1].write("settings")
-	clusters[2].write("claim")
-	lost := clusters[1].leader()
-	n.detach(placeOf(lost.address, 1))
+	clusters[1].commit("settings")
+	clusters[2].commit("claim")
+	lost := clusters[1].waitForLeader()
+	n.detach(groupAddress(lost.address, 1))
 	clusters[1].kill(lost)
-	clusters[1].write("more", clusters[1].others(lost)...)
-	clusters[2].write("outcome")
-	clusters[1].agree("settings more", clusters[1].others(lost)...)
-	clusters[2].agree("claim outcome", clusters[2].nodes...)
+	clusters[1].commit("more", clusters[1].others(lost)...)
+	clusters[2].commit("outcome")
+	clusters[1].waitForState("settings more", clusters[1].others(lost)...)
+	clusters[2].waitForState("claim outcome", clusters[2].nodes...)
 }
--- a/internal/control/replica/loop.go
+++ b/internal/control/replica/loop.go
@@ -12,27 +12,29 @@
 	"hornbeamwood/internal/control/raft"
 )
 
-// handOverTicks bounds how long a stopping leader waits for another one.
-const handOverTicks = 20
+// transferTicks bounds the ticks that a stopping leader waits for the leadership transfer.
+const transferTicks = 20
 
-// loop owns the core: all its inputs pass here one after the other.
+// loop owns the core and serializes its inputs.
 type loop struct {
 	replica *replica
 	ticks   <-chan time.Time
 	core    raft.Core
-	// addresses are those that the senders of messages gave.
+	// addresses are the senders' addresses in received messages.
 	addresses map[raft.Identity]string
-	// confirm holds the reads by the id that the core knows them by.
-	confirm map[uint64]*read
-	readID  uint64
-	sending *raft.Snapshot
-	before  raft.Status
-	// stop is set when the replica stops; left counts the ticks until it does so in any case.
-	stop context.Context
-	left int
-	// low says that the disk is nearly full, looked at every reserveTicks.
-	low  bool
-	look int
+	// pendingReads holds the pending reads by their ID in the core.
+	pendingReads map[uint64]*pendingRead
+	readID       uint64
+	// outgoingSnapshot is the snapshot that is being sent.
+	outgoingSnapshot *raft.Snapshot
+	// lastStatus is the last published status.
+	lastStatus raft.Status
+	// stopContext is the context of a planned stop; stopTicksLeft counts the ticks until the replica stops without a transfer.
+	stopContext   context.Context
+	stopTicksLeft int
+	// diskLow is set while the disk is nearly full; freeSpaceCheckTicks counts the ticks until the next check.
+	diskLow             bool
+	freeSpaceCheckTicks int
 }
 
 // run returns when the replica has stopped or failed.
@@ -49,48 +51,48 @@
 		case q := <-r.reads:
 			l.read(q)
 		case f := <-r.founded:
-			l.found(f)
+			l.startCore(f)
 		case <-r.wake:
 		case ctx := <-r.stopping:
-			l.handOver(ctx)
-		case <-r.halt:
+			l.beginStop(ctx)
+		case <-r.failed:
 			return
 		}
 		l.drain()
-		if l.settle() != nil || l.stopped() {
+		if l.processEffects() != nil || l.stopped() {
 			return
 		}
 	}
 }
 
 func (l *loop) tick() {
-	l.left--
-	l.reserve()
+	l.stopTicksLeft--
+	l.checkFreeSpace()
 	if l.core != nil {
 		l.core.Tick()
 	}
 }
 
-// reserve looks at the free space now and then.
+// checkFreeSpace checks the free disk space every freeSpaceCheckInterval ticks.
 //
-// A leader that writes until the disk is full ends in the middle of a write,
-// and so would its successors, one after the other; refusing commands while
-// there is room keeps the group, its reads and its leases alive.
-func (l *loop) reserve() {
-	l.look--
-	if l.look > 0 {
+// A leader that writes until the disk is full fails during a write, and then so
+// do its successors, one after the other. Rejecting commands while there is
+// still free space keeps the group, its reads and its leases available.
+func (l *loop) checkFreeSpace() {
+	l.freeSpaceCheckTicks--
+	if l.freeSpaceCheckTicks > 0 {
 		return
 	}
-	l.look = reserveTicks
+	l.freeSpaceCheckTicks = freeSpaceCheckInterval
 	free, err := l.replica.store.Free()
-	low := err == nil && free < reserveBytes
-	if low && !l.low {
-		event.DiskLow.Write(l.replica.config.Logger, log.Fields{"replica": l.replica.config.Name, "free": free, "needed": reserveBytes})
+	low := err == nil && free < minFreeBytes
+	if low && !l.diskLow {
+		event.DiskLow.Write(l.replica.config.Logger, log.Fields{"replica": l.replica.config.Name, "free": free, "needed": minFreeBytes})
 	}
-	l.low = low
+	l.diskLow = low
 }
 
-// drain takes what else is waiting, so that one sync serves all of it.
+// drain processes further queued inputs, so that one sync covers all of them.
 func (l *loop) drain() {
 	for range drainLimit {
 		select {
@@ -98,7 +100,7 @@
 			l.step(m)
 		case q := <-l.replica.reads:
 			l.read(q)
-		case <-l.replica.halt:
+		case <-l.replica.failed:
 			return
 		default:
 			return
@@ -111,22 +113,22 @@
 		return
 	}
 	if m.Address != "" && m.To == l.replica.self.Identity {
-		l.remember(m.From, m.Address)
+		l.rememberAddress(m.From, m.Address)
 	}
 	l.core.Step(m)
 }
 
-// maxAddresses bounds the addresses kept: a group has a few members, over its life some more.
+// maxAddresses bounds the number of kept addresses: a group has a few members at a time, and some more over its lifetime.
 const maxAddresses = 256
 
-func (l *loop) remember(id raft.Identity, address string) {
+func (l *loop) rememberAddress(id raft.Identity, address string) {
 	if len(l.addresses) >= maxAddresses {
 		clear(l.addresses)
 	}
 	l.addresses[id] = address
 }
 
-// propose appends p and the commands that wait behind it.
+// propose appends p and the commands that are queued after it.
 func (l *loop) propose(p *proposal) {
 	if p.change != nil {
 		l.change(p)
@@ -139,7 +141,7 @@
 			change = p
 			break
 		}
-		if p.take() {
+		if p.claim() {
 			batch = append(batch, p)
 		}
 		select {
@@ -164,22 +166,22 @@
 		commands[i] = p.command
 	}
 	if l.core == nil {
-		refuse(batch, errNotFormed())
+		reject(batch, errNotFormed())
 		return
 	}
-	if l.low && l.core.Status().Role == raft.Leader {
-		refuse(batch, errDiskLow())
+	if l.diskLow && l.core.Status().Role == raft.Leader {
+		reject(batch, errDiskLow())
 		return
 	}
 	index, term, err := l.core.Propose(commands)
 	if err != nil {
-		refuse(batch, errNotLeader(l.leader()))
+		reject(batch, errNotLeader(l.notLeaderError()))
 		return
 	}
 	l.replica.pending.add(index, term, batch)
 }
 
-func refuse(batch []*proposal, err error) {
+func reject(batch []*proposal, err error) {
 	for _, p := range batch {
 		p.finish(outcome{err: err})
 	}
@@ -187,7 +189,7 @@
 
 // change appends a membership change.
 func (l *loop) change(p *proposal) {
-	if !p.take() {
+	if !p.claim() {
 		return
 	}
 	if l.core == nil {
@@ -199,29 +201,29 @@
 	case err == nil:
 		l.replica.pending.add(index, term, []*proposal{p})
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrTransferring):
-		p.finish(outcome{err: errNotLeader(l.leader())})
+		p.finish(outcome{err: errNotLeader(l.notLeaderError())})
 	case errors.Is(err, raft.ErrChangePending), errors.Is(err, raft.ErrNotCaughtUp):
 		p.finish(outcome{err: errChangePending(err)})
 	default:
-		p.finish(outcome{err: errChange(err)})
+		p.finish(outcome{err: errChangeRefused(err)})
 	}
 }
 
-func (l *loop) read(q *read) {
+func (l *loop) read(q *pendingRead) {
 	if l.core == nil {
 		q.finish(0, errNotFormed())
 		return
 	}
 	l.readID++
 	if err := l.core.Read(l.readID); err != nil {
-		q.finish(0, errNotLeader(l.leader()))
+		q.finish(0, errNotLeader(l.notLeaderError()))
 		return
 	}
-	l.confirm[l.readID] = q
+	l.pendingReads[l.readID] = q
 }
 
-// leader returns whom to ask instead.
-func (l *loop) leader() NotLeaderError {
+// notLeaderError returns a NotLeaderError that names the leader, if it is known.
+func (l *loop) notLeaderError() NotLeaderError {
 	s := l.core.Status()
 	if s.Leader == raft.None || s.Leader == l.replica.self.Identity {
 		return NotLeaderError{}
@@ -234,8 +236,8 @@
 	return m.Name
 }
 
-// found starts the core once the founding configuration is on disk.
-func (l *loop) found(f disk.Founding) {
+// startCore persists the founding and starts the core.
+func (l *loop) startCore(f disk.Founding) {
 	r := l.replica
 	if _, ok := r.store.Founding(); !ok {
 		if err := r.store.Found(f); err != nil {
@@ -249,7 +251,7 @@
 		HardState: state.HardState, Snapshot: state.Snapshot, Entries: state.Entries,
 		Random: r.random,
 	})
-	l.before = l.core.Status()
+	l.lastStatus = l.core.Status()
 	r.mu.Lock()
 	r.formation.Formed = true
 	r.formation.Founding = f
@@ -257,21 +259,21 @@
 	l.publish()
 }
 
-// handOver begins a planned stop.
-func (l *loop) handOver(ctx context.Context) {
-	l.stop = ctx
-	l.left = 0
-	if l.core == nil || !l.core.Transfer() {
+// beginStop begins a planned stop with a leadership transfer.
+func (l *loop) beginStop(ctx context.Context) {
+	l.stopContext = ctx
+	l.stopTicksLeft = 0
+	if l.core == nil || !l.core.TransferLeadership() {
 		return
 	}
-	l.left = handOverTicks
+	l.stopTicksLeft = transferTicks
 	event.LeadershipHandedOver.Write(l.replica.config.Logger, log.Fields{"replica": l.replica.config.Name})
 }
 
-// stopped returns whether a planned stop is done.
+// stopped reports whether a planned stop is complete.
 func (l *loop) stopped() bool {
-	if l.stop == nil {
+	if l.stopContext == nil {
 		return false
 	}
-	return l.core == nil || l.left <= 0 || l.stop.Err() != nil || l.core.Status().Role != raft.Leader
+	return l.core == nil || l.stopTicksLeft <= 0 || l.stopContext.Err() != nil || l.core.Status().Role != raft.Leader
 }
--- a/internal/control/replica/machine.go
+++ b/internal/control/replica/machine.go
@@ -1,10 +1,10 @@
 package replica
 
-// Machine is the state that the log's commands build.
+// Machine is the state machine to which the log's commands are applied.
 //
-// Apply and Restore are called from one goroutine; Snapshot too.
+// Apply, Restore and Snapshot are called from one goroutine.
 type Machine interface {
-	// Apply carries out the committed command at index and returns its result.
+	// Apply applies the committed command at index and returns its result.
 	Apply(index uint64, command []byte) []byte
 	// Snapshot returns the state after the last applied command.
 	Snapshot() ([]byte, error)
--- a/internal/control/replica/network_test.go
+++ b/internal/control/replica/network_test.go
@@ -12,31 +12,31 @@
 
 var errUnreachable = errors.New("unreachable")
 
-// link is one direction between two addresses.
+// link is one direction of a connection between two addresses.
 type link struct{ from, to string }
 
-// network carries encoded messages between replicas of one process; directions can be cut.
+// network carries encoded messages between replicas in one process; single directions can be cut.
 type network struct {
-	// bytes counts all encoded messages, sent those by their senders.
+	// bytes counts the bytes of all encoded messages, sent counts them by sender.
 	bytes atomic.Int64
 	sent  map[string]int64
 	mu    sync.Mutex
 	nodes map[string]Replica
 	cuts  map[link]bool
-	// frozen holds the addresses whose replica stands still in the middle of a send, as a stopped process does.
-	frozen map[string]chan struct{}
-	// limits are how many more messages of a kind may pass a link.
-	limits map[link]*limit
+	// suspended holds the addresses whose replica blocks in a send, as a suspended process does.
+	suspended map[string]chan struct{}
+	// messageLimits bound how many more messages of a kind may pass a link.
+	messageLimits map[link]*messageLimit
 }
 
-// limit lets some messages of one kind pass.
-type limit struct {
+// messageLimit bounds the messages of one kind.
+type messageLimit struct {
 	kind raft.MessageKind
 	left int
 }
 
 func newNetwork() *network {
-	return &network{nodes: map[string]Replica{}, cuts: map[link]bool{}, frozen: map[string]chan struct{}{}, limits: map[link]*limit{}, sent: map[string]int64{}}
+	return &network{nodes: map[string]Replica{}, cuts: map[link]bool{}, suspended: map[string]chan struct{}{}, messageLimits: map[link]*messageLimit{}, sent: map[string]int64{}}
 }
 
 func (n *network) attach(address string, r Replica) {
@@ -51,7 +51,7 @@
 	delete(n.nodes, address)
 }
 
-// cut drops everything sent from one address to another until it is healed.
+// cut drops everything sent from one address to another until heal is called.
 func (n *network) cut(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -64,24 +64,24 @@
 	clear(n.cuts)
 }
 
-// limit lets only some more messages of one kind pass a link.
+// limit bounds how many more messages of one kind may pass a link.
 func (n *network) limit(from, to string, kind raft.MessageKind, left int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.limits[link{from, to}] = &limit{kind: kind, left: left}
+	n.messageLimits[link{from, to}] = &messageLimit{kind: kind, left: left}
 }
 
 func (n *network) exhausted(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.limits[link{from, to}].left < 0
+	return n.messageLimits[link{from, to}].left < 0
 }
 
-// passes counts a message against the limit of its link.
-func (n *network) passes(from, to string, kind raft.MessageKind) bool {
+// allow counts a message against the limit of its link and reports whether it may pass.
+func (n *network) allow(from, to string, kind raft.MessageKind) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l, ok := n.limits[link{from, to}]
+	l, ok := n.messageLimits[link{from, to}]
 	if !ok || l.kind != kind {
 		return true
 	}
@@ -89,32 +89,32 @@
 	return l.left >= 0
 }
 
-func (n *network) freeze(address string) {
+func (n *network) suspend(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.frozen[address] = make(chan struct{})
+	n.suspended[address] = make(chan struct{})
 }
 
-func (n *network) thaw(address string) {
+func (n *network) resume(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if thawed, ok := n.frozen[address]; ok {
-		close(thawed)
-		delete(n.frozen, address)
+	if resumed, ok := n.suspended[address]; ok {
+		close(resumed)
+		delete(n.suspended, address)
 	}
 }
 
-// stand blocks while the replica at address is frozen.
-func (n *network) stand(address string) {
+// waitWhileSuspended blocks while the replica at address is suspended.
+func (n *network) waitWhileSuspended(address string) {
 	n.mu.Lock()
-	thawed := n.frozen[address]
+	resumed := n.suspended[address]
 	n.mu.Unlock()
-	if thawed != nil {
-		<-thawed
+	if resumed != nil {
+		<-resumed
 	}
 }
 
-func (n *network) reach(from, to string) Replica {
+func (n *network) replicaAt(from, to string) Replica {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cuts[link{from, to}] {
@@ -123,7 +123,7 @@
 	return n.nodes[to]
 }
 
-// count adds to what the replica at address has sent.
+// count adds to the bytes that the replica at address has sent.
 func (n *network) count(address string, bytes int) {
 	n.bytes.Add(int64(bytes))
 	n.mu.Lock()
@@ -137,23 +137,23 @@
 	return n.sent[address]
 }
 
-// port is a replica's Transport.
-type port struct {
+// testTransport is a replica's Transport.
+type testTransport struct {
 	network *network
 	address string
 }
 
-func (p port) Send(address string, m raft.Message) {
-	p.network.stand(p.address)
-	r := p.network.reach(p.address, address)
-	if r == nil || !p.network.passes(p.address, address, m.Kind) {
+func (t testTransport) Send(address string, m raft.Message) {
+	t.network.waitWhileSuspended(t.address)
+	r := t.network.replicaAt(t.address, address)
+	if r == nil || !t.network.allow(t.address, address, m.Kind) {
 		return
 	}
 	b, err := codec.Marshal(m)
 	if err != nil {
 		panic(err)
 	}
-	p.network.count(p.address, len(b))
+	t.network.count(t.address, len(b))
 	decoded, err := codec.UnmarshalStrict[raft.Message](b)
 	if err != nil {
 		panic(err)
@@ -161,9 +161,9 @@
 	r.Receive(decoded)
 }
 
-func (p port) Probe(_ context.Context, address string) (Formation, error) {
-	r := p.network.reach(p.address, address)
-	if r == nil || p.network.reach(address, p.address) == nil {
+func (t testTransport) Probe(_ context.Context, address string) (Formation, error) {
+	r := t.network.replicaAt(t.address, address)
+	if r == nil || t.network.replicaAt(address, t.address) == nil {
 		return Formation{}, errUnreachable
 	}
 	b, err := codec.Marshal(r.Formation())
--- a/internal/control/replica/not_leader_error.go
+++ b/internal/control/replica/not_leader_error.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// NotLeaderError says that another replica must be asked.
+// NotLeaderError means that this replica is not the leader.
 type NotLeaderError struct {
-	// Name and Address are the leader's, empty while nobody is known to lead.
+	// Name and Address are the leader's, empty while no leader is known.
 	Name, Address string
 }
 
-// Error returns whom to ask.
+// Error returns the leader's name and address.
 func (e NotLeaderError) Error() string {
 	if e.Address == "" {
 		return "replica: no leader is known"
--- a/internal/control/replica/partition_test.go
+++ b/internal/control/replica/partition_test.go
@@ -8,10 +8,10 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-// silence is many election timeouts of the tests' clusters: 10 to 20 ticks of 5 ms each.
-const silence = time.Second
+// callTimeout is many election timeouts of the test clusters, which are 10 to 20 ticks of 5 ms each.
+const callTimeout = time.Second
 
-// isolate cuts n off from all others, in the given directions.
+// isolate cuts the links between n and all other nodes, in the given directions.
 func (c *cluster) isolate(n *node, in, out bool) {
 	for _, o := range c.others(n) {
 		if in {
@@ -23,10 +23,10 @@
 	}
 }
 
-// refuses checks that n neither confirms a read nor accepts a command.
-func (c *cluster) refuses(n *node) {
+// checkRejects checks that n neither confirms a read nor accepts a command.
+func (c *cluster) checkRejects(n *node) {
 	c.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), silence)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	if index, err := n.replica.ReadIndex(ctx); err == nil {
 		c.t.Errorf("%s confirmed a read at %d without a quorum", n.name, index)
@@ -36,24 +36,24 @@
 	}
 }
 
-// A silent partition cuts the leading VM off in both directions, for many
-// election timeouts. Operators at the old leader must neither read old
-// settings as fresh nor have an edit accepted that the others never see, and
-// when the partition ends the working leader must stay.
+// A partition isolates the leader in both directions for many election timeouts.
+// Operators at the old leader must neither read stale settings nor have an edit
+// accepted that the others never receive. When the partition heals, the working
+// leader must stay the leader.
 func TestLeaderCutOffAndBack(t *testing.T) {
 	c := newCluster(t, 3, nil)
-	c.write("one")
-	old := c.leader()
+	c.commit("one")
+	old := c.waitForLeader()
 	rest := c.others(old)
 	c.isolate(old, true, true)
-	c.refuses(old)
-	c.write("two", rest...)
-	c.refuses(old)
-	c.returns(old)
+	c.checkRejects(old)
+	c.commit("two", rest...)
+	c.checkRejects(old)
+	c.checkReturn(old)
 }
 
-// ask begins a read and an edit at r and returns where their errors arrive.
-func ask(ctx context.Context, r Replica) (read, edit <-chan error) {
+// startCalls starts a read and an edit at r and returns the channels of their errors.
+func startCalls(ctx context.Context, r Replica) (read, edit <-chan error) {
 	reads, edits := make(chan error, 1), make(chan error, 1)
 	go func() {
 		_, err := r.ReadIndex(ctx)
@@ -66,109 +66,110 @@
 	return reads, edits
 }
 
-// The leading VM is stopped by its host for many election timeouts and then
-// goes on where it was; what arrived meanwhile has overflowed its buffers. It
-// still believes to lead; an operator who asks it just then must not get old
-// settings as fresh, nor have an edit accepted, and the leader that was elected
-// meanwhile must stay.
+// The leader's VM is suspended by its host for many election timeouts and then
+// resumes; messages that arrived meanwhile overflowed its buffers. It is still in
+// the leader role. An operator who calls it at this moment must neither get stale
+// settings nor have an edit accepted, and the leader that was elected meanwhile
+// must stay the leader.
 //
-// It runs at the default tick. At the 5 ms of the other tests one sync that takes
-// 150 ms moves the term without any freeze, see TestSlowSyncKeepsTheLeader.
-func TestFrozenLeaderThaws(t *testing.T) {
+// The test uses the default tick. With the 5 ms tick of the other tests a single
+// sync of 150 ms starts a new term without any suspension, see
+// TestSlowSyncKeepsTheLeader.
+func TestSuspendedLeaderResumes(t *testing.T) {
 	c := newCluster(t, 3, func(g *Config) { g.Tick = defaultTick })
-	c.write("one")
-	old := c.leader()
+	c.commit("one")
+	old := c.waitForLeader()
 	rest := c.others(old)
-	c.network.freeze(old.address)
+	c.network.suspend(old.address)
 	c.isolate(old, true, false)
-	c.write("two", rest...)
-	leader := c.leader(rest...)
+	c.commit("two", rest...)
+	leader := c.waitForLeader(rest...)
 	term := leader.replica.Status().Term
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), conditionTimeout)
 	defer cancel()
-	read, edit := ask(ctx, old.replica)
-	c.until("both calls wait", func() bool {
+	read, edit := startCalls(ctx, old.replica)
+	c.waitUntil("both calls to be queued", func() bool {
 		r := old.replica.(*replica)
 		return len(r.reads) == 1 && len(r.proposals) == 1
 	})
-	c.network.thaw(old.address)
+	c.network.resume(old.address)
 	if err := <-read; err == nil {
-		t.Error("the thawed leader confirmed a read")
+		t.Error("the resumed leader confirmed a read")
 	}
 	if err := <-edit; err == nil {
-		t.Error("the thawed leader accepted an edit")
+		t.Error("the resumed leader accepted an edit")
 	}
 	c.network.heal()
-	c.write("three", rest...)
-	c.agree("one two three", c.nodes...)
+	c.commit("three", rest...)
+	c.waitForState("one two three", c.nodes...)
 	if s := leader.replica.Status(); s.Term != term || s.Role != "leader" {
-		t.Errorf("the thawed replica moved term %d to %d, role %s", term, s.Term, s.Role)
+		t.Errorf("the resumed replica changed term %d to %d, role %s", term, s.Term, s.Role)
 	}
 }
 
-// A link fails in one direction only: the leading VM still reaches the others
-// but hears nothing, so that they see no reason to elect another. Operators
-// would wait for ever for edits that can't commit; the leader must give up,
-// and its return must not depose the next one.
-func TestLeaderThatHearsNothingGivesUp(t *testing.T) {
+// Links fail in one direction only: the leader still reaches the others but
+// receives nothing, so that they do not start an election. Operators would wait
+// forever for edits that can't commit. The leader must step down, and its return
+// must not depose the next leader.
+func TestLeaderThatReceivesNothingStepsDown(t *testing.T) {
 	c := newCluster(t, 3, nil)
-	c.write("one")
-	old := c.leader()
+	c.commit("one")
+	old := c.waitForLeader()
 	rest := c.others(old)
 	c.isolate(old, true, false)
-	c.refuses(old)
-	c.write("two", rest...)
-	c.refuses(old)
-	c.returns(old)
+	c.checkRejects(old)
+	c.commit("two", rest...)
+	c.checkRejects(old)
+	c.checkReturn(old)
 }
 
-// The other direction: the leading VM hears everything, but nothing of it
-// arrives.
+// Links fail in the other direction: the leader receives everything, but none of
+// its messages arrive.
 func TestLeaderThatReachesNobodyIsReplaced(t *testing.T) {
 	c := newCluster(t, 3, nil)
-	c.write("one")
-	old := c.leader()
+	c.commit("one")
+	old := c.waitForLeader()
 	rest := c.others(old)
 	c.isolate(old, false, true)
-	c.refuses(old)
-	c.write("two", rest...)
-	c.refuses(old)
-	c.returns(old)
+	c.checkRejects(old)
+	c.commit("two", rest...)
+	c.checkRejects(old)
+	c.checkReturn(old)
 }
 
-// returns ends the faults and checks that the working leader keeps its term.
-func (c *cluster) returns(old *node) {
+// checkReturn heals the links and checks that the working leader keeps its term.
+func (c *cluster) checkReturn(old *node) {
 	c.t.Helper()
-	leader := c.leader(c.others(old)...)
+	leader := c.waitForLeader(c.others(old)...)
 	term := leader.replica.Status().Term
 	c.network.heal()
-	c.agree("one two", c.nodes...)
-	c.until("the old leader follows", func() bool { return old.replica.Status().Leader == leader.name })
+	c.waitForState("one two", c.nodes...)
+	c.waitUntil("the old leader to follow the new one", func() bool { return old.replica.Status().Leader == leader.name })
 	if s := leader.replica.Status(); s.Term != term || s.Role != "leader" {
-		c.t.Errorf("the return of a replica moved term %d to %d, role %s", term, s.Term, s.Role)
+		c.t.Errorf("the return of a replica changed term %d to %d, role %s", term, s.Term, s.Role)
 	}
 }
 
-// A follower is cut off for many election timeouts and campaigns all the
-// while. Were its term to grow, its return would depose the leader and refuse
-// operators' edits for an election, each time the link fails.
+// A follower is isolated for many election timeouts and campaigns all the time.
+// If its term increased, its return would depose the leader, and operators' edits
+// would be rejected during an election each time the link fails.
 func TestFollowerCutOffDoesNotMoveTheTerm(t *testing.T) {
 	c := newCluster(t, 3, nil)
-	c.write("one")
-	leader := c.leader()
+	c.commit("one")
+	leader := c.waitForLeader()
 	follower := c.others(leader)[0]
 	term := leader.replica.Status().Term
 	c.isolate(follower, true, true)
 	campaigns := 0
-	c.until("many campaigns", func() bool {
+	c.waitUntil("many campaigns", func() bool {
 		if s := follower.replica.Status(); s.Role == "pre-candidate" || s.Role == "candidate" {
 			campaigns++
 		}
 		return campaigns > 100
 	})
-	c.write("two", c.others(follower)...)
+	c.commit("two", c.others(follower)...)
 	c.network.heal()
-	c.agree("one two", c.nodes...)
+	c.waitForState("one two", c.nodes...)
 	if s := leader.replica.Status(); s.Term != term || s.Role != "leader" {
 		t.Errorf("term %d became %d, role %s", term, s.Term, s.Role)
 	}
--- a/internal/control/replica/proposal.go
+++ b/internal/control/replica/proposal.go
@@ -7,31 +7,31 @@
 	"hornbeamwood/internal/control/raft"
 )
 
-// outcome is what became of a proposal.
+// outcome is the result of a proposal.
 type outcome struct {
 	applied Applied
 	err     error
 }
 
-// proposal is a command, or a membership change, on its way into the log.
+// proposal is a pending command or membership change.
 type proposal struct {
 	command []byte
 	change  raft.Change
 	done    chan outcome
-	// taken is set by whoever comes first: the loop that appends it, or the caller that gives up.
-	taken atomic.Bool
+	// claimed is set by the first of the loop, which appends the proposal, and the caller, which withdraws it after a timeout.
+	claimed atomic.Bool
 }
 
-// take returns whether the proposal may be appended, or withdrawn, by the one who asks.
-func (p *proposal) take() bool {
-	return p.taken.CompareAndSwap(false, true)
+// claim claims the proposal for appending or withdrawing and reports whether it was unclaimed.
+func (p *proposal) claim() bool {
+	return p.claimed.CompareAndSwap(false, true)
 }
 
 func (p *proposal) finish(o outcome) {
 	p.done <- o
 }
 
-// pending holds the appended proposals by their index until they are applied.
+// pending holds the appended proposals by index until they are applied.
 type pending struct {
 	mu      sync.Mutex
 	waiting map[uint64]waiter
@@ -54,7 +54,7 @@
 	}
 }
 
-// resolve tells who waits for the entry at index what it gave.
+// resolve completes the proposal at the index of e with the result of applying e.
 func (p *pending) resolve(e raft.Entry, result []byte) {
 	p.mu.Lock()
 	w, ok := p.waiting[e.Index]
@@ -70,8 +70,8 @@
 	w.proposal.finish(outcome{applied: Applied{Index: e.Index, Result: result}})
 }
 
-// abandon tells those who wait for an entry behind committed that the outcome is not known; the others will be resolved.
-func (p *pending) abandon(committed uint64, cause error) {
+// failAfter completes the proposals after the index committed with an unknown outcome; the others will be resolved.
+func (p *pending) failAfter(committed uint64, cause error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for index, w := range p.waiting {
--- a/internal/control/replica/publish.go
+++ b/internal/control/replica/publish.go
@@ -9,15 +9,15 @@
 	"hornbeamwood/internal/control/raft"
 )
 
-// publish makes the core's status visible to other goroutines and logs what changed.
+// publish makes the core's status visible to other goroutines and logs changes.
 func (l *loop) publish() {
 	r := l.replica
 	s := l.core.Status()
-	if l.before.Role == raft.Leader && (s.Role != raft.Leader || s.Term != l.before.Term) {
-		l.lost(s)
+	if l.lastStatus.Role == raft.Leader && (s.Role != raft.Leader || s.Term != l.lastStatus.Term) {
+		l.leadershipLost(s)
 	}
-	l.tell(s)
-	l.before = s
+	l.logChanges(s)
+	l.lastStatus = s
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.formation.Configuration = s.CommittedConfiguration
@@ -28,29 +28,29 @@
 	r.status.Addresses = s.Configuration.Addresses()
 	r.status.Members = s.CommittedConfiguration.Members
 	r.status.Matches = s.Matches
-	r.heard, r.target = s.Leader != raft.None && s.Heard, s.Target
+	r.leaderCommitKnown, r.leaderCommit = s.Leader != raft.None && s.LeaderCommitKnown, s.LeaderCommit
 }
 
-// lost answers those who wait for a leader that is none any more.
-func (l *loop) lost(s raft.Status) {
+// leadershipLost completes the pending proposals and reads after this replica lost leadership.
+func (l *loop) leadershipLost(s raft.Status) {
 	event.LeaderLost.Write(l.replica.config.Logger, log.Fields{"replica": l.replica.config.Name, "term": s.Term})
-	l.replica.pending.abandon(s.Commit, l.leader())
-	for id, q := range l.confirm {
-		delete(l.confirm, id)
-		q.finish(0, errNotLeader(l.leader()))
+	l.replica.pending.failAfter(s.Commit, l.notLeaderError())
+	for id, q := range l.pendingReads {
+		delete(l.pendingReads, id)
+		q.finish(0, errNotLeader(l.notLeaderError()))
 	}
 }
 
-func (l *loop) tell(s raft.Status) {
+func (l *loop) logChanges(s raft.Status) {
 	logger, name := l.replica.config.Logger, l.replica.config.Name
-	if s.Leader != l.before.Leader && s.Leader != raft.None {
+	if s.Leader != l.lastStatus.Leader && s.Leader != raft.None {
 		if s.Role == raft.Leader {
 			event.LeaderElected.Write(logger, log.Fields{"replica": name, "term": s.Term})
 		} else {
 			event.LeaderFollowed.Write(logger, log.Fields{"replica": name, "term": s.Term, "leader": l.nameOf(s), "address": s.LeaderAddress})
 		}
 	}
-	if !slices.Equal(s.CommittedConfiguration.Members, l.before.CommittedConfiguration.Members) {
+	if !slices.Equal(s.CommittedConfiguration.Members, l.lastStatus.CommittedConfiguration.Members) {
 		event.MembersChanged.Write(logger, log.Fields{"replica": name, "members": len(s.CommittedConfiguration.Members), "voters": s.CommittedConfiguration.Voters()})
 	}
 }
--- a/internal/control/replica/replica.go
+++ b/internal/control/replica/replica.go
@@ -18,29 +18,29 @@
 
 // Replica is one running replica of the control log.
 type Replica interface {
-	// Propose returns the outcome of a command once it is committed and applied, at the leader only.
+	// Propose commits and applies a command and returns its result. Only the leader accepts it.
 	Propose(ctx context.Context, command []byte) (Applied, error)
-	// ReadIndex returns an index that covers everything accepted before the call began, confirmed by a quorum, at the leader only.
+	// ReadIndex returns an index, confirmed by a quorum, that covers everything accepted before the call began. Only the leader accepts it.
 	ReadIndex(ctx context.Context) (uint64, error)
-	// WaitApplied returns once the entry at index is applied here.
+	// WaitApplied returns once the entry at index is applied on this replica.
 	WaitApplied(ctx context.Context, index uint64) error
-	// Receive takes a message from another replica; it never blocks and may drop it.
+	// Receive processes a message from another replica; it never blocks and may drop the message.
 	Receive(m raft.Message)
-	// Formation returns what a probe is answered with.
+	// Formation returns the answer to a probe.
 	Formation() Formation
-	// Status returns where the replica stands.
+	// Status returns the replica's current state.
 	Status() Status
-	// AddLearner admits a member without a vote, at the leader.
+	// AddLearner adds a learner, at the leader.
 	AddLearner(ctx context.Context, m raft.Member) error
 	// Promote makes a learner that has caught up a voter, at the leader.
 	Promote(ctx context.Context, id raft.Identity) error
-	// Remove drops a member, at the leader.
+	// Remove removes a member, at the leader.
 	Remove(ctx context.Context, id raft.Identity) error
-	// Stop hands leadership over, syncs and closes the data folder.
+	// Stop transfers leadership, stops the replica and closes the data folder.
 	Stop(ctx context.Context) error
-	// Done is closed when the replica has ended, by itself or by Stop.
+	// Done is closed when the replica has stopped or failed.
 	Done() <-chan struct{}
-	// Err returns why the replica ended by itself, nil otherwise.
+	// Err returns the error with which the replica failed, nil otherwise.
 	Err() error
 }
 
@@ -50,32 +50,33 @@
 	self   raft.Member
 	random *rand.Rand
 
-	inbox     chan raft.Message
-	proposals chan *proposal
-	reads     chan *read
-	founded   chan disk.Founding
-	stopping  chan context.Context
-	wake      chan struct{}
-	saved     *queue[raft.SnapshotMeta]
-	pending   *pending
-	applied   *progress
-	applier   *applier
-
-	// gate keeps proposals out of the queue once it is drained for the last time.
-	gate   sync.RWMutex
-	closed bool
-
-	done chan struct{}
-	once sync.Once
-	halt chan struct{}
-	// mu guards what follows.
+	inbox          chan raft.Message
+	proposals      chan *proposal
+	reads          chan *pendingRead
+	founded        chan disk.Founding
+	stopping       chan context.Context
+	wake           chan struct{}
+	savedSnapshots *queue[raft.SnapshotMeta]
+	pending        *pending
+	applied        *appliedIndex
+	applier        *applier
+
+	// closeMu guards closed, which rejects calls once their queues are drained for the last time.
+	closeMu sync.RWMutex
+	closed  bool
+
+	done     chan struct{}
+	failOnce sync.Once
+	// failed is closed when the replica fails.
+	failed chan struct{}
+	// mu guards the fields below.
 	mu        sync.Mutex
 	err       error
 	formation Formation
 	status    Status
-	// heard says that a leader is known, target what it had committed when last heard.
-	heard  bool
-	target uint64
+	// leaderCommitKnown is set while a leader and its commit index are known, leaderCommit is the last known one.
+	leaderCommitKnown bool
+	leaderCommit      uint64
 }
 
 // New opens the data folder, restores the machine and starts the replica.
@@ -100,30 +101,30 @@
 		_ = store.Close()
 		return nil, err
 	}
-	r.announce()
+	r.logStart()
 	r.start()
 	return r, nil
 }
 
 func newReplica(c Config, store disk.Store) *replica {
 	return &replica{
-		config:    c,
-		store:     store,
-		self:      raft.Member{Name: c.Name, Identity: store.Identity(), Address: c.Address},
-		random:    newRandom(c.Seed),
-		inbox:     make(chan raft.Message, queueLength),
-		proposals: make(chan *proposal, queueLength),
-		reads:     make(chan *read, queueLength),
-		founded:   make(chan disk.Founding, 1),
-		stopping:  make(chan context.Context, 1),
-		wake:      make(chan struct{}, 1),
-		saved:     newQueue[raft.SnapshotMeta](),
-		pending:   newPending(),
-		applied:   newProgress(store.State().Snapshot.Index),
-		done:      make(chan struct{}),
-		halt:      make(chan struct{}),
-		formation: Formation{Group: c.Group, Name: c.Name, Identity: store.Identity(), Address: c.Address},
-		status:    Status{Group: c.Group, Name: c.Name, Identity: store.Identity(), Address: c.Address, Role: RoleUnformed},
+		config:         c,
+		store:          store,
+		self:           raft.Member{Name: c.Name, Identity: store.Identity(), Address: c.Address},
+		random:         newRandom(c.Seed),
+		inbox:          make(chan raft.Message, queueLength),
+		proposals:      make(chan *proposal, queueLength),
+		reads:          make(chan *pendingRead, queueLength),
+		founded:        make(chan disk.Founding, 1),
+		stopping:       make(chan context.Context, 1),
+		wake:           make(chan struct{}, 1),
+		savedSnapshots: newQueue[raft.SnapshotMeta](),
+		pending:        newPending(),
+		applied:        newAppliedIndex(store.State().Snapshot.Index),
+		done:           make(chan struct{}),
+		failed:         make(chan struct{}),
+		formation:      Formation{Group: c.Group, Name: c.Name, Identity: store.Identity(), Address: c.Address},
+		status:         Status{Group: c.Group, Name: c.Name, Identity: store.Identity(), Address: c.Address, Role: RoleUnformed},
 	}
 }
 
@@ -148,7 +149,7 @@
 	return nil
 }
 
-func (r *replica) announce() {
+func (r *replica) logStart() {
 	state := r.store.State()
 	_, formed := r.store.Founding()
 	event.ReplicaStarted.Write(r.config.Logger, log.Fields{
@@ -160,47 +161,47 @@
 	}
 }
 
-// start runs the applier, the formation when none is on disk, and the loop.
+// start starts the applier, the loop and, when no founding is on disk, the bootstrapper.
 func (r *replica) start() {
 	r.applier = newApplier(r)
 	if f, ok := r.store.Founding(); ok {
 		r.founded <- f
 	} else {
-		newFormer(r)
+		startBootstrapper(r)
 	}
 	go func() {
 		ticker := time.NewTicker(r.config.Tick)
 		defer ticker.Stop()
-		l := &loop{replica: r, ticks: ticker.C, addresses: map[raft.Identity]string{}, confirm: map[uint64]*read{}}
+		l := &loop{replica: r, ticks: ticker.C, addresses: map[raft.Identity]string{}, pendingReads: map[uint64]*pendingRead{}}
 		l.run()
-		r.end()
+		r.shutDown()
 	}()
 }
 
-// fail makes the replica end by itself.
+// fail stops the replica with an error.
 func (r *replica) fail(err error) {
-	r.once.Do(func() {
+	r.failOnce.Do(func() {
 		r.mu.Lock()
 		r.err = err
 		r.mu.Unlock()
 		event.ReplicaFailed.Write(r.config.Logger, log.Fields{"replica": r.config.Name, "error": err.Error()})
-		close(r.halt)
+		close(r.failed)
 	})
 }
 
-// end answers everybody who waits and closes the folder.
-func (r *replica) end() {
-	r.gate.Lock()
+// shutDown completes all pending calls and closes the data folder.
+func (r *replica) shutDown() {
+	r.closeMu.Lock()
 	r.closed = true
-	r.gate.Unlock()
+	r.closeMu.Unlock()
 	r.applier.jobs.close()
 	<-r.applier.ended
 	err := r.Err()
-	r.pending.abandon(0, err)
+	r.pending.failAfter(0, err)
 	for {
 		select {
 		case p := <-r.proposals:
-			if p.take() {
+			if p.claim() {
 				p.finish(outcome{err: errStopped(err)})
 			}
 		case q := <-r.reads:
@@ -214,7 +215,7 @@
 	}
 }
 
-// wakeUp makes the loop look at what other goroutines left for it.
+// wakeUp makes the loop process the saved snapshots.
 func (r *replica) wakeUp() {
 	select {
 	case r.wake <- struct{}{}:
@@ -244,9 +245,9 @@
 // Status implements Replica.
 func (r *replica) Status() Status {
 	r.mu.Lock()
-	s, heard, target := r.status, r.heard, r.target
+	s, known, commit := r.status, r.leaderCommitKnown, r.leaderCommit
 	r.mu.Unlock()
 	s.Applied, _ = r.applied.get()
-	s.CaughtUp = heard && s.Applied >= target
+	s.CaughtUp = known && s.Applied >= commit
 	return s
 }
--- a/internal/control/replica/status.go
+++ b/internal/control/replica/status.go
@@ -2,11 +2,11 @@
 
 import "hornbeamwood/internal/control/raft"
 
-// Status is where a replica stands, for operators and health checks.
+// Status is the current state of a replica, for operators and health checks.
 type Status struct {
 	// Group is the log's number.
 	Group uint32 `cbor:"group" json:"group"`
-	// Name, Identity and Address are the replica's own.
+	// Name, Identity and Address are those of the replica.
 	Name     string        `cbor:"name" json:"name"`
 	Identity raft.Identity `cbor:"identity" json:"identity"`
 	Address  string        `cbor:"address" json:"address"`
@@ -22,21 +22,21 @@
 	Applied  uint64 `cbor:"applied" json:"applied"`
 	Last     uint64 `cbor:"last" json:"last"`
 	Snapshot uint64 `cbor:"snapshot" json:"snapshot"`
-	// Addresses are where the members of the latest configuration are reached, committed
-	// or not: known as soon as the log is read, before any leader is heard.
+	// Addresses are the addresses of the members of the latest configuration, committed
+	// or not. They are known as soon as the log is read, before any contact with a leader.
 	Addresses []string `cbor:"addresses" json:"addresses"`
 	// Members are the voters and learners of the latest committed configuration.
 	Members []raft.Member `cbor:"members" json:"members"`
-	// Matches is, at the leader, the last entry on each member's disk.
+	// Matches is the last entry known to be on each member's disk; only the leader sets it.
 	Matches map[raft.Identity]uint64 `cbor:"matches" json:"matches"`
-	// CaughtUp says that a leader is known and that all it had committed when last heard is applied here.
+	// CaughtUp is set when a leader is known and everything up to its last received commit index is applied.
 	CaughtUp bool `cbor:"caught-up" json:"caught-up"`
 }
 
-// Names of the roles of a replica that belongs to no group.
+// Roles of a replica that belongs to no group.
 const (
-	// RoleUnformed means that the group is not founded yet, or that it is not known whether it is.
+	// RoleUnformed means that the group is not founded yet, or that this is unknown.
 	RoleUnformed = "unformed"
-	// RoleBlank means that the group exists without this replica's identity: an operator must admit it.
+	// RoleBlank means that this replica's identity is not a member of the existing group: an operator must admit it.
 	RoleBlank = "blank"
 )
--- a/internal/control/replica/transport.go
+++ b/internal/control/replica/transport.go
@@ -6,10 +6,10 @@
 	"hornbeamwood/internal/control/raft"
 )
 
-// Transport carries messages to other replicas.
+// Transport sends messages to other replicas.
 type Transport interface {
-	// Send sends m to address; it never blocks and may drop.
+	// Send sends m to address; it never blocks and may drop the message.
 	Send(address string, m raft.Message)
-	// Probe asks the replica at address what it is.
+	// Probe returns the formation of the replica at address.
 	Probe(ctx context.Context, address string) (Formation, error)
 }
