--- a/internal/control/members/change.go
+++ b/internal/control/members/change.go
@@ -7,29 +7,29 @@
 	"hornbeamwood/internal/control/raft"
 )
 
-// Next returns the next change of the members and false when there is none.
+// Next returns the next membership change, or false if there is none.
 //
-// candidates are the replicas that answered under the names and addresses of
-// the node file, with the identity that each showed.
+// candidates are the replicas that answered a probe under the names and
+// addresses of the node file, with their identities.
 func Next(current, candidates []raft.Member, admitted []string) (protocol.Change, bool) {
 	for _, c := range candidates {
 		if !slices.Contains(admitted, string(c.Identity)) {
 			continue
 		}
-		if x, ok := step(current, c); ok {
-			return x, true
+		if change, ok := nextStep(current, c); ok {
+			return change, true
 		}
 	}
 	return protocol.Change{}, false
 }
 
-// step returns what is next on the way of an admitted replica to its vote.
-func step(current []raft.Member, c raft.Member) (protocol.Change, bool) {
-	at := slices.IndexFunc(current, func(m raft.Member) bool { return m.Identity == c.Identity })
-	if at < 0 {
+// nextStep returns the next change that lets the admitted replica c replace the member of its name.
+func nextStep(current []raft.Member, c raft.Member) (protocol.Change, bool) {
+	i := slices.IndexFunc(current, func(m raft.Member) bool { return m.Identity == c.Identity })
+	if i < 0 {
 		return protocol.Change{Kind: protocol.AddLearner, Member: c}, true
 	}
-	if !current[at].Voter {
+	if !current[i].Voter {
 		return protocol.Change{Kind: protocol.Promote, Member: c}, true
 	}
 	for _, m := range current {
--- a/internal/control/members/change_test.go
+++ b/internal/control/members/change_test.go
@@ -11,15 +11,15 @@
 	return raft.Member{Name: name, Identity: raft.Identity(identity), Address: name + ":1", Voter: voter}
 }
 
-// A VM lost its disk and was replaced under its old address. Until an operator
-// admits the new identity nothing changes; then the members go to the wanted
-// ones one change at a time, and the vote comes before the old member goes, so
-// that no moment has fewer copies than before.
+// A VM lost its disk and was replaced at its old address. Until an operator
+// admits the new identity nothing changes. Then the members change one step at a
+// time. The new replica becomes a voter before the old member is removed, so that
+// there are never fewer copies than before.
 func TestReplacedReplicaIsAdmittedStepByStep(t *testing.T) {
 	current := []raft.Member{member("a", "a1", true), member("b", "b1", true), member("c", "c1", true)}
 	candidates := []raft.Member{member("a", "a1", false), member("b", "b1", false), member("c", "c2", false)}
 	if c, ok := Next(current, candidates, nil); ok {
-		t.Fatalf("nobody admitted anything and %+v was to be done", c)
+		t.Fatalf("no identity is admitted, but the next change is %+v", c)
 	}
 	want := []protocol.ChangeKind{protocol.AddLearner, protocol.Promote, protocol.Remove}
 	for i, k := range want {
@@ -40,6 +40,6 @@
 		}
 	}
 	if c, ok := Next(current, candidates, []string{"c2"}); ok {
-		t.Fatalf("the wanted members are there and %+v was to be done", c)
+		t.Fatalf("the replacement is complete, but the next change is %+v", c)
 	}
 }
--- a/internal/control/members/doc.go
+++ b/internal/control/members/doc.go
@@ -1,8 +1,8 @@
-// Package members replaces control replicas that lost their disk by those that
-// operators admit in the settings tree.
+// Package members replaces control replicas that lost their disk with replicas
+// that operators admit in the settings tree.
 //
-// A replica whose disk was replaced comes back under its old name and address
-// with a new identity. It has no vote until an operator has named the identity
-// in admitted-replicas; the leader then adds it as a learner, gives it a vote
-// when it has caught up, and removes the member that had its name.
+// A replica whose disk was replaced restarts under its old name and address with
+// a new identity. It has no vote until an operator lists the identity in
+// admitted-replicas. The leader then adds it as a learner, promotes it to a voter
+// once it has caught up, and removes the old member of the same name.
 package members
--- a/internal/control/members/keeper.go
+++ b/internal/control/members/keeper.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// interval is the time between two looks.
-	interval = time.Second
-	// probeTimeout bounds one question to a replica.
+	// checkInterval is the time between two checks of the members, and bounds a change.
+	checkInterval = time.Second
+	// probeTimeout bounds one probe of a replica.
 	probeTimeout = 500 * time.Millisecond
 )
 
 // Replica is this process's replica.
 type Replica interface {
-	// Status returns where the replica stands.
+	// Status returns the replica's current state.
 	Status() replica.Status
 	// AddLearner, Promote and Remove change the members, at the leader.
 	AddLearner(ctx context.Context, m raft.Member) error
@@ -29,31 +29,31 @@
 	Remove(ctx context.Context, id raft.Identity) error
 }
 
-// Prober asks a replica what it is.
+// Prober probes replicas.
 type Prober interface {
-	// Probe returns the answer of the replica at address.
+	// Probe returns the formation of the replica at address.
 	Probe(ctx context.Context, address string) (replica.Formation, error)
 }
 
-// Config is what a Keeper needs.
+// Config configures a Keeper.
 type Config struct {
 	// Replica is this process's replica.
 	Replica Replica
-	// Prober asks the others.
+	// Prober probes the other replicas.
 	Prober Prober
-	// Seeds are the names and addresses of the node file.
+	// Seeds are the names and addresses in the node file.
 	Seeds []replica.Seed
 	// Admitted returns the identities that operators admit.
 	Admitted func() []string
-	// Logger takes the events.
+	// Logger receives the events.
 	Logger log.Interface
 }
 
-// Keeper makes the members of the control log those that operators admit.
+// Keeper reconciles the members of the control log with the identities that operators admit.
 type Keeper interface {
-	// Run looks until ctx ends.
+	// Run checks the members periodically until ctx is done.
 	Run(ctx context.Context)
-	// Look makes the next change, if there is one.
+	// Look makes the next membership change, if there is one.
 	Look(ctx context.Context)
 }
 
@@ -61,20 +61,20 @@
 	Config
 }
 
-// NewKeeper returns a Keeper; it changes nothing while its replica does not lead.
+// NewKeeper returns a Keeper; it changes nothing while its replica is not the leader.
 func NewKeeper(c Config) Keeper {
 	return &keeper{Config: c}
 }
 
 // Run implements Keeper.
 func (k *keeper) Run(ctx context.Context) {
-	t := time.NewTicker(interval)
-	defer t.Stop()
+	ticker := time.NewTicker(checkInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 			k.Look(ctx)
 		}
 	}
@@ -91,17 +91,17 @@
 	if !ok {
 		return
 	}
-	err := k.carryOut(ctx, c)
-	f := log.Fields{"change": string(c.Kind), "replica": c.Member.Name, "identity": string(c.Member.Identity)}
+	err := k.apply(ctx, c)
+	fields := log.Fields{"change": string(c.Kind), "replica": c.Member.Name, "identity": string(c.Member.Identity)}
 	if err != nil {
-		f["error"] = err.Error()
-		event.MemberChangeRefused.Write(k.Logger, f)
+		fields["error"] = err.Error()
+		event.MemberChangeRefused.Write(k.Logger, fields)
 		return
 	}
-	event.MemberChanged.Write(k.Logger, f)
+	event.MemberChanged.Write(k.Logger, fields)
 }
 
-// candidates returns what the replicas at the seeds' addresses are now.
+// candidates probes the seeds and returns those that answer under their name, with their current identities.
 func (k *keeper) candidates(ctx context.Context) []raft.Member {
 	var all []raft.Member
 	for _, s := range k.Seeds {
@@ -116,8 +116,8 @@
 	return all
 }
 
-func (k *keeper) carryOut(ctx context.Context, c protocol.Change) error {
-	ctx, cancel := context.WithTimeout(ctx, interval)
+func (k *keeper) apply(ctx context.Context, c protocol.Change) error {
+	ctx, cancel := context.WithTimeout(ctx, checkInterval)
 	defer cancel()
 	switch c.Kind {
 	case protocol.AddLearner:
