--- a/internal/control/protocol/doc.go
+++ b/internal/control/protocol/doc.go
@@ -1,3 +1,3 @@
-// Package protocol names the calls that processes make to replicas of the
-// control log, with their messages.
+// Package protocol defines the RPCs of the replicas of the control log and their
+// messages.
 package protocol
--- a/internal/control/protocol/lease.go
+++ b/internal/control/protocol/lease.go
@@ -8,50 +8,50 @@
 	"hornbeamwood/internal/settings/lease"
 )
 
-// Report is what an entry says of itself when it renews its settings lease.
+// Report is the report with which an entry renews its settings lease.
 type Report struct {
 	// Holder is the entry.
 	Holder lease.Holder `cbor:"holder"`
-	// Applied is the settings revision under which it takes new work.
+	// Applied is the settings revision under which the entry accepts new work.
 	Applied uint64 `cbor:"applied"`
-	// Lease is how long it goes on under that revision without another proof.
+	// Lease is how long the entry keeps accepting work under that revision without another confirmation of it.
 	Lease time.Duration `cbor:"lease"`
-	// Released is set by an entry that takes no new work any more.
+	// Released is set by an entry that no longer accepts new work.
 	Released bool `cbor:"released"`
 }
 
-// Renewal returns the report as the account of leases takes it.
+// Renewal converts r to a renewal of the settings lease.
 func (r Report) Renewal() lease.Renewal {
 	return lease.Renewal{Holder: r.Holder, Applied: r.Applied, Lease: r.Lease, Released: r.Released}
 }
 
-// InForceQuery asks whether a revision is in force everywhere.
+// InForceQuery asks whether a revision is in force on all entries.
 type InForceQuery struct {
 	// Revision is the settings revision.
 	Revision uint64 `cbor:"revision"`
 }
 
-// InForce answers at the leader; other replicas pass it on.
+// InForce returns whether a revision is in force; replicas that are not the leader forward the call to it.
 var InForce = rpc.Method[InForceQuery, lease.Force]{
 	Name:  "control-in-force",
 	Roles: []keys.Role{keys.Entry, keys.Control},
 }
 
-// HolderRevision is one entry that holds a settings lease, with the revision that it has applied.
+// HolderRevision is an entry that holds a settings lease, with the revision that it has applied.
 type HolderRevision struct {
 	// Holder is the entry.
 	Holder lease.Holder `cbor:"holder"`
-	// Revision is what it has applied.
+	// Revision is the settings revision that the entry has applied.
 	Revision uint64 `cbor:"revision"`
 }
 
-// HolderList answers Holders.
+// HolderList is the response of Holders.
 type HolderList struct {
-	// Holders are the entries whose lease has not run out, as the leader knows them.
+	// Holders are the entries whose lease has not expired, as known to the leader.
 	Holders []HolderRevision `cbor:"holders"`
 }
 
-// Holders asks the leader which entries hold a settings lease; other replicas pass it on.
+// Holders returns the entries that hold a settings lease; replicas that are not the leader forward the call to it.
 var Holders = rpc.Method[Empty, HolderList]{
 	Name:  "control-holders",
 	Roles: []keys.Role{keys.Entry, keys.Control},
--- a/internal/control/protocol/propose.go
+++ b/internal/control/protocol/propose.go
@@ -5,19 +5,19 @@
 	"hornbeamwood/internal/node/rpc"
 )
 
-// Proposal asks for a section's command to be committed and applied.
+// Proposal is a request to commit and apply a section's command.
 type Proposal struct {
 	// Section names the section of the replicated state.
 	Section string `cbor:"section"`
 	// Body is the section's command.
 	Body []byte `cbor:"body"`
-	// Forwarded is set by a replica that passes the proposal on to its leader; it is passed on once.
+	// Forwarded is set by a replica that forwards the proposal to its leader; a proposal is forwarded only once.
 	Forwarded bool `cbor:"forwarded"`
 }
 
-// Applied is what a committed command returned.
+// Applied is the result of a committed command.
 type Applied struct {
-	// Index is the command's place in the log.
+	// Index is the command's log index.
 	Index uint64 `cbor:"index"`
 	// Result is the section's result.
 	Result []byte `cbor:"result"`
--- a/internal/control/protocol/read.go
+++ b/internal/control/protocol/read.go
@@ -8,9 +8,9 @@
 	"hornbeamwood/internal/node/rpc"
 )
 
-// Reading asks sections at one moment that is no older than the call.
+// Reading is a request for a linearizable read: all queries are answered from a state no older than the call.
 type Reading struct {
-	// Queries are answered in their order.
+	// Queries are answered in this order.
 	Queries []state.Query `cbor:"queries"`
 	// Report is set by an entry that renews its settings lease.
 	Report *Report `cbor:"report"`
@@ -18,13 +18,13 @@
 
 // Answers are the answers to a Reading.
 type Answers struct {
-	// Index is the log index that a quorum confirmed after the call began; all answers show it.
+	// Index is the log index that a quorum confirmed after the call began; all answers reflect it.
 	Index uint64 `cbor:"index"`
 	// Bodies are the answers in the order of the queries.
 	Bodies [][]byte `cbor:"bodies"`
 }
 
-// ReadIdle is how long nothing of an answer to Read may come; a frozen replica costs its caller no more than this.
+// ReadIdle is the idle timeout of a Read: it bounds how long a suspended replica delays its caller.
 const ReadIdle = 700 * time.Millisecond
 
 // Read answers queries through any replica.
@@ -34,9 +34,9 @@
 	Idle:  ReadIdle,
 }
 
-// Confirmation asks the leader for an index that a quorum confirms.
+// Confirmation requests a log index confirmed by a quorum from the leader.
 type Confirmation struct {
-	// Report is passed on from a Reading.
+	// Report is forwarded from a Reading.
 	Report *Report `cbor:"report"`
 }
 
@@ -46,7 +46,7 @@
 	Index uint64 `cbor:"index"`
 }
 
-// Confirm is how a replica that does not lead asks its leader.
+// Confirm returns a confirmed log index; other replicas call it at the leader.
 var Confirm = rpc.Method[Confirmation, Confirmed]{
 	Name:  "control-confirm",
 	Roles: []keys.Role{keys.Control},
--- a/internal/control/protocol/replicas.go
+++ b/internal/control/protocol/replicas.go
@@ -7,44 +7,44 @@
 	"hornbeamwood/internal/node/rpc"
 )
 
-// Empty is a request or answer that says nothing.
+// Empty is an empty request or response.
 type Empty struct{}
 
-// Message carries one message from replica to replica.
+// Message carries a Raft message from one replica to another.
 var Message = rpc.Notice[raft.Message]{
 	Name:  "control-message",
 	Roles: []keys.Role{keys.Control},
 }
 
-// Probe asks a replica what it is.
+// Probe returns a replica's formation.
 var Probe = rpc.Method[Empty, replica.Formation]{
 	Name:  "control-probe",
 	Roles: []keys.Role{keys.Control},
 }
 
-// Status asks a replica where it stands.
+// Status returns a replica's current state.
 var Status = rpc.Method[Empty, replica.Status]{
 	Name:  "control-status",
 	Roles: []keys.Role{keys.Entry, keys.Control, keys.Operator},
 }
 
-// ChangeKind says how a Change alters the members of the control log.
+// ChangeKind is the kind of a Change.
 type ChangeKind string
 
 const (
-	// AddLearner admits a replica without a vote.
+	// AddLearner adds a replica as a learner.
 	AddLearner ChangeKind = "add-learner"
-	// Promote gives a vote to a learner that has caught up.
+	// Promote makes a learner that has caught up a voter.
 	Promote ChangeKind = "promote"
-	// Remove drops a member.
+	// Remove removes a member.
 	Remove ChangeKind = "remove"
 )
 
-// Change asks for one change of the members; only the leader takes it.
+// Change is a request for a single membership change; only the leader accepts it.
 type Change struct {
-	// Kind says what changes.
+	// Kind is the kind of the change.
 	Kind ChangeKind `cbor:"kind"`
-	// Member is the replica; Promote and Remove read its identity only.
+	// Member is the replica; Promote and Remove use only its identity.
 	Member raft.Member `cbor:"member"`
 }
 
--- a/internal/control/state/doc.go
+++ b/internal/control/state/doc.go
@@ -1,3 +1,3 @@
-// Package state is the replicated state machine: sections side by side, each
-// with its own commands, queries and snapshot.
+// Package state implements the replicated state machine. It consists of
+// independent sections, each with its own commands, queries and snapshot.
 package state
--- a/internal/control/state/machine.go
+++ b/internal/control/state/machine.go
@@ -10,9 +10,9 @@
 
 // Machine applies committed commands to its sections.
 type Machine interface {
-	// Apply carries out the command at the given log index and returns its result, nil when no section takes it.
+	// Apply applies the command at the given log index and returns its result, nil if it is malformed or has no section.
 	Apply(index uint64, command []byte) []byte
-	// Query answers a section's query from the state as it is.
+	// Query answers a section's query from the current state.
 	Query(q Query) ([]byte, error)
 	// Snapshot returns the state of all sections after the last applied command.
 	Snapshot() ([]byte, error)
@@ -26,7 +26,7 @@
 	sections map[string]Section
 }
 
-// New returns a Machine with the given sections; two of one name are an error.
+// New returns a Machine with the given sections, or an error if two sections have the same name.
 func New(sections ...Section) (Machine, error) {
 	m := &machine{sections: make(map[string]Section, len(sections))}
 	for _, s := range sections {
@@ -40,8 +40,8 @@
 
 // Apply implements Machine.
 //
-// A leader whose wall clock is behind its predecessor's would set leases and
-// expiry times back; state time therefore only moves forward.
+// A leader whose wall clock is behind its predecessor's would move leases and
+// expiry times back. The state's time is therefore monotonic.
 func (m *machine) Apply(_ uint64, command []byte) []byte {
 	c, err := codec.Unmarshal[Command](command)
 	if err != nil {
--- a/internal/control/state/query.go
+++ b/internal/control/state/query.go
@@ -1,9 +1,9 @@
 package state
 
-// Query asks one section.
+// Query is a query of one section.
 type Query struct {
 	// Section names the section that answers.
 	Section string `cbor:"section"`
-	// Body is the section's own query.
+	// Body is the query in the section's encoding.
 	Body []byte `cbor:"body"`
 }
--- a/internal/control/state/section.go
+++ b/internal/control/state/section.go
@@ -4,18 +4,18 @@
 
 // Section is one part of the replicated state.
 //
-// Apply must be deterministic: it depends on the section's state, at and
-// command only. Apply and Restore are never called at the same time as each
-// other; Query and Snapshot may run beside them, so a section locks its shards.
+// Apply must be deterministic: its result may depend only on the section's
+// state, at and command. Apply and Restore are never called concurrently. Query
+// and Snapshot may run concurrently with them, so a section must lock its state.
 type Section interface {
-	// Name returns the kebab-case name that commands and queries carry.
+	// Name returns the kebab-case name of the section in commands and queries.
 	Name() string
-	// Apply carries out a committed command and returns its result; at never goes back.
+	// Apply applies a committed command and returns its result; at never decreases.
 	Apply(at time.Time, command []byte) []byte
-	// Query answers from the state as it is.
+	// Query answers a query from the current state.
 	Query(query []byte) ([]byte, error)
-	// Snapshot returns the whole state.
+	// Snapshot returns the encoded state.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state with that of a snapshot.
+	// Restore replaces the state with a snapshot.
 	Restore(snapshot []byte) error
 }
