--- a/internal/control/lease/command.go
+++ b/internal/control/lease/command.go
@@ -5,56 +5,57 @@
 // Name is the section's name in the control log.
 const Name = "leases"
 
-// Limits of what a command may ask.
+// Limits of the fields of a command and of the number of leases.
 const (
 	MaxDuration = time.Hour
-	MaxName     = 128
-	MaxNote     = 16 << 10
-	MaxLeases   = 4096
+	// MaxNameBytes bounds the names of leases and holders.
+	MaxNameBytes = 128
+	MaxNoteBytes = 16 << 10
+	MaxLeases    = 4096
 )
 
-// Command is one change of the leases; exactly one field is set.
+// Command is a command of the section; exactly one field is set.
 type Command struct {
-	// Acquire asks for a lease.
+	// Acquire requests a lease.
 	Acquire *Acquire `cbor:"acquire,omitempty"`
-	// Renew makes a lease last longer.
+	// Renew extends a lease.
 	Renew *Renew `cbor:"renew,omitempty"`
-	// Release gives a lease back.
+	// Release releases a lease.
 	Release *Release `cbor:"release,omitempty"`
 }
 
-// Acquire asks for a lease; asked again by the one who holds it, it renews, so that a lost answer costs nothing.
+// Acquire requests a lease. Resent by the current holder it renews the lease, so that a lost response has no effect.
 type Acquire struct {
-	// Name names the lease.
+	// Name is the name of the lease.
 	Name string `cbor:"name"`
-	// Holder names the process and its start, so that a process that restarts is another holder.
+	// Holder identifies the process and its incarnation, so that a restarted process is another holder.
 	Holder string `cbor:"holder"`
 	// Duration is how long the lease lasts.
 	Duration time.Duration `cbor:"duration"`
 }
 
-// Renew makes a lease last for Duration from now on.
+// Renew extends a lease to last for Duration from now on.
 type Renew struct {
 	// Name and Holder are those of the Acquire.
 	Name   string `cbor:"name"`
 	Holder string `cbor:"holder"`
-	// Fencing is the number that the Acquire returned.
+	// Fencing is the fencing number that the Acquire returned.
 	Fencing uint64 `cbor:"fencing"`
 	// Duration is how long the lease lasts.
 	Duration time.Duration `cbor:"duration"`
-	// Note replaces the lease's note when NoteVersion is above the one that is there; the next holder gets it.
+	// Note replaces the lease's note if NoteVersion is greater than the current one; the next holder receives it.
 	//
-	// A renewal that is overtaken by a later one would otherwise put an old
-	// note back, and the next holder would not know of the last orders.
+	// Without the version, a renewal that arrives after a later one would restore
+	// an old note, and the next holder would not know of the last orders.
 	Note        []byte `cbor:"note,omitempty"`
 	NoteVersion uint64 `cbor:"note-version,omitempty"`
 }
 
-// Release gives a lease back; the next holder has no time to wait out.
+// Release releases a lease, so that the next holder does not have to wait.
 type Release struct {
 	// Name and Holder are those of the Acquire.
 	Name   string `cbor:"name"`
 	Holder string `cbor:"holder"`
-	// Fencing is the number that the Acquire returned.
+	// Fencing is the fencing number that the Acquire returned.
 	Fencing uint64 `cbor:"fencing"`
 }
--- a/internal/control/lease/result.go
+++ b/internal/control/lease/result.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// Reason says why a command was refused.
+// Reason is the reason why a command was rejected.
 type Reason string
 
 const (
-	// Held means that another holder's lease has not run out.
+	// Held means that another holder's lease has not expired.
 	Held Reason = "held"
-	// Lost means that the lease has run out, was released or went to another holder.
+	// Lost means that the lease has expired, was released or belongs to another holder.
 	Lost Reason = "lost"
 	// Malformed means that a field is missing or out of bounds.
 	Malformed Reason = "malformed"
-	// TooMany means that no further lease fits.
+	// TooMany means that the maximum number of leases is reached.
 	TooMany Reason = "too-many"
 )
 
-// Result is what a Command returns.
+// Result is the result of a Command.
 type Result struct {
-	// Granted says that the asker holds the lease, or has released it.
+	// Granted is set when the caller holds the lease, or has released it.
 	Granted bool `cbor:"granted"`
-	// Reason is set when it does not.
+	// Reason is set when Granted is false.
 	Reason Reason `cbor:"reason,omitempty"`
-	// Holder is who holds the lease now.
+	// Holder is the current holder.
 	Holder string `cbor:"holder,omitempty"`
-	// Fencing is the number of the one who holds the lease.
+	// Fencing is the fencing number of the current holder.
 	Fencing uint64 `cbor:"fencing"`
-	// Expires is the time of the control log at which the lease runs out, in nanoseconds since 1970.
+	// Expires is the time by the control log's clock at which the lease expires, in nanoseconds since 1970.
 	Expires int64 `cbor:"expires"`
-	// Wait is how long the earlier holder may still believe in its lease, counted by the new holder from when it got this.
+	// Wait is how long the previous holder may still consider its lease valid, measured by the new holder from the receipt of the result.
 	//
-	// A leader with a clock that is ahead ends a lease early in the log while
-	// its holder still counts. Who waits this long by its own clock gives no
-	// order while the earlier holder gives one.
+	// A leader whose clock is ahead lets a lease expire early in the log, while
+	// its holder still considers it valid. A new holder that waits this long by
+	// its own clock gives no orders at the same time as the previous one.
 	Wait time.Duration `cbor:"wait,omitempty"`
-	// Note is what the earlier holder left.
+	// Note is the previous holder's note.
 	Note []byte `cbor:"note,omitempty"`
 }
 
-// Query asks for the lease of a name.
+// Query requests the lease of a name.
 type Query struct {
-	// Name names the lease.
+	// Name is the name of the lease.
 	Name string `cbor:"name"`
 }
 
-// Answer answers a Query.
+// Answer is the answer to a Query.
 type Answer struct {
-	// Known says that the lease was granted before.
+	// Known is set when the lease was granted before.
 	Known bool `cbor:"known"`
 	// Lease is the lease.
 	Lease Lease `cbor:"lease"`
@@ -54,23 +54,23 @@
 
 // Lease is one named lease.
 type Lease struct {
-	// Name names the lease.
+	// Name is the name of the lease.
 	Name string `cbor:"name"`
-	// Holder holds it or held it last.
+	// Holder is the current or last holder.
 	Holder string `cbor:"holder"`
-	// Fencing is the holder's number.
+	// Fencing is the holder's fencing number.
 	Fencing uint64 `cbor:"fencing"`
-	// Duration is how long the last grant lasts.
+	// Duration is the duration of the last grant or renewal.
 	Duration time.Duration `cbor:"duration"`
-	// Expires is the time of the control log at which it runs out, in nanoseconds since 1970.
+	// Expires is the time by the control log's clock at which the lease expires, in nanoseconds since 1970.
 	Expires int64 `cbor:"expires"`
-	// Released says that the holder gave it back.
+	// Released is set when the holder released the lease.
 	Released bool `cbor:"released,omitempty"`
-	// Wait is how long the earlier holder may still believe in its lease.
+	// Wait is how long the previous holder may still consider its lease valid.
 	Wait time.Duration `cbor:"wait,omitempty"`
-	// Note is what the holder leaves for the next one.
+	// Note is the holder's note for the next holder.
 	Note []byte `cbor:"note,omitempty"`
-	// NoteVersion is a larger number with each note of one holder.
+	// NoteVersion increases with each note of one holder.
 	NoteVersion uint64 `cbor:"note-version,omitempty"`
 }
 
@@ -82,7 +82,7 @@
 	return Result{Granted: true, Holder: l.Holder, Fencing: l.Fencing, Expires: l.Expires}
 }
 
-// acquired returns the grant with what a new holder needs, also when its first answer was lost.
+// acquired returns a grant with the wait and note that a new holder needs, also after a resend.
 func (l Lease) acquired() Result {
 	r := l.granted()
 	r.Wait = l.Wait
--- a/internal/control/lease/section.go
+++ b/internal/control/lease/section.go
@@ -14,7 +14,7 @@
 	image image
 }
 
-// image is the snapshot of the section.
+// image is the encoded form of a snapshot of the section.
 type image struct {
 	Fencing uint64           `cbor:"fencing"`
 	Leases  map[string]Lease `cbor:"leases"`
@@ -92,7 +92,7 @@
 }
 
 func (s *section) renew(at time.Time, c Renew) Result {
-	if !durationOK(c.Duration) || len(c.Note) > MaxNote {
+	if !durationOK(c.Duration) || len(c.Note) > MaxNoteBytes {
 		return Result{Reason: Malformed}
 	}
 	l := s.image.Leases[c.Name]
@@ -111,7 +111,7 @@
 	if l.Holder != c.Holder || l.Fencing != c.Fencing || c.Fencing == 0 {
 		return l.refused(Lost)
 	}
-	// A lease that ran out is not released late: whoever asked may have given orders after it.
+	// An expired lease can't be released: its holder may have given orders after the expiry.
 	if !l.Released && !l.live(at) {
 		return l.refused(Lost)
 	}
@@ -121,7 +121,7 @@
 }
 
 func nameOK(s string) bool {
-	return len(s) > 0 && len(s) <= MaxName
+	return len(s) > 0 && len(s) <= MaxNameBytes
 }
 
 func durationOK(d time.Duration) bool {
--- a/internal/control/lease/section_test.go
+++ b/internal/control/lease/section_test.go
@@ -26,14 +26,15 @@
 	return r
 }
 
-// Two processes ask for one lease, answers are lost and the section is rebuilt
-// from a snapshot in between. Were two grants to carry one number, an engine
-// could not tell the order of the one who lost the lease from the other's.
+// Several processes request one lease, responses are lost, and the section is
+// restored from snapshots in between. If two grants had the same fencing number,
+// an engine could not tell orders of the previous holder from those of the
+// current one.
 func TestFencingStrictlyIncreases(t *testing.T) {
 	p := gopter.DefaultTestParametersWithSeed(9)
 	p.MinSuccessfulTests = 300
 	all := gopter.NewProperties(p)
-	all.Property("one holder at a time, larger numbers for each", prop.ForAll(func(seed uint64) bool {
+	all.Property("one holder at a time, increasing fencing numbers", prop.ForAll(func(seed uint64) bool {
 		r := rand.New(rand.NewPCG(seed, 9))
 		s, at := New(), time.Unix(100, 0)
 		last := uint64(0)
@@ -79,7 +80,7 @@
 	return n
 }
 
-func TestLeaseLife(t *testing.T) {
+func TestLeaseLifecycle(t *testing.T) {
 	s, at := New(), time.Unix(100, 0)
 	a := Acquire{Name: "orders", Holder: "a", Duration: 10 * time.Second}
 	first := apply(t, s, at, Command{Acquire: &a})
@@ -87,7 +88,7 @@
 		t.Fatalf("got %+v", first)
 	}
 	if again := apply(t, s, at, Command{Acquire: &a}); again.Fencing != first.Fencing {
-		t.Errorf("the resent acquire got another number: %+v", again)
+		t.Errorf("the resent acquire got another fencing number: %+v", again)
 	}
 	b := Acquire{Name: "orders", Holder: "b", Duration: 10 * time.Second}
 	if r := apply(t, s, at, Command{Acquire: &b}); r.Granted || r.Reason != Held || r.Holder != "a" {
@@ -104,18 +105,18 @@
 	}
 	at = at.Add(10 * time.Second)
 	if r := apply(t, s, at, Command{Renew: &note}); r.Granted || r.Reason != Lost {
-		t.Errorf("a lease that ran out was renewed: %+v", r)
+		t.Errorf("an expired lease was renewed: %+v", r)
 	}
 	second := apply(t, s, at, Command{Acquire: &b})
 	if !second.Granted || second.Fencing <= first.Fencing || second.Wait != 10*time.Second || string(second.Note) != "x" {
 		t.Errorf("got %+v", second)
 	}
 	if again := apply(t, s, at, Command{Acquire: &b}); again.Wait != second.Wait || string(again.Note) != "x" {
-		t.Errorf("the resent acquire does not know what to wait for: %+v", again)
+		t.Errorf("the resent acquire did not return the wait and note: %+v", again)
 	}
 	release := Command{Release: &Release{Name: "orders", Holder: "a", Fencing: first.Fencing}}
 	if r := apply(t, s, at, release); r.Granted {
-		t.Errorf("an old holder released the lease: %+v", r)
+		t.Errorf("a previous holder released the lease: %+v", r)
 	}
 	release = Command{Release: &Release{Name: "orders", Holder: "b", Fencing: second.Fencing}}
 	if r := apply(t, s, at, release); !r.Granted {
@@ -126,8 +127,8 @@
 	}
 }
 
-// A command from a process of another version, or one that was cut, must
-// change nothing and leave every replica in the same state.
+// A command from a process of another version, or a truncated one, must not
+// change the state, so that all replicas stay equal.
 func TestMalformedCommandsChangeNothing(t *testing.T) {
 	s := New()
 	before, _ := s.Snapshot()
