--- a/internal/control/ledger/bench_test.go
+++ b/internal/control/ledger/bench_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// BenchmarkBytesPerRecord reports the heap bytes of a settled record with a body of 200 bytes.
+// BenchmarkBytesPerRecord reports the heap bytes per settled record with a body of 200 bytes.
 func BenchmarkBytesPerRecord(b *testing.B) {
 	for _, n := range []int{1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// BenchmarkApply measures a claim and its outcome with the given number of records in place.
+// BenchmarkApply measures a claim and its outcome in a ledger that holds the given number of records.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// BenchmarkSnapshot measures a snapshot and reports its bytes for each record.
+// BenchmarkSnapshot measures a snapshot and reports its bytes per record.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -92,6 +92,6 @@
 	f.Fuzz(func(t *testing.T, command []byte) {
 		s := New()
 		s.Apply(start, command)
-		reborn(t, s)
+		restored(t, s)
 	})
 }
--- a/internal/control/ledger/command.go
+++ b/internal/control/ledger/command.go
@@ -12,23 +12,23 @@
 	Resolve     *Resolve     `cbor:"resolve,omitempty"`
 }
 
-// Claim asks for the right to dispatch one call.
+// Claim requests the right to dispatch one call.
 type Claim struct {
 	// Scope identifies the call.
 	Scope Scope `cbor:"scope"`
-	// Digest is that of the request.
+	// Digest is the request's digest.
 	Digest Digest `cbor:"digest"`
-	// Entry is the identity of the entry that will dispatch.
+	// Entry is the identity of the entry that will dispatch the call.
 	Entry string `cbor:"entry"`
-	// Incarnation is that of the entry's process.
+	// Incarnation identifies the entry's process.
 	Incarnation uint64 `cbor:"incarnation"`
-	// Attempt is unique for ever.
+	// Attempt is a globally unique ID that is never reused.
 	Attempt string `cbor:"attempt"`
 	// Keep is how long the record is kept after its last change.
 	Keep time.Duration `cbor:"keep"`
 }
 
-// Release takes back a claim; only an entry that can prove that no byte of the call left may send it.
+// Release withdraws a claim. An entry may send it only if it can prove that no byte of the call was sent.
 type Release struct {
 	// Scope identifies the call.
 	Scope Scope `cbor:"scope"`
@@ -36,7 +36,7 @@
 	Attempt string `cbor:"attempt"`
 }
 
-// MarkUnknown says that the connection broke after the call was dispatched, so that nobody can know its outcome.
+// MarkUnknown reports that the connection broke after the call was dispatched, so that its outcome can't be determined.
 type MarkUnknown struct {
 	// Scope identifies the call.
 	Scope Scope `cbor:"scope"`
@@ -44,20 +44,20 @@
 	Attempt string `cbor:"attempt"`
 }
 
-// Abandon makes the claims of a dead entry unknown and refuses its later claims.
+// Abandon makes the claims of a dead entry's process unknown and fences off its later claims.
 type Abandon struct {
 	// Entry is the dead entry's identity.
 	Entry string `cbor:"entry"`
-	// Incarnation is the highest one that is dead.
+	// Incarnation is the highest dead incarnation.
 	Incarnation uint64 `cbor:"incarnation"`
 }
 
-// Resolve is an operator's statement about an unknown call.
+// Resolve records an operator's decision about an unknown call.
 type Resolve struct {
 	// Scope identifies the call.
 	Scope Scope `cbor:"scope"`
-	// Ran is true when the operator found that the call ran.
+	// Ran is true if the operator found that the call ran.
 	Ran bool `cbor:"ran"`
-	// Operator is who says so.
+	// Operator is the operator who made the decision.
 	Operator string `cbor:"operator"`
 }
--- a/internal/control/ledger/differential_test.go
+++ b/internal/control/ledger/differential_test.go
@@ -76,24 +76,24 @@
 	return b
 }
 
-// Claims, outcomes, releases, dead entries and operators' resolutions come in
-// any order, records expire in between and replicas restart from snapshots. A
-// ledger that answers one of these steps otherwise than one plain list would
-// let a call run twice, or keeps a caller from its outcome.
+// Guards against a result that differs from that of a plain list: it would let
+// a call run twice or keep a caller from its outcome. Claims, outcomes, releases,
+// dead entries and operators' resolutions arrive in random order, records expire
+// in between and replicas restart from snapshots.
 func TestLedgerAgreesWithOneList(t *testing.T) {
 	properties := gopter.NewProperties(parameters(60))
-	properties.Property("each result is that of the naive ledger", prop.ForAllNoShrink(func(seed uint64) string {
+	properties.Property("each result equals that of the naive ledger", prop.ForAllNoShrink(func(seed uint64) string {
 		return compare(t, rand.New(rand.NewPCG(seed, 1)), 250)
 	}, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
-// Each of these seeds showed a fault once: an expiry time that a restore
-// changed, and a count that depended on how far the expiry had got.
+// Each of these seeds exposed a bug: an expiry time that a restore changed, and
+// a count that depended on the progress of the incremental expiry.
 func TestSeedsThatShowedFaults(t *testing.T) {
 	for _, seed := range []uint64{413621, 17915708232967003353} {
-		if wrong := compare(t, rand.New(rand.NewPCG(seed, 1)), 250); wrong != "" {
-			t.Errorf("seed %d: %s", seed, wrong)
+		if diff := compare(t, rand.New(rand.NewPCG(seed, 1)), 250); diff != "" {
+			t.Errorf("seed %d: %s", seed, diff)
 		}
 	}
 }
@@ -115,27 +115,28 @@
 			want = n.result(q.Digest, q.Attempt)
 		}
 		if got := mustLookup(t, section, q); !bytes.Equal(got, mustMarshal(t, want)) {
-			return fmt.Sprintf("step %d: lookup found %x", i, got)
+			return fmt.Sprintf("step %d: lookup returned %x", i, got)
 		}
 		if r.IntN(20) == 0 {
-			section = reborn(t, section)
+			section = restored(t, section)
 		}
 	}
 	return ""
 }
 
-func reborn(t *testing.T, s state.Section) state.Section {
+// restored returns a new section restored from a snapshot of s and checks that its own snapshot is the same.
+func restored(t *testing.T, s state.Section) state.Section {
 	b, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := New()
-	if err := again.Restore(b); err != nil {
+	fresh := New()
+	if err := fresh.Restore(b); err != nil {
 		t.Fatal(err)
 	}
-	second, err := again.Snapshot()
+	second, err := fresh.Snapshot()
 	if err != nil || !bytes.Equal(b, second) {
-		t.Fatalf("the restored state has another snapshot: %v", err)
+		t.Fatalf("the snapshot of the restored state differs: %v", err)
 	}
-	return again
+	return fresh
 }
--- a/internal/control/ledger/digest.go
+++ b/internal/control/ledger/digest.go
@@ -10,9 +10,9 @@
 
 // DigestOf returns the digest of one request.
 //
-// Each part is preceded by its length: without it, a byte moved from the path
-// to the body would give the same digest, and a different call would be
-// answered with the outcome of the first.
+// Each part is preceded by its length. Without it, moving a byte from the path
+// to the body would not change the digest, and a different call would get the
+// outcome of the first.
 func DigestOf(method, path string, body []byte) Digest {
 	h := sha256.New()
 	var length [8]byte
--- a/internal/control/ledger/doc.go
+++ b/internal/control/ledger/doc.go
@@ -1,8 +1,8 @@
-// Package ledger is the record of non-idempotent calls, one section of the
+// Package ledger records non-idempotent calls in one section of the
 // replicated state.
 //
-// A call is claimed before it is dispatched and its whole outcome is recorded
-// before it is answered, so that a resend through any entry finds one of:
-// the outcome, the live claim, or a claim whose outcome nobody knows any more.
-// Records are split by workspace into shards, each under its own lock.
+// An entry claims a call before it dispatches it and records the complete
+// outcome before it answers the caller. A resend through any entry therefore
+// finds the outcome, the live claim, or a claim whose outcome is unknown.
+// Records are sharded by workspace, and each shard has its own lock.
 package ledger
--- a/internal/control/ledger/expiry.go
+++ b/internal/control/ledger/expiry.go
@@ -2,55 +2,55 @@
 
 import "container/heap"
 
-// expiry is a heap of records, the next to expire first.
-type expiry []*record
+// expiryQueue is a min-heap of records by expiryQueue time.
+type expiryQueue []*record
 
-// noPlace marks a record that never expires by time.
-const noPlace = -1
+// notQueued is the index of a record that is not in the heap.
+const notQueued = -1
 
 // Len implements heap.Interface.
-func (e expiry) Len() int { return len(e) }
+func (e expiryQueue) Len() int { return len(e) }
 
 // Less implements heap.Interface.
-func (e expiry) Less(i, j int) bool { return e[i].expires < e[j].expires }
+func (e expiryQueue) Less(i, j int) bool { return e[i].expires < e[j].expires }
 
 // Swap implements heap.Interface.
-func (e expiry) Swap(i, j int) {
+func (e expiryQueue) Swap(i, j int) {
 	e[i], e[j] = e[j], e[i]
-	e[i].place = int32(i)
-	e[j].place = int32(j)
+	e[i].heapIndex = int32(i)
+	e[j].heapIndex = int32(j)
 }
 
 // Push implements heap.Interface.
-func (e *expiry) Push(x any) {
+func (e *expiryQueue) Push(x any) {
 	r := x.(*record)
-	r.place = int32(len(*e))
+	r.heapIndex = int32(len(*e))
 	*e = append(*e, r)
 }
 
 // Pop implements heap.Interface.
-func (e *expiry) Pop() any {
+func (e *expiryQueue) Pop() any {
 	last := len(*e) - 1
 	r := (*e)[last]
 	(*e)[last] = nil
 	*e = (*e)[:last]
-	r.place = noPlace
+	r.heapIndex = notQueued
 	return r
 }
 
-// set puts r at the given time, moving it when it has a place.
-func (e *expiry) set(r *record, at int64) {
+// set changes the expiry time of r and adds r to the heap if it isn't in it.
+func (e *expiryQueue) set(r *record, at int64) {
 	r.expires = at
-	if r.place == noPlace {
+	if r.heapIndex == notQueued {
 		heap.Push(e, r)
 		return
 	}
-	heap.Fix(e, int(r.place))
+	heap.Fix(e, int(r.heapIndex))
 }
 
-// drop takes r out when it has a place.
-func (e *expiry) drop(r *record) {
-	if r.place != noPlace {
-		heap.Remove(e, int(r.place))
+// drop removes r if it is in the heap.
+func (e *expiryQueue) drop(r *record) {
+	if r.heapIndex != notQueued {
+		heap.Remove(e, int(r.heapIndex))
 	}
 }
--- a/internal/control/ledger/image.go
+++ b/internal/control/ledger/image.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// image is the snapshot of the section.
+// image is the encoded form of the section in a snapshot.
 type image struct {
 	At     int64        `cbor:"at"`
 	Cursor uint32       `cbor:"cursor"`
 	Shards []shardImage `cbor:"shards"`
 }
 
-// shardImage is the snapshot of one shard, its records ordered by scope.
+// shardImage is the encoded form of one shard, with its records ordered by scope.
 type shardImage struct {
 	Fences  map[string]uint64 `cbor:"fences"`
 	Records []recordImage     `cbor:"records"`
 }
 
-// recordImage is the snapshot of one record.
+// recordImage is the encoded form of one record.
 type recordImage struct {
 	Scope       Scope  `cbor:"scope"`
 	Entry       string `cbor:"entry"`
@@ -39,20 +39,20 @@
 		Phase:       uint8(r.phase),
 		Since:       r.since,
 		Expires:     r.expires,
-		KeepSeconds: r.keepSecs,
+		KeepSeconds: r.retentionSeconds,
 		Answer:      *r.answer(),
 	}
 }
 
-// shard returns the shard at position n that i shows.
+// shard returns shard number n as encoded in i.
 func (i shardImage) shard(n int) (*shard, error) {
 	s := newShard()
 	for e, f := range i.Fences {
-		s.fences[s.name(e)] = f
+		s.fences[s.intern(e)] = f
 	}
 	for _, ri := range i.Records {
 		if shardOf(ri.Scope.Workspace) != n || ri.Phase > uint8(released) {
-			return nil, fmt.Errorf("ledger: the snapshot's shard %d holds a record that isn't its own", n)
+			return nil, fmt.Errorf("ledger: shard %d of the snapshot holds a record of another shard or of an unknown phase", n)
 		}
 		s.restore(ri)
 	}
@@ -61,14 +61,14 @@
 
 func (s *shard) restore(i recordImage) {
 	r := &record{
-		scope:    Scope{Workspace: s.name(i.Scope.Workspace), Service: s.name(i.Scope.Service), Key: i.Scope.Key},
-		owner:    s.ownerOf(owner{entry: i.Entry, incarnation: i.Incarnation}),
-		attempt:  i.Attempt,
-		digest:   i.Digest,
-		phase:    phase(i.Phase),
-		since:    i.Since,
-		keepSecs: i.KeepSeconds,
-		place:    noPlace,
+		scope:            Scope{Workspace: s.intern(i.Scope.Workspace), Service: s.intern(i.Scope.Service), Key: i.Scope.Key},
+		owner:            s.internOwner(owner{entry: i.Entry, incarnation: i.Incarnation}),
+		attempt:          i.Attempt,
+		digest:           i.Digest,
+		phase:            phase(i.Phase),
+		since:            i.Since,
+		retentionSeconds: i.KeepSeconds,
+		heapIndex:        notQueued,
 	}
 	r.setAnswer(i.Answer)
 	s.insert(r)
--- a/internal/control/ledger/ledger.go
+++ b/internal/control/ledger/ledger.go
@@ -17,7 +17,7 @@
 	shards [shardCount]atomic.Pointer[shard]
 }
 
-// New returns the empty section.
+// New returns an empty ledger section.
 func New() state.Section {
 	l := &ledger{}
 	for i := range l.shards {
@@ -48,16 +48,16 @@
 	return encode(l.apply(at, c))
 }
 
-// sweep removes a few expired records of the next shards, so that a workspace
-// that went quiet doesn't keep its memory.
+// sweep removes a few expired records from the next shards, so that an idle
+// workspace doesn't hold memory.
 func (l *ledger) sweep(at int64) {
-	left := expiryBatch
+	remaining := expiryBatch
 	for range sweepShards {
 		s := l.shards[l.cursor.Add(1)%shardCount].Load()
 		s.mu.Lock()
-		left -= s.expire(at, left)
+		remaining -= s.expire(at, remaining)
 		s.mu.Unlock()
-		if left == 0 {
+		if remaining == 0 {
 			return
 		}
 	}
@@ -68,13 +68,13 @@
 	case c.Claim != nil:
 		return l.claim(at, c.Claim)
 	case c.Outcome != nil:
-		return l.on(at, c.Outcome.Scope, func(s *shard) Result { return s.outcome(at, c.Outcome) })
+		return l.withShard(at, c.Outcome.Scope, func(s *shard) Result { return s.outcome(at, c.Outcome) })
 	case c.Release != nil:
-		return l.on(at, c.Release.Scope, func(s *shard) Result { return s.release(at, c.Release) })
+		return l.withShard(at, c.Release.Scope, func(s *shard) Result { return s.release(at, c.Release) })
 	case c.MarkUnknown != nil:
-		return l.on(at, c.MarkUnknown.Scope, func(s *shard) Result { return s.markUnknown(c.MarkUnknown) })
+		return l.withShard(at, c.MarkUnknown.Scope, func(s *shard) Result { return s.markUnknown(c.MarkUnknown) })
 	case c.Resolve != nil:
-		return l.on(at, c.Resolve.Scope, func(s *shard) Result { return s.resolve(at, c.Resolve) })
+		return l.withShard(at, c.Resolve.Scope, func(s *shard) Result { return s.resolve(at, c.Resolve) })
 	case c.Abandon != nil:
 		return l.abandon(at.UnixNano(), c.Abandon)
 	default:
@@ -86,28 +86,28 @@
 	if c.Scope.Key == "" || len(c.Scope.Key) > MaxKey || c.Attempt == "" || c.Entry == "" || c.Incarnation == 0 {
 		return Result{Kind: Invalid}
 	}
-	return l.on(at, c.Scope, func(s *shard) Result { return s.claim(at, c) })
+	return l.withShard(at, c.Scope, func(s *shard) Result { return s.claim(at, c) })
 }
 
-// on runs f on the scope's shard under its lock.
-func (l *ledger) on(at time.Time, scope Scope, f func(*shard) Result) Result {
+// withShard calls f with the scope's shard while it holds the shard's lock.
+func (l *ledger) withShard(at time.Time, scope Scope, f func(*shard) Result) Result {
 	s := l.shard(scope.Workspace)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire(at.UnixNano(), expiryBatch)
-	s.refresh(scope, at.UnixNano())
+	s.expireScope(scope, at.UnixNano())
 	return f(s)
 }
 
 func (l *ledger) abandon(at int64, a *Abandon) Result {
-	done := Result{Kind: Done}
+	result := Result{Kind: Done}
 	for i := range l.shards {
 		s := l.shards[i].Load()
 		s.mu.Lock()
-		done.Count += s.abandon(at, a)
+		result.Count += s.abandon(at, a)
 		s.mu.Unlock()
 	}
-	return done
+	return result
 }
 
 // Query implements state.Section.
@@ -126,11 +126,11 @@
 	case q.Owners != nil:
 		return codec.Marshal(l.owners())
 	default:
-		return nil, fmt.Errorf("ledger: the query asks nothing")
+		return nil, fmt.Errorf("ledger: the query has no field set")
 	}
 }
 
-// encode returns the encoding of r, which can't fail: Result holds plain fields only.
+// encode returns the encoding of r. It can't fail because Result has plain fields only.
 func encode(r Result) []byte {
 	b, err := codec.Marshal(r)
 	if err != nil {
--- a/internal/control/ledger/ledger_test.go
+++ b/internal/control/ledger/ledger_test.go
@@ -28,29 +28,29 @@
 	}
 }
 
-// A claim's commit times out, the entry takes it back, and the claim arrives
-// after all. Were it granted then, nobody would dispatch it, and the caller's
-// resends would be told for an hour that the call is in progress.
+// Guards against granting a claim that arrives after its release, as happens when
+// the claim's commit times out and the entry releases it. No entry would dispatch
+// the call, and resends would be answered as busy for an hour.
 func TestLateClaimAfterReleaseIsRefused(t *testing.T) {
 	s := New()
 	c := claimOf("k", "late", 1)
 	apply(t, s, start, Command{Release: &Release{Scope: c.Scope, Attempt: "late"}})
 	if r := apply(t, s, start, Command{Claim: c}); r.Kind != Stale {
-		t.Fatalf("the late claim was %s", r.Kind)
+		t.Fatalf("result of the late claim: %s", r.Kind)
 	}
 	if r := apply(t, s, start, Command{Claim: claimOf("k", "next", 1)}); r.Kind != Granted {
-		t.Fatalf("the resend was %s", r.Kind)
+		t.Fatalf("result of the resend: %s", r.Kind)
 	}
 }
 
-// An entry dies with an open claim and nobody reports it. The claim must not
-// vanish with its time: the call may have run, and a resend would run it again.
+// Guards against removing the expired claim of an entry that died unnoticed: the
+// call may have run, and a resend would run it again.
 func TestForgottenClaimBecomesUnknown(t *testing.T) {
 	s := New()
 	apply(t, s, start, Command{Claim: claimOf("k", "a", 1)})
 	later := start.Add(1000 * time.Hour)
 	if r := apply(t, s, later, Command{Claim: claimOf("k", "b", 1)}); r.Kind != Unknown {
-		t.Fatalf("the resend was %s", r.Kind)
+		t.Fatalf("result of the resend: %s", r.Kind)
 	}
 	b, err := s.Query(mustMarshal(t, Query{Unknown: &UnknownsQuery{Workspace: "w"}}))
 	if err != nil {
@@ -62,8 +62,8 @@
 	}
 }
 
-// A hundred thousand outcomes expire at the same moment. A command that
-// removed them all at once would stop the control log for everyone meanwhile.
+// Guards against one command that removes all records which expire at the same
+// time: with a hundred thousand of them it would block the control log.
 func TestExpiryIsSpreadOverCommands(t *testing.T) {
 	s := New().(*ledger)
 	const records = 2000
@@ -89,8 +89,8 @@
 	}
 }
 
-// A command that is no command, or one beyond the bounds, reaches the log from
-// a broken entry. It must neither stop the replica nor change anything.
+// Guards against a malformed or oversized command of a faulty entry that stops the
+// replica or changes its state.
 func TestMalformedCommandsChangeNothing(t *testing.T) {
 	s := New()
 	c := claimOf("k", "a", 1)
@@ -109,7 +109,7 @@
 	}
 }
 
-// shardsOf returns the encoded records, without the place of the sweep, which moves with each command.
+// shardsOf returns the encoded records without the sweep's cursor, which advances with each command.
 func shardsOf(t *testing.T, s state.Section) []byte {
 	t.Helper()
 	b, err := s.Snapshot()
--- a/internal/control/ledger/limits.go
+++ b/internal/control/ledger/limits.go
@@ -5,7 +5,7 @@
 const (
 	// Name is the section's name in commands and queries.
 	Name = "ledger"
-	// MaxBody is the largest recorded answer in bytes.
+	// MaxBody is the largest recorded response body in bytes.
 	MaxBody = 256 << 10
 	// MaxKey is the longest Idempotency-Key in bytes.
 	MaxKey = 256
@@ -15,12 +15,12 @@
 	MaxHeaderBytes = 8 << 10
 
 	shardCount = 64
-	// expiryBatch bounds the expired records that one command removes, so
-	// that no command waits for a scan of all records.
-	expiryBatch  = 8
-	sweepShards  = 8
-	releasedKeep = 10 * time.Minute
-	busyRetry    = time.Second
-	minKeep      = time.Minute
-	maxUnknown   = 1000
+	// expiryBatch is the largest number of expired records that one command
+	// removes, so that no command has to scan all records.
+	expiryBatch       = 8
+	sweepShards       = 8
+	releasedRetention = 10 * time.Minute
+	busyRetry         = time.Second
+	minRetention      = time.Minute
+	maxUnknown        = 1000
 )
--- a/internal/control/ledger/lookup.go
+++ b/internal/control/ledger/lookup.go
@@ -14,20 +14,20 @@
 	if !ok {
 		return Result{Kind: Absent}
 	}
-	if r.place != noPlace && r.expires <= l.at.Load() {
-		return s.overdue(r, q)
+	if r.heapIndex != notQueued && r.expires <= l.at.Load() {
+		return s.lookupExpired(r, q)
 	}
 	return r.result(q.Digest, q.Attempt)
 }
 
-// overdue returns what q finds of a record whose time has come but which no command has handled yet.
-func (s *shard) overdue(r *record, q *Lookup) Result {
+// lookupExpired returns the result of q for an expired record that no command has processed yet.
+func (s *shard) lookupExpired(r *record, q *Lookup) Result {
 	if r.phase != live {
 		return Result{Kind: Absent}
 	}
-	later := *r
-	later.phase = unknown
-	return later.result(q.Digest, q.Attempt)
+	expired := *r
+	expired.phase = unknown
+	return expired.result(q.Digest, q.Attempt)
 }
 
 func (l *ledger) countsOf(workspace string) Counts {
--- a/internal/control/ledger/naive_test.go
+++ b/internal/control/ledger/naive_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// naive is the ledger as one list that is scanned whole, obviously right and slow.
+// naive is a reference implementation of the ledger: one list that is scanned completely for each command.
 type naive struct {
 	at      int64
 	records []*naiveRecord
@@ -45,12 +45,12 @@
 func (n *naive) expire() {
 	var kept []*naiveRecord
 	for _, r := range n.records {
-		due := r.phase != unknown && r.expires <= n.at
-		if due && r.phase == live {
+		expired := r.phase != unknown && r.expires <= n.at
+		if expired && r.phase == live {
 			r.phase = unknown
-			due = false
+			expired = false
 		}
-		if !due {
+		if !expired {
 			kept = append(kept, r)
 		}
 	}
@@ -79,7 +79,7 @@
 	} else if r.claim.Attempt == c.Attempt {
 		return Result{Kind: Stale}
 	}
-	*r = naiveRecord{claim: *c, expires: n.at + int64(max(c.Keep, minKeep))}
+	*r = naiveRecord{claim: *c, expires: n.at + int64(max(c.Keep, minRetention))}
 	return Result{Kind: Granted, Attempt: c.Attempt, Entry: c.Entry}
 }
 
@@ -110,7 +110,7 @@
 		return Result{Kind: Stale}
 	}
 	if r.phase != settled {
-		r.phase, r.answer, r.expires = settled, o.Answer, n.at+int64(max(r.claim.Keep, minKeep))
+		r.phase, r.answer, r.expires = settled, o.Answer, n.at+int64(max(r.claim.Keep, minRetention))
 	}
 	return Result{Kind: Done, Attempt: r.claim.Attempt}
 }
@@ -119,13 +119,13 @@
 	r := n.find(c.Scope)
 	if r == nil {
 		claim := Claim{Scope: c.Scope, Attempt: c.Attempt}
-		n.records = append(n.records, &naiveRecord{claim: claim, phase: released, expires: n.at + int64(releasedKeep)})
+		n.records = append(n.records, &naiveRecord{claim: claim, phase: released, expires: n.at + int64(releasedRetention)})
 		return Result{Kind: Done}
 	}
 	if r.claim.Attempt != c.Attempt || r.phase == settled {
 		return Result{Kind: Stale}
 	}
-	r.phase, r.expires = released, n.at+int64(releasedKeep)
+	r.phase, r.expires = released, n.at+int64(releasedRetention)
 	return Result{Kind: Done}
 }
 
@@ -137,24 +137,24 @@
 	if r.phase != unknown {
 		return Result{Kind: Stale, Attempt: r.claim.Attempt}
 	}
-	r.phase, r.expires = released, n.at+int64(releasedKeep)
+	r.phase, r.expires = released, n.at+int64(releasedRetention)
 	if c.Ran {
-		r.phase, r.answer, r.expires = settled, Answer{Dropped: true}, n.at+int64(max(r.claim.Keep, minKeep))
+		r.phase, r.answer, r.expires = settled, Answer{Dropped: true}, n.at+int64(max(r.claim.Keep, minRetention))
 	}
 	return Result{Kind: Done, Attempt: r.claim.Attempt}
 }
 
 func (n *naive) abandon(a *Abandon) Result {
-	done := Result{Kind: Done}
+	result := Result{Kind: Done}
 	if a.Incarnation <= n.fences[a.Entry] {
-		return done
+		return result
 	}
 	n.fences[a.Entry] = a.Incarnation
 	for _, r := range n.records {
 		if r.phase == live && r.claim.Entry == a.Entry && r.claim.Incarnation <= a.Incarnation {
 			r.phase = unknown
-			done.Count++
+			result.Count++
 		}
 	}
-	return done
+	return result
 }
--- a/internal/control/ledger/owners.go
+++ b/internal/control/ledger/owners.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// OwnersQuery asks who holds live claims.
+// OwnersQuery asks for the owners of live claims.
 type OwnersQuery struct{}
 
 // Owner is one incarnation of an entry that holds live claims.
 type Owner struct {
 	// Entry is the entry's identity.
 	Entry string `cbor:"entry"`
-	// Incarnation is that of its process.
+	// Incarnation identifies the entry's process.
 	Incarnation uint64 `cbor:"incarnation"`
 }
 
-// Owners answers an OwnersQuery.
+// Owners is the result of an OwnersQuery.
 type Owners struct {
 	// Owners are sorted by entry and incarnation.
 	Owners []Owner `cbor:"owners"`
@@ -40,7 +40,7 @@
 func (s *shard) addOwners(found map[Owner]bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	for o, records := range s.live {
+	for o, records := range s.liveByOwner {
 		if len(records) > 0 {
 			found[Owner{Entry: o.entry, Incarnation: o.incarnation}] = true
 		}
--- a/internal/control/ledger/query.go
+++ b/internal/control/ledger/query.go
@@ -10,53 +10,53 @@
 	Owners  *OwnersQuery   `cbor:"owners,omitempty"`
 }
 
-// Lookup asks for one record and is answered by a Result.
+// Lookup asks for one record. Its result is a Result.
 type Lookup struct {
 	// Scope identifies the call.
 	Scope Scope `cbor:"scope"`
-	// Digest is that of the request; a zero one skips the comparison.
+	// Digest is the request's digest; a zero digest skips the comparison.
 	Digest Digest `cbor:"digest"`
-	// Attempt is the asking attempt; a live claim of it is Granted.
+	// Attempt is the attempt that asks; its own live claim is Granted.
 	Attempt string `cbor:"attempt"`
 }
 
-// CountsQuery asks for the records per state of a workspace, or of all when it is empty.
+// CountsQuery asks for the number of records per state.
 type CountsQuery struct {
-	// Workspace is the workspace's name or empty.
+	// Workspace is the workspace's name; empty selects all workspaces.
 	Workspace string `cbor:"workspace"`
 }
 
 // Counts is the number of records per state.
 type Counts struct {
-	// Live claims may still run.
+	// Live is the number of claims whose calls may still run.
 	Live int `cbor:"live" json:"live"`
-	// Outcomes are recorded answers.
+	// Outcomes is the number of recorded answers.
 	Outcomes int `cbor:"outcomes" json:"outcomes"`
-	// Unknown calls may have run.
+	// Unknown is the number of calls that may have run.
 	Unknown int `cbor:"unknown" json:"unknown"`
-	// Released claims were taken back and are kept for a few minutes.
+	// Released is the number of withdrawn claims, which are kept for a few minutes.
 	Released int `cbor:"released" json:"released"`
 }
 
-// UnknownsQuery asks for the unknown calls of a workspace, or of all when it is empty.
+// UnknownsQuery asks for the unknown calls.
 type UnknownsQuery struct {
-	// Workspace is the workspace's name or empty.
+	// Workspace is the workspace's name; empty selects all workspaces.
 	Workspace string `cbor:"workspace"`
-	// Limit is the largest number of calls to list; zero means a thousand.
+	// Limit is the largest number of calls to list; zero means 1000.
 	Limit int `cbor:"limit"`
 }
 
-// UnknownCall is one call of which nobody knows whether it ran.
+// UnknownCall is a call that may or may not have run.
 type UnknownCall struct {
 	// Scope identifies the call.
 	Scope Scope `cbor:"scope" json:"scope"`
-	// Attempt is the one that may have run.
+	// Attempt is the attempt that may have run.
 	Attempt string `cbor:"attempt" json:"attempt"`
-	// Entry held the claim.
+	// Entry is the identity of the entry that held the claim.
 	Entry string `cbor:"entry" json:"entry"`
-	// Incarnation is that of the entry's process.
+	// Incarnation identifies the entry's process.
 	Incarnation uint64 `cbor:"incarnation" json:"incarnation"`
-	// Since is the state time of the claim.
+	// Since is the state time at which the call was claimed.
 	Since time.Time `cbor:"since" json:"since"`
 }
 
--- a/internal/control/ledger/record.go
+++ b/internal/control/ledger/record.go
@@ -2,6 +2,7 @@
 
 import "time"
 
+// phase is the state of a record. Its values are part of the snapshot format.
 type phase uint8
 
 const (
@@ -11,31 +12,31 @@
 	released
 )
 
-// owner is one process of an entry; its records share one value.
+// owner is one process of an entry. The owner's records in a shard share one value.
 type owner struct {
 	entry       string
 	incarnation uint64
 }
 
-// record is one call; its fields are ordered so that it stays small.
+// record is the state of one call. The field order keeps the struct small.
 type record struct {
-	scope    Scope
-	owner    *owner
-	attempt  string
-	headers  []Header
-	body     []byte
-	expires  int64
-	since    int64
-	place    int32
-	status   uint16
-	phase    phase
-	dropped  bool
-	keepSecs uint32
-	digest   Digest
+	scope            Scope
+	owner            *owner
+	attempt          string
+	headers          []Header
+	body             []byte
+	expires          int64
+	since            int64
+	heapIndex        int32
+	status           uint16
+	phase            phase
+	dropped          bool
+	retentionSeconds uint32
+	digest           Digest
 }
 
-func (r *record) keep() time.Duration {
-	return time.Duration(r.keepSecs) * time.Second
+func (r *record) retention() time.Duration {
+	return time.Duration(r.retentionSeconds) * time.Second
 }
 
 func (r *record) answer() *Answer {
@@ -54,7 +55,7 @@
 	r.dropped = a.Dropped
 }
 
-// result returns what a request with the given digest and attempt finds.
+// result returns the result for a request with the given digest and attempt.
 func (r *record) result(d Digest, attempt string) Result {
 	if r.phase == released {
 		return Result{Kind: Absent}
--- a/internal/control/ledger/shard.go
+++ b/internal/control/ledger/shard.go
@@ -7,42 +7,43 @@
 
 // shard holds the records of some workspaces.
 type shard struct {
-	mu      sync.RWMutex
-	records map[Scope]*record
-	queue   expiry
-	counts  map[string]*Counts
-	live    map[owner]map[*record]struct{}
-	names   map[string]string
-	owners  map[owner]*owner
-	fences  map[string]uint64
+	mu          sync.RWMutex
+	records     map[Scope]*record
+	queue       expiryQueue
+	counts      map[string]*Counts
+	liveByOwner map[owner]map[*record]struct{}
+	interned    map[string]string
+	owners      map[owner]*owner
+	fences      map[string]uint64
 }
 
 func newShard() *shard {
 	return &shard{
-		records: map[Scope]*record{},
-		counts:  map[string]*Counts{},
-		live:    map[owner]map[*record]struct{}{},
-		names:   map[string]string{},
-		owners:  map[owner]*owner{},
-		fences:  map[string]uint64{},
+		records:     map[Scope]*record{},
+		counts:      map[string]*Counts{},
+		liveByOwner: map[owner]map[*record]struct{}{},
+		interned:    map[string]string{},
+		owners:      map[owner]*owner{},
+		fences:      map[string]uint64{},
 	}
 }
 
-// name returns one shared copy of s: workspace and service names stand in
-// every record, and a decoder allocates them anew for each command.
-func (s *shard) name(n string) string {
-	if shared, ok := s.names[n]; ok {
+// intern returns a shared copy of n. Every record contains a workspace and a
+// service name, and the decoder allocates both again for each command.
+func (s *shard) intern(n string) string {
+	if shared, ok := s.interned[n]; ok {
 		return shared
 	}
-	s.names[n] = n
+	s.interned[n] = n
 	return n
 }
 
-func (s *shard) ownerOf(o owner) *owner {
+// internOwner returns a shared copy of o.
+func (s *shard) internOwner(o owner) *owner {
 	if shared, ok := s.owners[o]; ok {
 		return shared
 	}
-	shared := &owner{entry: s.name(o.entry), incarnation: o.incarnation}
+	shared := &owner{entry: s.intern(o.entry), incarnation: o.incarnation}
 	s.owners[o] = shared
 	return shared
 }
@@ -53,40 +54,39 @@
 	}
 	r, ok := s.records[c.Scope]
 	if !ok {
-		s.add(at, c)
+		s.addClaim(at, c)
 		return Result{Kind: Granted, Attempt: c.Attempt, Entry: c.Entry}
 	}
 	if r.phase != released {
 		return r.result(c.Digest, c.Attempt)
 	}
-	// A claim whose commit timed out can arrive after its release. Granting it
-	// would leave a claim that nobody dispatches, and each resend would be
-	// told to wait.
+	// A claim whose commit timed out can arrive after its release. If it were
+	// granted, no entry would dispatch it, and each resend would find it busy.
 	if r.attempt == c.Attempt {
 		return Result{Kind: Stale}
 	}
 	s.remove(r)
-	s.add(at, c)
+	s.addClaim(at, c)
 	return Result{Kind: Granted, Attempt: c.Attempt, Entry: c.Entry}
 }
 
-func (s *shard) add(at time.Time, c *Claim) {
-	keep := max(c.Keep, minKeep)
+func (s *shard) addClaim(at time.Time, c *Claim) {
+	retention := max(c.Keep, minRetention)
 	r := &record{
-		scope:    Scope{Workspace: s.name(c.Scope.Workspace), Service: s.name(c.Scope.Service), Key: c.Scope.Key},
-		owner:    s.ownerOf(owner{entry: c.Entry, incarnation: c.Incarnation}),
-		attempt:  c.Attempt,
-		since:    at.UnixNano(),
-		place:    noPlace,
-		keepSecs: uint32(keep / time.Second),
-		digest:   c.Digest,
+		scope:            Scope{Workspace: s.intern(c.Scope.Workspace), Service: s.intern(c.Scope.Service), Key: c.Scope.Key},
+		owner:            s.internOwner(owner{entry: c.Entry, incarnation: c.Incarnation}),
+		attempt:          c.Attempt,
+		since:            at.UnixNano(),
+		heapIndex:        notQueued,
+		retentionSeconds: uint32(retention / time.Second),
+		digest:           c.Digest,
 	}
 	s.insert(r)
-	s.queue.set(r, at.Add(keep).UnixNano())
+	s.queue.set(r, at.Add(retention).UnixNano())
 }
 
 func (s *shard) outcome(at time.Time, o *Outcome) Result {
-	if !o.Answer.fits() {
+	if !o.Answer.withinLimits() {
 		return Result{Kind: Invalid}
 	}
 	r, ok := s.records[o.Scope]
@@ -97,8 +97,8 @@
 		return Result{Kind: Done, Attempt: r.attempt}
 	}
 	r.setAnswer(o.Answer)
-	s.move(r, settled)
-	s.queue.set(r, at.Add(r.keep()).UnixNano())
+	s.setPhase(r, settled)
+	s.queue.set(r, at.Add(r.retention()).UnixNano())
 	return Result{Kind: Done, Attempt: r.attempt}
 }
 
@@ -111,23 +111,23 @@
 	if r.attempt != c.Attempt || r.phase == settled {
 		return Result{Kind: Stale}
 	}
-	s.move(r, released)
-	s.queue.set(r, at.Add(releasedKeep).UnixNano())
+	s.setPhase(r, released)
+	s.queue.set(r, at.Add(releasedRetention).UnixNano())
 	return Result{Kind: Done}
 }
 
-// tombstone remembers a release whose claim hasn't arrived yet.
+// tombstone records a release whose claim hasn't arrived yet.
 func (s *shard) tombstone(at time.Time, c *Release) {
 	r := &record{
-		scope:   Scope{Workspace: s.name(c.Scope.Workspace), Service: s.name(c.Scope.Service), Key: c.Scope.Key},
-		owner:   s.ownerOf(owner{}),
-		attempt: c.Attempt,
-		since:   at.UnixNano(),
-		place:   noPlace,
-		phase:   released,
+		scope:     Scope{Workspace: s.intern(c.Scope.Workspace), Service: s.intern(c.Scope.Service), Key: c.Scope.Key},
+		owner:     s.internOwner(owner{}),
+		attempt:   c.Attempt,
+		since:     at.UnixNano(),
+		heapIndex: notQueued,
+		phase:     released,
 	}
 	s.insert(r)
-	s.queue.set(r, at.Add(releasedKeep).UnixNano())
+	s.queue.set(r, at.Add(releasedRetention).UnixNano())
 }
 
 func (s *shard) markUnknown(c *MarkUnknown) Result {
@@ -136,20 +136,21 @@
 		return Result{Kind: Stale}
 	}
 	if r.phase == live {
-		s.settleUnknown(r)
+		s.makeUnknown(r)
 	}
 	return r.result(Digest{}, c.Attempt)
 }
 
-// abandon returns how many claims it made unknown; those whose time had come
-// aren't counted, because replicas may have handled them already.
+// abandon makes the live claims of the dead incarnations unknown and returns
+// their number. Expired claims aren't counted, because some replicas may have
+// processed them already.
 func (s *shard) abandon(at int64, a *Abandon) int {
 	if a.Incarnation <= s.fences[a.Entry] {
 		return 0
 	}
-	s.fences[s.name(a.Entry)] = a.Incarnation
+	s.fences[s.intern(a.Entry)] = a.Incarnation
 	count := 0
-	for o, records := range s.live {
+	for o, records := range s.liveByOwner {
 		if o.entry != a.Entry || o.incarnation > a.Incarnation {
 			continue
 		}
@@ -157,15 +158,16 @@
 			if r.expires > at {
 				count++
 			}
-			s.settleUnknown(r)
+			s.makeUnknown(r)
 		}
 	}
 	return count
 }
 
-// settleUnknown makes a claim unknown; it is kept until its outcome or an operator resolves it.
-func (s *shard) settleUnknown(r *record) {
-	s.move(r, unknown)
+// makeUnknown makes a claim unknown. The record is kept until an outcome
+// arrives or an operator resolves it.
+func (s *shard) makeUnknown(r *record) {
+	s.setPhase(r, unknown)
 	s.queue.drop(r)
 	r.expires = 0
 }
@@ -179,41 +181,41 @@
 		return Result{Kind: Stale, Attempt: r.attempt}
 	}
 	if !c.Ran {
-		s.move(r, released)
-		s.queue.set(r, at.Add(releasedKeep).UnixNano())
+		s.setPhase(r, released)
+		s.queue.set(r, at.Add(releasedRetention).UnixNano())
 		return Result{Kind: Done, Attempt: r.attempt}
 	}
 	r.setAnswer(Answer{Dropped: true})
-	s.move(r, settled)
-	s.queue.set(r, at.Add(r.keep()).UnixNano())
+	s.setPhase(r, settled)
+	s.queue.set(r, at.Add(r.retention()).UnixNano())
 	return Result{Kind: Done, Attempt: r.attempt}
 }
 
-// expire handles at most limit records whose time has come and returns how many there were.
+// expire processes at most limit expired records and returns how many it processed.
 func (s *shard) expire(at int64, limit int) int {
 	for n := range limit {
 		if len(s.queue) == 0 || s.queue[0].expires > at {
 			return n
 		}
-		s.due(s.queue[0])
+		s.expireRecord(s.queue[0])
 	}
 	return limit
 }
 
-// refresh handles the given record when its time has come, so that what a
-// command sees doesn't depend on how far the incremental removal has got.
-func (s *shard) refresh(scope Scope, at int64) {
+// expireScope processes the record of scope if it has expired, so that a command's
+// result doesn't depend on the progress of the incremental removal.
+func (s *shard) expireScope(scope Scope, at int64) {
 	r, ok := s.records[scope]
-	if ok && r.place != noPlace && r.expires <= at {
-		s.due(r)
+	if ok && r.heapIndex != notQueued && r.expires <= at {
+		s.expireRecord(r)
 	}
 }
 
-// due removes what expired; a claim that was never answered becomes unknown,
-// because forgetting it would let a resend run a second time.
-func (s *shard) due(r *record) {
+// expireRecord removes an expired record. A claim without an outcome becomes unknown
+// instead, because removing it would let a resend run the call a second time.
+func (s *shard) expireRecord(r *record) {
 	if r.phase == live {
-		s.settleUnknown(r)
+		s.makeUnknown(r)
 		return
 	}
 	s.remove(r)
--- a/internal/control/ledger/shard_index.go
+++ b/internal/control/ledger/shard_index.go
@@ -1,13 +1,13 @@
 package ledger
 
-// insert adds r to the maps and counts.
+// insert adds r to the records, the counters and the index of live claims.
 func (s *shard) insert(r *record) {
 	s.records[r.scope] = r
 	s.count(r, 1)
 	s.track(r)
 }
 
-// remove takes r out of everything.
+// remove deletes r from the records, the counters, the index of live claims and the expiry queue.
 func (s *shard) remove(r *record) {
 	s.untrack(r)
 	s.count(r, -1)
@@ -15,8 +15,8 @@
 	delete(s.records, r.scope)
 }
 
-// move gives r another phase.
-func (s *shard) move(r *record, to phase) {
+// setPhase changes the phase of r and updates the counters and the index of live claims.
+func (s *shard) setPhase(r *record, to phase) {
 	s.untrack(r)
 	s.count(r, -1)
 	r.phase = to
@@ -28,10 +28,10 @@
 	if r.phase != live {
 		return
 	}
-	records, ok := s.live[*r.owner]
+	records, ok := s.liveByOwner[*r.owner]
 	if !ok {
 		records = map[*record]struct{}{}
-		s.live[*r.owner] = records
+		s.liveByOwner[*r.owner] = records
 	}
 	records[r] = struct{}{}
 }
@@ -40,10 +40,10 @@
 	if r.phase != live {
 		return
 	}
-	records := s.live[*r.owner]
+	records := s.liveByOwner[*r.owner]
 	delete(records, r)
 	if len(records) == 0 {
-		delete(s.live, *r.owner)
+		delete(s.liveByOwner, *r.owner)
 	}
 }
 
@@ -56,7 +56,7 @@
 	*c.of(r.phase) += by
 }
 
-// of returns the counter of one phase.
+// of returns the counter of phase p.
 func (c *Counts) of(p phase) *int {
 	switch p {
 	case settled:
@@ -70,7 +70,7 @@
 	}
 }
 
-// add returns the sums of c and d.
+// add returns the sum of c and d, field by field.
 func (c Counts) add(d Counts) Counts {
 	c.Live += d.Live
 	c.Outcomes += d.Outcomes
