--- a/internal/control/ledger/expiry.go
+++ b/internal/control/ledger/expiry.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// expiryQueue is a min-heap of records by expiryQueue time.
+// expiryQueue is a min-heap of records by expiry time.
 type expiryQueue []*record
 
 // notQueued is the index of a record that is not in the heap.
--- a/internal/control/quarantine/changes.go
+++ b/internal/control/quarantine/changes.go
@@ -9,7 +9,7 @@
 	return Changes{Version: q.version, Changes: q.changesSince(version)}
 }
 
-// changesSince returns the standings newer than version, the clear ones included.
+// changesSince returns the standings that changed after version, including those that became clear.
 func (q *quarantine) changesSince(version uint64) []suspicion.Change {
 	changes := q.recordsSince(version)
 	for _, r := range q.removals {
--- a/internal/control/quarantine/command.go
+++ b/internal/control/quarantine/command.go
@@ -14,58 +14,58 @@
 	Clear  *Clear  `cbor:"clear,omitempty"`
 }
 
-// Lost reports a lost server with what an entry ran there; each entry reports its own.
+// Lost reports a lost server and the requests that the reporting entry ran on it. Each entry reports its own requests.
 type Lost struct {
 	// Server is the lost server's identity.
 	Server string `cbor:"server"`
-	// Incarnation is that of the lost server.
+	// Incarnation is the lost server's incarnation.
 	Incarnation uint64 `cbor:"incarnation"`
-	// Running are the requests that the entry had there.
+	// Running are the entry's requests on the server.
 	Running []Running `cbor:"running"`
-	// Servers is the number of different servers that quarantines, from the fleet's rules.
+	// Servers is the number of distinct lost servers at which a request is quarantined, from the fleet's rules.
 	Servers int `cbor:"servers"`
-	// Window is the time within which losses count, from the fleet's rules.
+	// Window is how long a loss counts, from the fleet's rules.
 	Window time.Duration `cbor:"window"`
 }
 
 // Running is one request on a lost server.
 type Running struct {
-	// Fingerprint is the request's.
+	// Fingerprint is the request's fingerprint.
 	Fingerprint suspicion.Fingerprint `cbor:"fingerprint"`
-	// Workspace is whose request it is.
+	// Workspace is the workspace that sent the request.
 	Workspace string `cbor:"workspace"`
-	// Model is what it asked.
+	// Model is the requested model.
 	Model string `cbor:"model"`
 }
 
-// Begin asks for the probe slot of a suspect at a server.
+// Begin requests a server's probe slot for a suspect.
 type Begin struct {
-	// Fingerprint is the suspect's.
+	// Fingerprint is the suspect's fingerprint.
 	Fingerprint suspicion.Fingerprint `cbor:"fingerprint"`
-	// Server is where it would run.
+	// Server is the server on which the suspect would run.
 	Server string `cbor:"server"`
-	// Elsewhere is true when the entry could use another server.
+	// Elsewhere is true if the entry could use another server.
 	Elsewhere bool `cbor:"elsewhere,omitempty"`
-	// Attempt is unique for ever.
+	// Attempt is a globally unique ID that is never reused.
 	Attempt string `cbor:"attempt"`
-	// Lease is how long the slot is held without a Finish.
+	// Lease is how long the slot is held if no Finish arrives.
 	Lease time.Duration `cbor:"lease"`
 }
 
-// Finish gives a probe slot back.
+// Finish releases a probe slot.
 type Finish struct {
-	// Fingerprint is the suspect's.
+	// Fingerprint is the suspect's fingerprint.
 	Fingerprint suspicion.Fingerprint `cbor:"fingerprint"`
-	// Attempt is the one of the Begin.
+	// Attempt is the attempt of the Begin.
 	Attempt string `cbor:"attempt"`
-	// Whole is true when the answer was whole and the server lives, which clears the suspect.
+	// Whole is true if the answer was complete and the server is alive, which clears the suspect.
 	Whole bool `cbor:"whole"`
 }
 
-// Clear is an operator's release of a fingerprint.
+// Clear is an operator's command to clear a fingerprint.
 type Clear struct {
-	// Fingerprint is whose standing becomes clear.
+	// Fingerprint is the fingerprint to clear.
 	Fingerprint suspicion.Fingerprint `cbor:"fingerprint"`
-	// Operator is who says so.
+	// Operator is the operator who cleared it.
 	Operator string `cbor:"operator"`
 }
--- a/internal/control/quarantine/doc.go
+++ b/internal/control/quarantine/doc.go
@@ -1,3 +1,4 @@
-// Package quarantine keeps the fleet's record of requests that crash the
-// servers that run them, one section of the replicated state.
+// Package quarantine records the requests that crash the servers on which
+// they run. The records are one section of the replicated state and apply to
+// the whole fleet.
 package quarantine
--- a/internal/control/quarantine/lost.go
+++ b/internal/control/quarantine/lost.go
@@ -9,7 +9,7 @@
 	"hornbeamwood/internal/policy/suspicion"
 )
 
-// lost adds the loss to each request that ran on the server.
+// lost records the loss for each request that ran on the server.
 func (q *quarantine) lost(at time.Time, c *Lost) Result {
 	if c.Server == "" || len(c.Running) > maxRunning {
 		return Result{}
@@ -20,29 +20,29 @@
 		q.add(loss, r, c)
 	}
 	q.limit = c.Servers
-	q.judge()
+	q.updateStandings()
 	return Result{Valid: true}
 }
 
-// add notes one loss; beyond the bound on records the request isn't noted and stays clear.
+// add records one loss of a request. When the section holds maxRecords, a new request isn't recorded and stays clear.
 func (q *quarantine) add(loss suspicion.Loss, r Running, c *Lost) {
-	have, ok := q.records[r.Fingerprint]
+	found, ok := q.records[r.Fingerprint]
 	if !ok {
 		if len(q.records) >= maxRecords {
 			return
 		}
-		have = &record{Fingerprint: r.Fingerprint, Workspace: r.Workspace, Model: r.Model, Standing: suspicion.Clear}
-		q.records[r.Fingerprint] = have
+		found = &record{Fingerprint: r.Fingerprint, Workspace: r.Workspace, Model: r.Model, Standing: suspicion.Clear}
+		q.records[r.Fingerprint] = found
 	}
-	have.Window = c.Window
-	if suspicion.Has(have.Losses, loss) || len(have.Losses) >= maxLosses {
+	found.Window = c.Window
+	if suspicion.Has(found.Losses, loss) || len(found.Losses) >= maxLosses {
 		return
 	}
-	have.Losses = append(have.Losses, loss)
+	found.Losses = append(found.Losses, loss)
 }
 
-// judge gives each record its standing.
-func (q *quarantine) judge() {
+// updateStandings computes the standing of each record.
+func (q *quarantine) updateStandings() {
 	order := q.order()
 	cases := make([]*suspicion.Case, len(order))
 	for i, f := range order {
@@ -50,12 +50,12 @@
 	}
 	suspicion.Judge(cases, q.limit)
 	for i, f := range order {
-		q.stand(q.records[f], cases[i].Standing)
+		q.setStanding(q.records[f], cases[i].Standing)
 	}
 }
 
-// stand sets a record's standing.
-func (q *quarantine) stand(r *record, s suspicion.Standing) {
+// setStanding changes the standing of r and assigns a new version to the change.
+func (q *quarantine) setStanding(r *record, s suspicion.Standing) {
 	if r.Standing == s {
 		return
 	}
@@ -64,14 +64,14 @@
 	r.Version = q.version
 }
 
-// remove makes a fingerprint clear.
+// remove deletes the record of a fingerprint, which makes it clear.
 func (q *quarantine) remove(f suspicion.Fingerprint) {
 	r, ok := q.records[f]
 	if !ok {
 		return
 	}
 	delete(q.records, f)
-	// One that never was anything but clear is unknown to the entries.
+	// The entries don't know a fingerprint that was never anything but clear.
 	if r.Version == 0 {
 		return
 	}
@@ -83,8 +83,9 @@
 	}
 }
 
-// expire drops losses that are too old. A quarantined request keeps its: time
-// is no sign that it is harmless, and each retry would cost servers again.
+// expire drops expired leases and old losses. A quarantined request keeps its
+// losses: passing time doesn't show that it is harmless, and each retry would
+// cost servers again.
 func (q *quarantine) expire(at time.Time) {
 	for server, s := range q.slots {
 		if s.Until <= at.UnixNano() {
@@ -103,7 +104,7 @@
 	if !changed {
 		return
 	}
-	q.judge()
+	q.updateStandings()
 	for _, f := range q.order() {
 		if len(q.records[f].Losses) == 0 {
 			q.remove(f)
@@ -111,8 +112,8 @@
 	}
 }
 
-// order returns the fingerprints in one order on all replicas, which is what
-// versions and snapshots depend on.
+// order returns the fingerprints in the same order on all replicas, because
+// versions and snapshots depend on the order.
 func (q *quarantine) order() []suspicion.Fingerprint {
 	return slices.SortedFunc(maps.Keys(q.records), func(a, b suspicion.Fingerprint) int { return bytes.Compare(a[:], b[:]) })
 }
--- a/internal/control/quarantine/probe.go
+++ b/internal/control/quarantine/probe.go
@@ -9,9 +9,10 @@
 
 const probeRetry = time.Second
 
-// begin gives a suspect a server's slot: one suspect at a time at a server, and
-// one run of a suspect at a time in the fleet. Two suspects on one server would
-// share its loss, and the innocent one would be condemned with the other.
+// begin grants a server's slot to a suspect. A server runs one suspect at a
+// time, and a suspect runs once at a time in the fleet. If two suspects ran on
+// one server, its loss would count against both, and a harmless one could be
+// quarantined with the other.
 func (q *quarantine) begin(at time.Time, c *Begin) Result {
 	r, ok := q.records[c.Fingerprint]
 	if !ok || r.Standing == suspicion.Clear {
@@ -24,7 +25,7 @@
 	if c.Elsewhere && slices.Contains(wait.Avoid, c.Server) {
 		return wait
 	}
-	if s, taken := q.slots[c.Server]; taken && s.Attempt != c.Attempt {
+	if s, occupied := q.slots[c.Server]; occupied && s.Attempt != c.Attempt {
 		return wait
 	}
 	for _, s := range q.slots {
@@ -37,7 +38,7 @@
 	return Result{Valid: true, Granted: true, Standing: r.Standing}
 }
 
-// finish gives the slot back; a whole answer clears the suspect.
+// finish releases the slot. A complete answer clears the suspect.
 func (q *quarantine) finish(c *Finish) Result {
 	held := false
 	for server, s := range q.slots {
--- a/internal/control/quarantine/quarantine.go
+++ b/internal/control/quarantine/quarantine.go
@@ -13,8 +13,8 @@
 const (
 	// Name is the section's name in commands and queries.
 	Name = "quarantine"
-	// maxRecords bounds the memory that a caller can take by prompts that
-	// crash servers, or that happen to run on servers that are lost.
+	// maxRecords bounds the memory that a caller can occupy with prompts that
+	// crash servers, or that run on servers that are lost for other reasons.
 	maxRecords  = 4096
 	maxRunning  = 1024
 	maxRemovals = 1024
@@ -23,7 +23,7 @@
 	minLease    = time.Second
 )
 
-// quarantine is small and changes seldom, so one lock does for all of it.
+// quarantine is the section's state. It is small and rarely changes, so one lock is enough.
 type quarantine struct {
 	mu       sync.RWMutex
 	version  uint64
@@ -31,11 +31,11 @@
 	records  map[suspicion.Fingerprint]*record
 	slots    map[string]slot
 	removals []removal
-	// forgotten is the newest version whose removal is no longer listed.
+	// forgotten is the version of the newest removal that was dropped from removals.
 	forgotten uint64
 }
 
-// New returns the empty section.
+// New returns an empty quarantine section.
 func New() state.Section {
 	return &quarantine{records: map[suspicion.Fingerprint]*record{}, slots: map[string]slot{}}
 }
@@ -77,23 +77,23 @@
 
 // Query implements state.Section.
 func (q *quarantine) Query(query []byte) ([]byte, error) {
-	asked, err := codec.Unmarshal[Query](query)
+	body, err := codec.Unmarshal[Query](query)
 	if err != nil {
 		return nil, err
 	}
 	q.mu.RLock()
 	defer q.mu.RUnlock()
 	switch {
-	case asked.Since != nil:
-		return codec.Marshal(q.since(asked.Since.Version))
-	case asked.List != nil:
-		return codec.Marshal(q.list(asked.List.Workspace))
+	case body.Since != nil:
+		return codec.Marshal(q.since(body.Since.Version))
+	case body.List != nil:
+		return codec.Marshal(q.list(body.List.Workspace))
 	default:
-		return nil, fmt.Errorf("quarantine: the query asks nothing")
+		return nil, fmt.Errorf("quarantine: the query has no field set")
 	}
 }
 
-// encode returns the encoding of r, which can't fail: Result holds plain fields only.
+// encode returns the encoding of r. It can't fail because Result has plain fields only.
 func encode(r Result) []byte {
 	b, err := codec.Marshal(r)
 	if err != nil {
--- a/internal/control/quarantine/quarantine_test.go
+++ b/internal/control/quarantine/quarantine_test.go
@@ -49,7 +49,7 @@
 	return suspicion.Of("w", "m", []byte(prompt))
 }
 
-// view follows the section as an entry does.
+// view returns v updated with the section's changes, as an entry does.
 func view(t testing.TB, s state.Section, v suspicion.View) suspicion.View {
 	t.Helper()
 	b, err := codec.Marshal(Query{Since: &Since{Version: v.Version()}})
@@ -72,9 +72,9 @@
 	return view(t, s, suspicion.View{}).Decide(fingerprint(prompt)).Standing
 }
 
-// A prompt crashes the server that runs it, with twenty others in flight, and
-// is sent again. It is in quarantine after the second server; the twenty are
-// suspects at worst, and the next whole answer of each clears it.
+// A prompt crashes each server that runs it, with twenty others in flight, and
+// is resent. It must be quarantined after the second server. The other twenty
+// may become suspects at most, and the next complete answer of each clears it.
 func TestCulpritIsCondemnedAndInnocentsAreNot(t *testing.T) {
 	s := New()
 	others := make([]string, 20)
@@ -86,12 +86,12 @@
 		t.Fatalf("after one server: %s", got)
 	}
 	if r := apply(t, s, start, Command{Begin: &Begin{Fingerprint: fingerprint("culprit"), Server: "b", Attempt: "1", Lease: time.Minute}}); !r.Granted {
-		t.Fatal("the first probe had to wait")
+		t.Fatal("the first probe wasn't granted")
 	}
 	for i, o := range others {
 		c := Command{Begin: &Begin{Fingerprint: fingerprint(o), Server: "b", Attempt: o, Lease: time.Minute}}
 		if r := apply(t, s, start, c); r.Granted || r.RetryAfter == 0 {
-			t.Fatalf("innocent %d ran beside another suspect", i)
+			t.Fatalf("innocent %d was granted a slot while another suspect runs on the server", i)
 		}
 	}
 	apply(t, s, start.Add(time.Second), lostWith("b", 1, "culprit"))
@@ -107,8 +107,8 @@
 	}
 }
 
-// A server with a broken fan dies every minute, whatever it runs. Nothing that
-// ran there may be condemned for it.
+// A server with a hardware fault crashes every minute, whatever it runs. No
+// request that ran there may be quarantined for it.
 func TestOneServerLostAgainAndAgainCondemnsNothing(t *testing.T) {
 	s := New()
 	for n := range 5 {
@@ -123,50 +123,52 @@
 	}
 }
 
-// An operator has had the engines mended and clears the prompt; each entry
-// hears of it and serves it again.
+// An operator clears a prompt after the engines were fixed. Each entry must
+// learn of it and serve the prompt again. Time alone must not clear it.
 func TestOperatorClears(t *testing.T) {
 	s := New()
 	apply(t, s, start, lostWith("a", 1, "x"))
 	apply(t, s, start, lostWith("b", 1, "x"))
 	v := view(t, s, suspicion.View{})
 	if v.Decide(fingerprint("x")).Standing != suspicion.Quarantined {
-		t.Fatal("it isn't in quarantine")
+		t.Fatal("the prompt isn't quarantined")
 	}
 	apply(t, s, start.Add(1000*time.Hour), Command{Begin: &Begin{Fingerprint: fingerprint("x"), Server: "c", Attempt: "1"}})
 	if standing(t, s, "x") != suspicion.Quarantined {
-		t.Fatal("time alone cleared it")
+		t.Fatal("the prompt was cleared by time alone")
 	}
 	apply(t, s, start, Command{Clear: &Clear{Fingerprint: fingerprint("x"), Operator: "o"}})
 	if v = view(t, s, v); v.Decide(fingerprint("x")).Standing != suspicion.Clear {
-		t.Error("the entry didn't hear of it")
+		t.Error("the entry's view doesn't include the change")
 	}
 }
 
-// Servers die by chance and by culprits, entries send on, probe suspects and
-// hear of changes late. Each culprit costs two servers at most when its caller
-// sends it one after the other, and no innocent stays in quarantine once the
-// culprits beside it are known.
+// Servers crash at random and because of culprits, and entries dispatch requests,
+// probe suspects and learn of changes late. A culprit that its caller sends
+// sequentially must cost two servers at most, and no innocent may stay
+// quarantined once the culprits that ran with it are known.
 func TestServersLostAreBounded(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(fixedSeed)
 	parameters.MinSuccessfulTests = 200
 	properties := gopter.NewProperties(parameters)
-	properties.Property("two servers a culprit", prop.ForAllNoShrink(func(seed uint64) string {
+	properties.Property("a culprit costs two servers", prop.ForAllNoShrink(func(seed uint64) string {
 		return crash(t, rand.New(rand.NewPCG(seed, 5)))
 	}, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
-// Each of these seeds showed a fault once: a companion of two culprits that was
-// condemned for good, companions that met again, a server that was tried twice.
+// Each of these seeds exposed a bug: a request that ran with two culprits was
+// quarantined for good, two such requests ran together again, or a server was
+// probed twice.
 func TestSeedsThatShowedFaults(t *testing.T) {
 	for _, seed := range []uint64{15999436001718228299, 16651434024655558206, 4850054702728922916, 6911145136689758763} {
-		if wrong := crash(t, rand.New(rand.NewPCG(seed, 5))); wrong != "" {
-			t.Errorf("seed %d: %s", seed, wrong)
+		if failure := crash(t, rand.New(rand.NewPCG(seed, 5))); failure != "" {
+			t.Errorf("seed %d: %s", seed, failure)
 		}
 	}
 }
 
+// crash simulates random losses of servers and returns a description of the first violation, or "".
 func crash(t *testing.T, r *rand.Rand) string {
 	s := New()
 	at := start
@@ -177,7 +179,7 @@
 		at = at.Add(time.Second)
 		v = view(t, s, v)
 		if n%20 == 7 {
-			s = reborn(t, s)
+			s = restored(t, s)
 		}
 		c := r.IntN(culprits)
 		culprit := fmt.Sprint("culprit ", c)
@@ -204,14 +206,14 @@
 	v = view(t, s, v)
 	for i := range 60 {
 		if v.Decide(fingerprint(fmt.Sprint("innocent ", i))).Standing == suspicion.Quarantined {
-			return fmt.Sprintf("innocent %d is in quarantine", i)
+			return fmt.Sprintf("innocent %d is quarantined", i)
 		}
 	}
 	return ""
 }
 
-// innocent returns the i-th innocent when it may run at the server now: as any
-// other, or with the server's slot when it is a suspect.
+// innocent returns the name of the i-th innocent if it may run on the server
+// now: because it is clear, or because it is a suspect and got the server's slot.
 func innocent(t *testing.T, s state.Section, at time.Time, v suspicion.View, server string, i int) []string {
 	name := fmt.Sprint("innocent ", i)
 	switch v.Decide(fingerprint(name)).Standing {
@@ -226,21 +228,22 @@
 	return nil
 }
 
-func reborn(t testing.TB, s state.Section) state.Section {
+// restored returns a new section restored from a snapshot of s and checks that its own snapshot is the same.
+func restored(t testing.TB, s state.Section) state.Section {
 	t.Helper()
 	b, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := New()
-	if err := again.Restore(b); err != nil {
+	fresh := New()
+	if err := fresh.Restore(b); err != nil {
 		t.Fatal(err)
 	}
-	second, err := again.Snapshot()
+	second, err := fresh.Snapshot()
 	if err != nil || !bytes.Equal(b, second) {
-		t.Fatalf("the restored state has another snapshot: %v", err)
+		t.Fatalf("the snapshot of the restored state differs: %v", err)
 	}
-	return again
+	return fresh
 }
 
 func FuzzApply(f *testing.F) {
@@ -254,6 +257,6 @@
 	f.Fuzz(func(t *testing.T, command []byte) {
 		s := New()
 		s.Apply(start, command)
-		reborn(t, s)
+		restored(t, s)
 	})
 }
--- a/internal/control/quarantine/query.go
+++ b/internal/control/quarantine/query.go
@@ -12,46 +12,46 @@
 	List  *List  `cbor:"list,omitempty"`
 }
 
-// Since asks for what is newer than a version.
+// Since asks for the changes after a version.
 type Since struct {
-	// Version is the newest one that is known.
+	// Version is the newest version that the caller knows.
 	Version uint64 `cbor:"version"`
 }
 
-// Changes is the answer to Since.
+// Changes is the result of Since.
 type Changes struct {
 	// Version is the section's version.
 	Version uint64 `cbor:"version"`
-	// Whole is true when the list is all there is, because older changes are forgotten.
+	// Whole is true if Changes is the complete state, because older changes are no longer kept.
 	Whole bool `cbor:"whole"`
-	// Changes are the standings newer than the asked version.
+	// Changes are the standings that changed after the requested version.
 	Changes []suspicion.Change `cbor:"changes"`
 }
 
-// List asks for the records of a workspace, or of all when it is empty.
+// List asks for the suspect and quarantined requests.
 type List struct {
-	// Workspace is the workspace's name or empty.
+	// Workspace is the workspace's name; empty selects all workspaces.
 	Workspace string `cbor:"workspace"`
 }
 
-// Listing is the answer to List, ordered by fingerprint.
+// Listing is the result of List, ordered by fingerprint.
 type Listing struct {
-	// Items are the suspects and the quarantined.
+	// Items are the suspect and quarantined requests.
 	Items []Item `cbor:"items" json:"items"`
 }
 
 // Item is one suspect or quarantined request.
 type Item struct {
-	// Fingerprint is its hexadecimal form.
+	// Fingerprint is the fingerprint in hexadecimal.
 	Fingerprint string `cbor:"fingerprint" json:"fingerprint"`
-	// Workspace is whose request it is.
+	// Workspace is the workspace that sent the request.
 	Workspace string `cbor:"workspace" json:"workspace"`
-	// Model is what it asked.
+	// Model is the requested model.
 	Model string `cbor:"model" json:"model"`
 	// Standing is suspect or quarantined.
 	Standing suspicion.Standing `cbor:"standing" json:"standing"`
-	// Servers are the identities of the servers lost under it.
+	// Servers are the identities of the servers that were lost while they ran it.
 	Servers []string `cbor:"servers" json:"servers"`
-	// Since is when its first loss that counts was recorded.
+	// Since is when the first loss that still counts was recorded.
 	Since time.Time `cbor:"since" json:"since"`
 }
--- a/internal/control/quarantine/record.go
+++ b/internal/control/quarantine/record.go
@@ -32,7 +32,7 @@
 	return i
 }
 
-// servers returns the different servers that were lost.
+// servers returns the distinct servers that were lost.
 func (r *record) servers() []string {
 	var names []string
 	for _, l := range r.Losses {
@@ -43,14 +43,14 @@
 	return names
 }
 
-// slot is a server's place for one suspect.
+// slot is a suspect's lease on a server: the server runs no other suspect until it ends.
 type slot struct {
 	Fingerprint suspicion.Fingerprint `cbor:"fingerprint"`
 	Attempt     string                `cbor:"attempt"`
 	Until       int64                 `cbor:"until"`
 }
 
-// removal remembers that a fingerprint became clear.
+// removal records that a fingerprint became clear.
 type removal struct {
 	Fingerprint suspicion.Fingerprint `cbor:"fingerprint"`
 	Version     uint64                `cbor:"version"`
--- a/internal/control/quarantine/result.go
+++ b/internal/control/quarantine/result.go
@@ -6,17 +6,17 @@
 	"hornbeamwood/internal/policy/suspicion"
 )
 
-// Result answers a command.
+// Result is the result of a command.
 type Result struct {
 	// Valid is false for a malformed command.
 	Valid bool `cbor:"valid"`
-	// Granted is true when a Begin got its slot or needs none.
+	// Granted is true if a Begin got its slot or needs none.
 	Granted bool `cbor:"granted,omitempty"`
-	// Standing is that of the command's fingerprint after it.
+	// Standing is the standing of the command's fingerprint after the command.
 	Standing suspicion.Standing `cbor:"standing,omitempty"`
-	// RetryAfter is set for a Begin that wasn't granted.
+	// RetryAfter is set for a suspect's Begin that wasn't granted.
 	RetryAfter time.Duration `cbor:"retry-after,omitempty"`
-	// Avoid are the servers that were lost under a suspect; a probe elsewhere tells more.
+	// Avoid are the servers that a suspect's runs already lost; a probe on another server is more conclusive.
 	Avoid []string `cbor:"avoid,omitempty"`
 	// Changes are the standings that the command changed.
 	Changes []suspicion.Change `cbor:"changes,omitempty"`
--- a/internal/control/quarantine/snapshot.go
+++ b/internal/control/quarantine/snapshot.go
@@ -5,7 +5,7 @@
 	"hornbeamwood/internal/policy/suspicion"
 )
 
-// image is the snapshot of the section.
+// image is the encoded form of the section in a snapshot.
 type image struct {
 	Version   uint64          `cbor:"version"`
 	Forgotten uint64          `cbor:"forgotten"`
