--- a/internal/control/admission/doc.go
+++ b/internal/control/admission/doc.go
@@ -1,4 +1,4 @@
-// Package admission keeps the members of the control log equal to the replicas
-// that run, without an operator: replicas ask the leader to be taken in, and
-// the leader promotes, replaces and drops them.
+// Package admission keeps the members of the control log equal to the running
+// replicas without an operator. Replicas ask the leader to add them as learners,
+// and the leader promotes, replaces and removes members.
 package admission
--- a/internal/control/admission/next.go
+++ b/internal/control/admission/next.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// SilentAfter is how long a member answers nothing until it counts as lost: well over an election.
+	// SilentAfter is how long a member is silent before it counts as lost: well over the time of an election.
 	SilentAfter = 2500 * time.Millisecond
-	// DropAfter is how long a voter is silent until it is dropped: longer than
-	// the freezes and cuts of a few seconds that a VM comes back from.
+	// DropAfter is how long a member is silent before it is removed: longer than
+	// the suspensions and partitions of a few seconds from which a VM recovers.
 	DropAfter = 10 * time.Second
-	// minVoters must remain after a voter is dropped for silence.
+	// minVoters is the number of voters that must remain after a voter is removed.
 	minVoters = 3
-	// maxLag is how many entries a learner may lack when it gets its vote.
+	// maxLag is how many entries a learner may be behind when it becomes a voter.
 	maxLag = 64
 )
 
-// rule proposes a change, or none.
+// rule returns a change that the view calls for and whether there is one.
 type rule func(v View) (protocol.Change, bool)
 
-// rules in the order of their priority: a vote for a replica that has caught
-// up comes before the loss of one, so that a quorum never shrinks to those that
-// hold what was accepted only by luck.
+// rules are in order of priority. A replica that has caught up is promoted
+// before a voter is removed, so that a quorum never shrinks to replicas that
+// hold the committed entries only by chance.
 var rules = []rule{promoteLearner, dropReplaced, dropSuperfluousVoter, dropSilentLearner, dropSilentVoter}
 
-// Next returns the change of the members to make now and false when there is none.
+// Next returns the membership change to make now, or false if there is none.
 func Next(v View) (protocol.Change, bool) {
 	for _, r := range rules {
 		if c, ok := r(v); ok {
@@ -43,23 +43,23 @@
 	})
 }
 
-// dropReplaced drops an identity whose disk is gone: another one answers at its address.
+// dropReplaced removes an identity whose disk is lost, as shown by another identity at its address.
 //
-// Its vote can never come again, and until it is dropped each further loss
-// counts double.
+// The old identity can never vote again. Until it is removed, the group
+// tolerates one failure less.
 func dropReplaced(v View) (protocol.Change, bool) {
 	return first(v, protocol.Remove, func(m raft.Member) bool {
 		return v.Replaced[m.Identity] && (!m.Voter || v.safeWithout(m))
 	})
 }
 
-// dropSuperfluousVoter drops a silent voter from an even number of voters at once.
+// dropSuperfluousVoter removes a silent voter immediately if the number of voters is even.
 //
-// When a machine is gone for good and its successor at another address has got
-// its vote, three voters have become four with one dead: the next loss leaves two
-// of four and the control log stops, until the dead one counts as lost seconds
-// later. An even number of voters bears no more losses than one voter less, so
-// that nothing is given up by dropping one that may come back; it joins again.
+// When a machine is lost for good and its replacement at another address has
+// become a voter, three voters have become four, one of them dead. Another loss
+// would leave two of four and stop the control log until the dead voter reaches
+// DropAfter seconds later. An even number of voters tolerates no more losses than
+// one voter less, so removing a voter that may recover costs nothing: it joins again.
 func dropSuperfluousVoter(v View) (protocol.Change, bool) {
 	if v.voters()%2 != 0 {
 		return protocol.Change{}, false
@@ -75,14 +75,14 @@
 	})
 }
 
-// dropSilentVoter drops a voter that was lost for good and whose machine has no successor at its address.
+// dropSilentVoter removes a voter that was lost for good and has no replacement at its address.
 func dropSilentVoter(v View) (protocol.Change, bool) {
 	return first(v, protocol.Remove, func(m raft.Member) bool {
 		return m.Voter && v.Silent[m.Identity] >= DropAfter && v.safeWithout(m)
 	})
 }
 
-// safeWithout returns whether enough voters remain and a majority of them is alive.
+// safeWithout returns whether, without the given member, enough voters remain and a majority of them is alive.
 func (v View) safeWithout(dropped raft.Member) bool {
 	voters, alive := 0, 0
 	for _, m := range v.Members {
@@ -97,6 +97,7 @@
 	return voters >= minVoters && alive > voters/2
 }
 
+// first returns a change of the given kind for the first member other than the leader that want accepts.
 func first(v View, kind protocol.ChangeKind, want func(raft.Member) bool) (protocol.Change, bool) {
 	for _, m := range v.Members {
 		if m.Identity != v.Self && want(m) {
--- a/internal/control/admission/next_test.go
+++ b/internal/control/admission/next_test.go
@@ -20,9 +20,9 @@
 
 func learner(id raft.Identity) raft.Member { return raft.Member{Identity: id} }
 
-// A machine came back with an empty disk. The identity that its old disk had
-// can't vote any more; as long as it stands among the voters the next loss
-// stops the control log, and the operator's changes aren't accepted.
+// Guards against keeping the identity of a machine that restarted with an empty
+// disk. That identity can't vote any more, and while it is among the voters the
+// next loss stops the control log and the operator's changes are rejected.
 func TestReplacedIdentityIsDroppedAfterItsSuccessorVotes(t *testing.T) {
 	v := view(voter("a"), voter("b"), voter("c"), learner("c2"))
 	v.Replaced["c"] = true
@@ -31,8 +31,8 @@
 	want(t, v, protocol.Remove, "c")
 }
 
-// A learner that lacks most of the log must not get a vote: a quorum with it
-// could lose what was accepted.
+// Guards against promoting a learner that lacks most of the log: a quorum that
+// includes it could lose committed entries.
 func TestLearnerBehindStaysLearner(t *testing.T) {
 	v := view(voter("a"), voter("b"), voter("c"), learner("d"))
 	v.Matches["d"] = 100 - maxLag - 1
@@ -42,9 +42,9 @@
 	none(t, v)
 }
 
-// One voter of five is silent for a few seconds: it may be frozen or cut off
-// and comes back. It is dropped only when it stays away, and never when too
-// few would remain.
+// Guards against removing a voter that is silent for a few seconds, because it may
+// be suspended or partitioned and recover. It is removed only after DropAfter, and
+// never if too few voters would remain.
 func TestSilentVoter(t *testing.T) {
 	v := view(voter("a"), voter("b"), voter("c"), voter("d"), voter("e"))
 	v.Silent["e"] = DropAfter - time.Millisecond
@@ -58,10 +58,10 @@
 	none(t, v)
 }
 
-// One of three machines is gone for good, another one at a new address has taken
-// its place and votes. Right after that repair a second machine is lost. With the
-// dead voter still counted two of four are left, and no change of the operator is
-// accepted or read back any more.
+// Guards against a control log that stops when a second machine is lost right after
+// the replacement of the first became a voter at a new address. If the dead voter
+// still counted, two of four voters would be left, and the operator's changes could
+// be neither committed nor read.
 func TestDeadVoterGoesAsSoonAsItsSuccessorVotes(t *testing.T) {
 	v := view(voter("a"), voter("b"), voter("c"), learner("d"))
 	v.Silent["b"] = SilentAfter
--- a/internal/control/admission/random_test.go
+++ b/internal/control/admission/random_test.go
@@ -14,7 +14,7 @@
 	"hornbeamwood/internal/control/raft"
 )
 
-// randomView draws a group of 1 to 12 members, some of them learners, silent or replaced.
+// randomView returns a random group of 1 to 12 members, some of them learners, silent or replaced.
 func randomView(r *rand.Rand) View {
 	v := View{Self: "m0", Commit: uint64(r.IntN(200)), Matches: map[raft.Identity]uint64{}, Silent: map[raft.Identity]time.Duration{}, Replaced: map[raft.Identity]bool{}}
 	for i := range 1 + r.IntN(12) {
@@ -48,7 +48,7 @@
 	return v
 }
 
-// margin returns how many more of the living voters may be lost; negative without a quorum.
+// margin returns how many more live voters may be lost; it is negative without a quorum.
 func (v View) margin() int {
 	alive := 0
 	for _, m := range v.Members {
@@ -59,10 +59,10 @@
 	return alive - (v.voters()/2 + 1)
 }
 
-// Whatever sizes a site has and whoever is silent there, no change of the members
-// may take the leader out, leave too few voters, or leave fewer losses to bear
-// than before: the next one would stop the operator's changes. The changes must
-// come to an end.
+// For any group size and any set of silent members, no membership change may
+// remove the leader, leave too few voters, or reduce the number of losses that the
+// group tolerates, because the next loss would then stop the operator's changes.
+// The sequence of changes must end.
 func TestMembersOfRandomGroups(t *testing.T) {
 	p := gopter.NewProperties(nil)
 	p.Property("each change helps", prop.ForAll(func(seed uint64) bool {
--- a/internal/control/admission/keeper_test.go
+++ b/internal/control/admission/reconciler_test.go
@@ -14,7 +14,7 @@
 	"hornbeamwood/internal/control/replica"
 )
 
-// fakeReplica is a replica that stands where the test says.
+// fakeReplica is a replica with a fixed status.
 type fakeReplica struct {
 	status replica.Status
 }
@@ -23,17 +23,17 @@
 func (r fakeReplica) Promote(context.Context, raft.Identity) error { return nil }
 func (r fakeReplica) Remove(context.Context, raft.Identity) error  { return nil }
 
-// fakePeers are replicas by their address; it notes who was asked where it stands and who to take a member in.
+// fakePeers are replicas by address. It records whose status was requested and which replica was asked to add a member.
 type fakePeers struct {
 	statuses map[string]replica.Status
-	asked    string
+	joinedAt string
 
 	mu    sync.Mutex
 	calls []string
 }
 
 func (p *fakePeers) Probe(context.Context, string) (replica.Formation, error) {
-	return replica.Formation{}, errors.New("not asked here")
+	return replica.Formation{}, errors.New("not probed in these tests")
 }
 
 func (p *fakePeers) Status(_ context.Context, address string) (replica.Status, error) {
@@ -48,11 +48,11 @@
 }
 
 func (p *fakePeers) Join(_ context.Context, address string, _ raft.Member) error {
-	p.asked = address
+	p.joinedAt = address
 	return nil
 }
 
-// Guards against a replica that lost its disk staying out while no seed leads.
+// Guards against a replica that lost its disk and can't join while no seed is the leader.
 func TestBlankReplicaFindsALeaderThatIsNoSeed(t *testing.T) {
 	members := []raft.Member{
 		{Identity: "1", Address: "seed-1", Voter: true},
@@ -62,19 +62,19 @@
 	follower := replica.Status{Role: raft.Follower.String(), Term: 2, Leader: "other", LeaderAddress: "other", Members: members}
 	leader := replica.Status{Role: raft.Leader.String(), Term: 2, Address: "other", Leader: "other", LeaderAddress: "other", Members: members}
 	p := &fakePeers{statuses: map[string]replica.Status{"seed-1": follower, "seed-2": follower, "other": leader}}
-	k := NewKeeper(Config{
+	r := NewKeeper(Config{
 		Replica:   fakeReplica{replica.Status{Identity: "9", Address: "blank", Role: replica.RoleBlank}},
 		Peers:     p,
 		Addresses: func() []string { return []string{"seed-1", "seed-2"} },
 	})
-	k.Look(t.Context())
-	if p.asked != "other" {
-		t.Errorf("asked %q to be taken in, the leader is at %q", p.asked, "other")
+	r.Reconcile(t.Context())
+	if p.joinedAt != "other" {
+		t.Errorf("asked %q to join, the leader is at %q", p.joinedAt, "other")
 	}
 }
 
-// blankKeeper returns a Keeper of a replica that lost its disk and knows the addresses alone.
-func blankKeeper(p Peers, known ...string) Keeper {
+// blankReconciler returns a Keeper of a replica that lost its disk and knows only the given addresses.
+func blankReconciler(p Peers, known ...string) Keeper {
 	return NewKeeper(Config{
 		Replica:   fakeReplica{replica.Status{Identity: "9", Address: "blank", Role: replica.RoleBlank}},
 		Peers:     p,
@@ -82,72 +82,72 @@
 	})
 }
 
-// Guards against a replica that lost its disk asking a former leader, which a seed that was cut off still names.
+// Guards against a replica that lost its disk and asks a former leader, which a partitioned seed still reports.
 func TestBlankReplicaPassesOverAFormerLeader(t *testing.T) {
 	stale := replica.Status{Role: raft.Follower.String(), Term: 2, LeaderAddress: "former"}
 	fresh := replica.Status{Role: raft.Follower.String(), Term: 3, LeaderAddress: "leader"}
 	former := replica.Status{Role: raft.Follower.String(), Term: 3, Address: "former", LeaderAddress: "leader"}
 	leader := replica.Status{Role: raft.Leader.String(), Term: 3, Address: "leader"}
 	p := &fakePeers{statuses: map[string]replica.Status{"seed-1": stale, "former": former, "seed-2": fresh, "leader": leader}}
-	blankKeeper(p, "seed-1").Look(t.Context())
-	if p.asked != "" {
-		t.Errorf("asked %q to be taken in, which doesn't lead", p.asked)
+	blankReconciler(p, "seed-1").Reconcile(t.Context())
+	if p.joinedAt != "" {
+		t.Errorf("asked %q to join, which isn't the leader", p.joinedAt)
 	}
-	blankKeeper(p, "seed-1", "seed-2").Look(t.Context())
-	if p.asked != "leader" {
-		t.Errorf("asked %q to be taken in, the leader is at %q", p.asked, "leader")
+	blankReconciler(p, "seed-1", "seed-2").Reconcile(t.Context())
+	if p.joinedAt != "leader" {
+		t.Errorf("asked %q to join, the leader is at %q", p.joinedAt, "leader")
 	}
 }
 
-// Guards against a replica that lost its disk asking whomever others name.
+// Guards against a replica that lost its disk and queries every leader that others report.
 func TestBlankReplicaAsksFewOfTheNamedLeaders(t *testing.T) {
 	p := &fakePeers{statuses: map[string]replica.Status{}}
 	var known []string
 	for i := range uint64(20) {
 		a := fmt.Sprint("seed-", i)
 		known = append(known, a)
-		p.statuses[a] = replica.Status{Role: raft.Follower.String(), Term: i, LeaderAddress: fmt.Sprint("named-", i)}
+		p.statuses[a] = replica.Status{Role: raft.Follower.String(), Term: i, LeaderAddress: fmt.Sprint("reported-", i)}
 	}
-	p.statuses["named-19"] = replica.Status{Role: raft.Leader.String(), Term: 19, Address: "named-19"}
-	blankKeeper(p, known...).Look(t.Context())
-	if p.asked != "named-19" {
-		t.Errorf("asked %q to be taken in, the leader is at %q", p.asked, "named-19")
+	p.statuses["reported-19"] = replica.Status{Role: raft.Leader.String(), Term: 19, Address: "reported-19"}
+	blankReconciler(p, known...).Reconcile(t.Context())
+	if p.joinedAt != "reported-19" {
+		t.Errorf("asked %q to join, the leader is at %q", p.joinedAt, "reported-19")
 	}
-	if most := len(known) + maxNamed; len(p.calls) > most {
-		t.Errorf("%d replicas were asked where they stand, %d at most", len(p.calls), most)
+	if limit := len(known) + maxReported; len(p.calls) > limit {
+		t.Errorf("the status of %d replicas was requested, the limit is %d", len(p.calls), limit)
 	}
 }
 
-// Guards against a replica that stays out without a line that says so.
+// Guards against a replica that can't join and logs nothing about it.
 func TestSearchInVainIsToldOnce(t *testing.T) {
 	follower := replica.Status{Role: raft.Follower.String(), Term: 2, LeaderAddress: "leader"}
 	p := &fakePeers{statuses: map[string]replica.Status{"seed-1": follower}}
-	written := memory.New()
-	k := NewKeeper(Config{
+	handler := memory.New()
+	r := NewKeeper(Config{
 		Replica:   fakeReplica{replica.Status{Name: "r", Identity: "9", Address: "blank", Role: replica.RoleBlank}},
 		Peers:     p,
 		Addresses: func() []string { return []string{"seed-1"} },
-		Logger:    &log.Logger{Handler: written, Level: log.InfoLevel},
+		Logger:    &log.Logger{Handler: handler, Level: log.InfoLevel},
 	})
-	in := func() int {
+	logged := func() int {
 		n := 0
-		for _, e := range written.Entries {
+		for _, e := range handler.Entries {
 			if e.Message == "leader-not-found" {
 				n++
 			}
 		}
 		return n
 	}
-	k.Look(t.Context())
-	k.Look(t.Context())
-	if in() != 1 {
-		t.Fatalf("told %d times in one search", in())
+	r.Reconcile(t.Context())
+	r.Reconcile(t.Context())
+	if logged() != 1 {
+		t.Fatalf("logged %d times in one search", logged())
 	}
 	p.statuses["leader"] = replica.Status{Role: raft.Leader.String(), Term: 2, Address: "leader"}
-	k.Look(t.Context())
+	r.Reconcile(t.Context())
 	delete(p.statuses, "leader")
-	k.Look(t.Context())
-	if in() != 2 {
-		t.Errorf("told %d times in two searches", in())
+	r.Reconcile(t.Context())
+	if logged() != 2 {
+		t.Errorf("logged %d times in two searches", logged())
 	}
 }
--- a/internal/control/admission/view.go
+++ b/internal/control/admission/view.go
@@ -6,28 +6,28 @@
 	"hornbeamwood/internal/control/raft"
 )
 
-// View is what the leader knows when it decides.
+// View is the leader's knowledge of the group on which Next decides.
 type View struct {
 	// Self is the leader's identity.
 	Self raft.Identity
-	// Members are those of the latest committed configuration.
+	// Members are the members of the latest committed configuration.
 	Members []raft.Member
-	// Matches is the last entry on each member's disk.
+	// Matches is the index of the last entry on each member's disk.
 	Matches map[raft.Identity]uint64
-	// Commit is the last committed entry.
+	// Commit is the index of the last committed entry.
 	Commit uint64
-	// Silent is how long each member has not answered under its identity.
+	// Silent is how long ago each member last answered under its identity.
 	Silent map[raft.Identity]time.Duration
-	// Replaced holds members at whose address another identity answered.
+	// Replaced is true for members at whose address another identity answered.
 	Replaced map[raft.Identity]bool
 }
 
-// alive returns whether the member answered lately under its identity.
+// alive returns whether the member answered recently under its identity.
 func (v View) alive(m raft.Member) bool {
 	return m.Identity == v.Self || !v.Replaced[m.Identity] && v.Silent[m.Identity] < SilentAfter
 }
 
-// voters returns how many members have a vote.
+// voters returns the number of voters.
 func (v View) voters() int {
 	n := 0
 	for _, m := range v.Members {
@@ -38,7 +38,7 @@
 	return n
 }
 
-// caughtUp returns whether the member's disk holds nearly all that is committed.
+// caughtUp returns whether the member's disk holds all but the last maxLag committed entries.
 func (v View) caughtUp(m raft.Member) bool {
 	return v.Matches[m.Identity]+maxLag >= v.Commit && v.Matches[m.Identity] > 0
 }
