--- a/internal/control/disk/bench_test.go
+++ b/internal/control/disk/bench_test.go
@@ -22,7 +22,7 @@
 	return s
 }
 
-// BenchmarkAppend measures one write and sync of some entries of 200 bytes.
+// BenchmarkAppend measures one write and sync of the given number of entries of 200 bytes.
 func BenchmarkAppend(b *testing.B) {
 	for _, count := range []int{1, 16, 128} {
 		b.Run(fmt.Sprintf("entries=%d", count), func(b *testing.B) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// BenchmarkSnapshot measures saving a synced snapshot, and what that is per MB.
+// BenchmarkSnapshot measures saving and syncing a snapshot, in total and per MB.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, size := range []int{1, 4, 16} {
 		b.Run(fmt.Sprintf("MB=%d", size), func(b *testing.B) {
--- a/internal/control/disk/document.go
+++ b/internal/control/disk/document.go
@@ -7,13 +7,13 @@
 	"hornbeamwood/internal/base/codec"
 )
 
-// temporary is the ending of names that are never read; they are removed at the next start.
+// temporary is the suffix of files that are never read. They are removed at the next start.
 const temporary = ".tmp"
 
-// writeDocument puts frames under name, whole or not at all.
+// writeDocument writes content to the file name atomically.
 //
-// A file that is written in place is half there after a crash; the final name
-// appears only after the content is on the device.
+// A file that is written in place may be incomplete after a crash. Here the
+// final name appears only after the content is on the device.
 func writeDocument(files Files, name string, content []byte) error {
 	if err := writeTemporary(files, name+temporary, content); err != nil {
 		return err
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// writeValue puts one value under name.
+// writeValue writes the encoding of v to the file name atomically.
 func writeValue[T any](files Files, name string, v T) error {
 	b, err := codec.Marshal(v)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return writeDocument(files, name, appendFrame(nil, b))
 }
 
-// readValue returns the value under name; a missing file is fs.ErrNotExist.
+// readValue returns the value in the file name. The error of a missing file is fs.ErrNotExist.
 func readValue[T any](files Files, name string) (T, error) {
 	var zero T
 	b, err := files.Read(name)
--- a/internal/control/disk/folder.go
+++ b/internal/control/disk/folder.go
@@ -10,7 +10,7 @@
 	"syscall"
 )
 
-// Permissions of the data folder: the log holds keys' digests and callers' outcomes.
+// Permissions of the data folder. Only the owner may read it, because the log contains digests of keys and callers' outcomes.
 const (
 	folderMode = 0o700
 	fileMode   = 0o600
@@ -20,7 +20,7 @@
 	path string
 }
 
-// NewFolder returns the Files of the folder at path, which is created when it is missing.
+// NewFolder returns the Files of the folder at path and creates the folder if it is missing.
 func NewFolder(path string) (Files, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, fmt.Errorf("disk: data folder: %w", err)
--- a/internal/control/disk/founding.go
+++ b/internal/control/disk/founding.go
@@ -2,10 +2,10 @@
 
 import "hornbeamwood/internal/control/raft"
 
-// Founding is the first configuration of a log, the same on each replica for ever.
+// Founding is the first configuration of a log. It is the same on each replica and never changes.
 type Founding struct {
-	// ID is random and names this log; replicas of another one are not answered.
+	// ID is the random ID of this log; requests from replicas of another log are not answered.
 	ID string `cbor:"id"`
-	// Configuration holds the founding members.
+	// Configuration contains the founding members.
 	Configuration raft.Configuration `cbor:"configuration"`
 }
--- a/internal/control/disk/frame.go
+++ b/internal/control/disk/frame.go
@@ -5,11 +5,11 @@
 	"hash/crc32"
 )
 
-// A frame is: length of the payload (4 bytes), its checksum (4), the checksum
-// of these eight bytes (4), the payload.
+// A frame consists of the length of the payload (4 bytes), the payload's
+// checksum (4), the checksum of these eight bytes (4), and the payload.
 //
 // The header has its own checksum so that a flipped bit in the length can't
-// make acknowledged data look like a record that was never finished.
+// make acknowledged data look like an incomplete record.
 const (
 	headerSize = 12
 	maxFrame   = 1 << 30
@@ -17,18 +17,18 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// frameState is what stands at a place of a file.
+// frameState is the state of the data at a position of a file.
 type frameState uint8
 
 const (
 	frameWhole frameState = iota
-	// frameTorn means that the file ends before the record does: its write was never finished.
+	// frameTorn means that the file ends before the frame does, because its write was not completed.
 	frameTorn
-	// frameCorrupt means that the bytes are there and wrong.
+	// frameCorrupt means that the frame doesn't match its checksum or exceeds maxFrame.
 	frameCorrupt
 )
 
-// appendFrame returns b with a frame around payload added.
+// appendFrame appends a frame with payload to b and returns the extended slice.
 func appendFrame(b, payload []byte) []byte {
 	start := len(b)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(payload)))
@@ -37,7 +37,7 @@
 	return append(b, payload...)
 }
 
-// readFrame returns the payload at the start of b and the bytes that it takes.
+// readFrame returns the payload of the frame at the start of b and the size of that frame.
 func readFrame(b []byte) (payload []byte, size int, state frameState) {
 	if len(b) < headerSize {
 		return nil, 0, frameTorn
--- a/internal/control/disk/owner.go
+++ b/internal/control/disk/owner.go
@@ -2,7 +2,7 @@
 
 import "hornbeamwood/internal/control/raft"
 
-// owner says which replica a data folder belongs to.
+// owner identifies the replica to which a data folder belongs.
 type owner struct {
 	Name     string        `cbor:"name"`
 	Identity raft.Identity `cbor:"identity"`
--- a/internal/control/disk/record.go
+++ b/internal/control/disk/record.go
@@ -11,13 +11,13 @@
 type recordKind byte
 
 const (
-	// recordStart opens a segment: the index behind which its entries follow, and the hard state.
+	// recordStart is the first record of a segment. It contains the index of the last entry before the segment.
 	recordStart recordKind = iota + 1
-	// recordHardState holds a new hard state.
+	// recordHardState contains a new hard state.
 	recordHardState
-	// recordEntry holds an entry, which replaces all that have its index or a higher one.
+	// recordEntry contains an entry, which replaces all entries with the same or a higher index.
 	recordEntry
-	// recordReset drops all entries; the next one follows the given index.
+	// recordReset removes all entries. It contains the index that the next entry follows.
 	recordReset
 )
 
@@ -39,7 +39,7 @@
 	return appendFrame(b, binary.LittleEndian.AppendUint64(payload, after))
 }
 
-// appendEntry returns b with an entry's record added; scratch is reused for the payload.
+// appendEntry appends the record of e to b and returns the extended slice; scratch is reused for the payload.
 func appendEntry(b []byte, e raft.Entry, scratch []byte) (out, reused []byte) {
 	payload := append(scratch[:0], byte(recordEntry), byte(e.Kind))
 	payload = binary.LittleEndian.AppendUint64(payload, e.Index)
@@ -48,7 +48,7 @@
 	return appendFrame(b, payload), payload
 }
 
-// entryHeader is the length of an entry's record before its data.
+// entryHeader is the length in bytes of an entry record before the entry's data.
 const entryHeader = 18
 
 func parseEntry(payload []byte) (raft.Entry, error) {
--- a/internal/control/disk/replay.go
+++ b/internal/control/disk/replay.go
@@ -6,20 +6,21 @@
 	"hornbeamwood/internal/control/raft"
 )
 
-// replay rebuilds the log from its segments.
+// replay reconstructs the log from its segments.
 type replay struct {
 	files    Files
 	snapshot raft.SnapshotMeta
 	hard     raft.HardState
-	// after is the index that entries follow.
+	// after is the index of the last entry before entries.
 	after    uint64
 	entries  []raft.Entry
 	segments []segment
-	// opened says that the segment's start was read, started that any was.
+	// opened is true after the start record of the current segment was read,
+	// started after that of any segment was.
 	opened, started bool
 }
 
-// read takes one segment and returns where its torn tail begins, -1 when it has none.
+// read replays one segment and returns the offset of its torn tail, or -1 if it has none.
 func (r *replay) read(name string, newest bool) (int64, error) {
 	b, err := r.files.Read(name)
 	if err != nil {
@@ -49,11 +50,12 @@
 	return -1, nil
 }
 
-// torn accepts an unfinished record only at the end of the newest segment.
+// torn accepts an incomplete record only at the end of the newest segment.
 //
-// Every segment is synced before the next one is created, and an answer is
-// given only after a sync, so that a file that ends within a record can only
-// be a write that was never acknowledged. Anywhere else something is lost.
+// Every segment is synced before the next one is created, and a write is
+// acknowledged only after a sync. An incomplete record at the end of the newest
+// segment therefore was never acknowledged; in an older segment it means that
+// acknowledged data is lost.
 func (r *replay) torn(name string, at int, newest bool) (int64, error) {
 	if !newest {
 		return 0, r.corrupt(name, at, "the file ends within a record, yet a later segment exists")
@@ -65,7 +67,7 @@
 	return &Corruption{Path: r.files.Path(name), Offset: int64(at), Reason: reason}
 }
 
-// record takes one record's payload.
+// record replays one record, given its payload.
 func (r *replay) record(payload []byte) error {
 	if len(payload) == 0 {
 		return errRecord
@@ -121,7 +123,7 @@
 		return fmt.Errorf("entry %d follows entry %d", e.Index, end)
 	}
 	if e.Index <= r.after {
-		// A leader overwrote entries whose segment is removed by now.
+		// A leader overwrote entries whose segment has been removed since.
 		r.after, r.entries = e.Index-1, nil
 	}
 	r.entries = append(r.entries[:e.Index-r.after-1], e)
@@ -141,7 +143,7 @@
 	return nil
 }
 
-// finish returns the entries behind the snapshot and whether the log must be reset to it.
+// finish returns the entries after the snapshot and whether the log must be reset to the snapshot.
 func (r *replay) finish() (entries []raft.Entry, reset bool, err error) {
 	s := r.snapshot
 	end := r.after + uint64(len(r.entries))
@@ -154,7 +156,7 @@
 	}
 	if s.Index > end || r.entries[s.Index-r.after-1].Term != s.Term {
 		// A snapshot was installed and the process died before the log was
-		// reset; what the log holds is older or was overwritten by a leader.
+		// reset. The entries of the log are older or were overwritten by a leader.
 		return nil, true, nil
 	}
 	return r.entries[s.Index-r.after:], false, nil
--- a/internal/control/disk/segment.go
+++ b/internal/control/disk/segment.go
@@ -7,14 +7,14 @@
 
 const (
 	segmentPrefix = "log-"
-	// segmentMagic opens each segment and names the version of its format.
+	// segmentMagic is the start of each segment and identifies the version of the format.
 	segmentMagic = "hbwlog01"
 )
 
-// segment is one file of the log that is no longer written.
+// segment is one file of the log.
 type segment struct {
 	name string
-	// last is the highest index of an entry in it.
+	// last is the highest index of an entry in the segment.
 	last uint64
 }
 
--- a/internal/control/disk/snapshot_file.go
+++ b/internal/control/disk/snapshot_file.go
@@ -14,7 +14,7 @@
 	return fmt.Sprintf("%s%016x-%016x", snapshotPrefix, m.Index, m.Term)
 }
 
-// latestSnapshot returns the name of the newest snapshot, empty when there is none.
+// latestSnapshot returns the name of the newest snapshot, or "" if there is none.
 func latestSnapshot(names []string) string {
 	latest := ""
 	for _, n := range names {
@@ -25,7 +25,7 @@
 	return latest
 }
 
-// encodeSnapshot returns a frame with the place in the log and a frame with the data.
+// encodeSnapshot returns a frame with the metadata followed by a frame with the data.
 func encodeSnapshot(s raft.Snapshot) ([]byte, error) {
 	meta, err := codec.Marshal(s.Meta)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return appendFrame(appendFrame(b, meta), s.Data), nil
 }
 
-// readSnapshot returns the snapshot under name after checking all of it.
+// readSnapshot returns the snapshot in the file name after it has verified all checksums.
 func readSnapshot(files Files, name string) (raft.Snapshot, error) {
 	b, err := files.Read(name)
 	if err != nil {
@@ -44,11 +44,11 @@
 	corrupt := func(offset int, reason string) (raft.Snapshot, error) {
 		return raft.Snapshot{}, &Corruption{Path: files.Path(name), Offset: int64(offset), Reason: reason}
 	}
-	head, size, state := readFrame(b)
+	header, size, state := readFrame(b)
 	if state != frameWhole {
-		return corrupt(0, "the snapshot's head does not match its checksum")
+		return corrupt(0, "the snapshot's header does not match its checksum")
 	}
-	meta, err := codec.Unmarshal[raft.SnapshotMeta](head)
+	meta, err := codec.Unmarshal[raft.SnapshotMeta](header)
 	if err != nil {
 		return corrupt(0, err.Error())
 	}
--- a/internal/control/disk/snapshot_test.go
+++ b/internal/control/disk/snapshot_test.go
@@ -10,27 +10,27 @@
 	"hornbeamwood/internal/control/raft"
 )
 
-// The VM dies while a snapshot is written, at any operation, and any part of
-// what was not synced may be on the device. The next start must use the
-// snapshot before it or the whole new one, and lose no entry.
+// The VM crashes during any operation of writing a snapshot, and any part of the
+// unsynced data may be on the device. The next start must use the previous
+// snapshot or the complete new one, and no entry may be lost.
 func TestHalfSnapshotIsNeverUsed(t *testing.T) {
 	for fail := range 12 {
 		for seed := range uint64(8) {
-			dieInSnapshot(t, fail, rand.New(rand.NewPCG(seed, 0)))
+			crashInSnapshot(t, fail, rand.New(rand.NewPCG(seed, 0)))
 		}
 	}
 }
 
-func dieInSnapshot(t *testing.T, fail int, random *rand.Rand) {
+func crashInSnapshot(t *testing.T, fail int, random *rand.Rand) {
 	t.Helper()
 	files := faultfile.New()
 	s := founded(t, files)
 	appendAll(t, s, entries(1, 9))
 	save(t, s, 4, "state at four")
-	left := fail
+	remaining := fail
 	files.SetFault(func(faultfile.Operation, string) error {
-		left--
-		if left < 0 {
+		remaining--
+		if remaining < 0 {
 			return syscall.EIO
 		}
 		return nil
@@ -45,7 +45,7 @@
 		t.Fatalf("failure %d: %v", fail, err)
 	}
 	if text := string(got.Data); text != "state at four" && text != "state at eight" {
-		t.Fatalf("failure %d: a snapshot of %q", fail, text)
+		t.Fatalf("failure %d: loaded a snapshot of %q", fail, text)
 	}
 	if n := got.Meta.Index + uint64(len(s.State().Entries)); n != 9 {
 		t.Fatalf("failure %d: the log ends at %d", fail, n)
@@ -67,8 +67,9 @@
 	}
 }
 
-// A damaged snapshot has no log behind it any more; the replica must say so
-// and not start from an empty state, which would look like a fresh one.
+// The log entries that a snapshot covers are removed. If the snapshot is damaged,
+// the replica must refuse to start instead of starting from an empty state, which
+// would look like a new replica.
 func TestDamagedSnapshotIsRefused(t *testing.T) {
 	files := faultfile.New()
 	s := founded(t, files)
--- a/internal/control/disk/state.go
+++ b/internal/control/disk/state.go
@@ -2,14 +2,14 @@
 
 import "hornbeamwood/internal/control/raft"
 
-// State is what a data folder held when it was opened.
+// State is the content of a data folder when it was opened.
 type State struct {
-	// HardState is the latest one.
+	// HardState is the latest hard state.
 	HardState raft.HardState
-	// Snapshot is the latest one's place in the log.
+	// Snapshot is the metadata of the latest snapshot.
 	Snapshot raft.SnapshotMeta
-	// Entries follow Snapshot without a gap.
+	// Entries are the entries after Snapshot, without a gap.
 	Entries []raft.Entry
-	// Torn is the number of bytes of an unfinished, never acknowledged write that were cut off.
+	// Torn is the number of bytes of an incomplete, never acknowledged write that were truncated.
 	Torn int64
 }
--- a/internal/control/disk/store.go
+++ b/internal/control/disk/store.go
@@ -17,47 +17,47 @@
 	lockName     = "lock"
 	ownerName    = "identity"
 	foundingName = "founding"
-	// defaultSegmentBytes is the size at which a new segment is begun.
+	// defaultSegmentBytes is the size at which a new segment is started.
 	defaultSegmentBytes = 16 << 20
 )
 
-// Config says which data folder to open and for whom.
+// Config holds the data folder to open and the replica that opens it.
 type Config struct {
 	// Files is the data folder.
 	Files Files
-	// Name is the replica's name; a folder of another one is refused.
+	// Name is the replica's name; the folder of another replica is refused.
 	Name string
 	// Group is the log's number on this VM.
 	Group uint32
-	// SegmentBytes is the size at which a new segment is begun. Default 16 MiB.
+	// SegmentBytes is the size at which a new segment is started. Default 16 MiB.
 	SegmentBytes int
-	// Random is where a new identity comes from. Default crypto/rand.
+	// Random is the source of random bytes for a new identity. Default crypto/rand.
 	Random io.Reader
 }
 
-// Store keeps one replica's state. Snapshot methods may run beside the others.
+// Store is the durable state of one replica. The snapshot methods may run concurrently with the others.
 type Store interface {
-	// Identity returns the random identity that this folder got when it was blank.
+	// Identity returns the random identity that was written to this folder when it was blank.
 	Identity() raft.Identity
 	// Founding returns the founding configuration and whether there is one.
 	Founding() (Founding, bool)
-	// Found keeps the founding configuration; it is kept once and never changed.
+	// Found stores the founding configuration; it fails if there is one already.
 	Found(f Founding) error
-	// State returns what the folder held when it was opened.
+	// State returns the content of the folder when it was opened.
 	State() State
-	// Append keeps a hard state, unless nil, and entries, with one sync.
+	// Append stores a hard state, unless it is nil, and entries with one sync.
 	Append(hard *raft.HardState, entries []raft.Entry) error
-	// Install replaces the snapshot and the whole log.
+	// Install replaces the snapshot and the complete log.
 	Install(s raft.Snapshot) error
-	// SaveSnapshot keeps a snapshot of applied entries.
+	// SaveSnapshot stores a snapshot of applied entries.
 	SaveSnapshot(s raft.Snapshot) error
-	// LoadSnapshot returns the latest snapshot, checked; Index 0 when there is none.
+	// LoadSnapshot verifies and returns the latest snapshot; its Index is 0 if there is none.
 	LoadSnapshot() (raft.Snapshot, error)
-	// Compact removes segments whose entries all have an index up to the given one, which a snapshot holds.
+	// Compact removes segments that contain only entries up to index, which a snapshot must cover.
 	Compact(index uint64) error
-	// Free returns how many bytes can still be written.
+	// Free returns the free space in bytes.
 	Free() (uint64, error)
-	// Close releases the folder.
+	// Close closes the log and unlocks the folder.
 	Close() error
 }
 
@@ -68,7 +68,7 @@
 	founding *Founding
 	state    State
 
-	// mu guards the log, snapshots the snapshot files; log before snapshots.
+	// mu guards the log, and snapshots guards the snapshot files. mu is locked before snapshots.
 	mu        sync.Mutex
 	file      File
 	number    uint64
@@ -84,7 +84,7 @@
 	latest    string
 }
 
-// Open locks the folder, reads and checks everything in it and cuts off an unfinished last write.
+// Open locks the folder, reads and verifies all files in it and truncates an incomplete last write.
 func Open(c Config) (Store, error) {
 	if c.SegmentBytes == 0 {
 		c.SegmentBytes = defaultSegmentBytes
@@ -113,7 +113,7 @@
 			continue
 		}
 		if err := s.config.Files.Remove(n); err != nil {
-			return fmt.Errorf("disk: remove the unfinished %s: %w", s.config.Files.Path(n), err)
+			return fmt.Errorf("disk: remove the incomplete %s: %w", s.config.Files.Path(n), err)
 		}
 	}
 	if err := s.loadOwner(names); err != nil {
@@ -125,7 +125,7 @@
 	return s.loadLog(names)
 }
 
-// loadOwner reads the identity, or draws one when the folder is blank.
+// loadOwner reads the identity, or generates one if the folder is blank.
 func (s *store) loadOwner(names []string) error {
 	o, err := readValue[owner](s.config.Files, ownerName)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -150,7 +150,7 @@
 	}
 	b := make([]byte, 8)
 	if _, err := io.ReadFull(s.config.Random, b); err != nil {
-		return fmt.Errorf("disk: draw an identity: %w", err)
+		return fmt.Errorf("disk: generate an identity: %w", err)
 	}
 	s.owner = owner{Name: s.config.Name, Identity: raft.Identity(hex.EncodeToString(b)), Group: s.config.Group}
 	return writeValue(s.config.Files, ownerName, s.owner)
@@ -191,7 +191,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.founding != nil {
-		return errors.New("disk: the founding configuration is never changed")
+		return errors.New("disk: the founding configuration exists already and can't be changed")
 	}
 	if err := s.check(writeValue(s.config.Files, foundingName, f)); err != nil {
 		return err
@@ -210,7 +210,7 @@
 	return s.state
 }
 
-// check keeps the first error: after it nothing more is written.
+// check records the first error and returns it. After an error nothing more is written.
 func (s *store) check(err error) error {
 	if s.failed == nil && err != nil {
 		s.failed = err
--- a/internal/control/disk/store_log.go
+++ b/internal/control/disk/store_log.go
@@ -9,7 +9,7 @@
 
 var errClosed = errors.New("disk: the data folder is closed")
 
-// loadLog reads the snapshot and the segments and begins a new segment.
+// loadLog reads the snapshot and the segments and starts a new segment.
 func (s *store) loadLog(names []string) error {
 	r := replay{files: s.config.Files}
 	if s.latest = latestSnapshot(names); s.latest != "" {
@@ -32,7 +32,7 @@
 	s.state.HardState, s.state.Snapshot, s.state.Entries = r.hard, r.snapshot, entries
 	s.hard, s.segments = r.hard, r.segments
 	s.after, s.end = r.after, r.after+uint64(len(r.entries))
-	if err := s.begin(); err != nil {
+	if err := s.startSegment(); err != nil {
 		return err
 	}
 	if reset {
@@ -57,7 +57,7 @@
 		if torn < 0 {
 			continue
 		}
-		if err := s.cut(n, torn); err != nil {
+		if err := s.truncate(n, torn); err != nil {
 			return err
 		}
 		if torn < int64(len(segmentMagic)) {
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// cut removes an unfinished last write.
-func (s *store) cut(name string, at int64) error {
+// truncate removes an incomplete last write.
+func (s *store) truncate(name string, at int64) error {
 	files := s.config.Files
 	b, err := files.Read(name)
 	if err != nil {
@@ -77,18 +77,18 @@
 	s.state.Torn += int64(len(b)) - at
 	if at < int64(len(segmentMagic)) {
 		if err := files.Remove(name); err != nil {
-			return fmt.Errorf("disk: remove the unfinished %s: %w", files.Path(name), err)
+			return fmt.Errorf("disk: remove the incomplete %s: %w", files.Path(name), err)
 		}
 		return files.Sync()
 	}
 	if err := files.Truncate(name, at); err != nil {
-		return fmt.Errorf("disk: cut the unfinished write off %s: %w", files.Path(name), err)
+		return fmt.Errorf("disk: truncate the incomplete write in %s: %w", files.Path(name), err)
 	}
 	return nil
 }
 
-// begin opens a new segment, which repeats the hard state so that older ones can be removed.
-func (s *store) begin() error {
+// startSegment creates a new segment. The segment repeats the hard state so that older segments can be removed.
+func (s *store) startSegment() error {
 	s.number++
 	name := segmentName(s.number)
 	file, err := s.config.Files.Create(name)
@@ -149,12 +149,12 @@
 	return s.rotate()
 }
 
-// rotate ends the segment, which is synced, and begins the next.
+// rotate closes the current segment, which is already synced, and starts the next.
 func (s *store) rotate() error {
 	if err := s.file.Close(); err != nil {
 		return s.check(fmt.Errorf("disk: close a segment: %w", err))
 	}
-	return s.begin()
+	return s.startSegment()
 }
 
 func (s *store) reset(after uint64) error {
@@ -182,8 +182,8 @@
 		if err := s.config.Files.Remove(s.segments[removed].name); err != nil {
 			return s.check(fmt.Errorf("disk: remove a compacted segment: %w", err))
 		}
-		// Were a later removal kept and an earlier one lost in a crash, the log
-		// would seem to have a hole.
+		// Without a sync after each removal, a crash could keep a later removal
+		// and lose an earlier one. The log would then appear to have a gap.
 		if err := s.check(s.config.Files.Sync()); err != nil {
 			return err
 		}
@@ -193,5 +193,5 @@
 	return nil
 }
 
-// compactAfter is how many bytes a segment holds before compaction closes it, so that idle logs don't rotate.
+// compactAfter is the size in bytes above which compaction closes the current segment, so that idle logs don't rotate.
 const compactAfter = 64 << 10
--- a/internal/control/disk/store_snapshot.go
+++ b/internal/control/disk/store_snapshot.go
@@ -14,7 +14,7 @@
 	if s.failed != nil {
 		return s.failed
 	}
-	if err := s.check(s.keepSnapshot(snapshot)); err != nil {
+	if err := s.check(s.writeSnapshot(snapshot)); err != nil {
 		return err
 	}
 	return s.reset(snapshot.Meta.Index)
@@ -22,11 +22,11 @@
 
 // SaveSnapshot implements Store.
 func (s *store) SaveSnapshot(snapshot raft.Snapshot) error {
-	return s.keepSnapshot(snapshot)
+	return s.writeSnapshot(snapshot)
 }
 
-// keepSnapshot writes a snapshot and then removes the older ones.
-func (s *store) keepSnapshot(snapshot raft.Snapshot) error {
+// writeSnapshot writes a snapshot and then removes the older ones. A snapshot that isn't newer than the latest is ignored.
+func (s *store) writeSnapshot(snapshot raft.Snapshot) error {
 	s.snapshots.Lock()
 	defer s.snapshots.Unlock()
 	name := snapshotName(snapshot.Meta)
--- a/internal/control/disk/store_test.go
+++ b/internal/control/disk/store_test.go
@@ -21,7 +21,7 @@
 	return s
 }
 
-// founded returns a store that belongs to a group.
+// founded returns an open store with a founding configuration.
 func founded(t *testing.T, files disk.Files) disk.Store {
 	t.Helper()
 	s := open(t, files)
@@ -49,7 +49,7 @@
 	}
 }
 
-// segments returns the names of the log's files.
+// segments returns the names of the log segments.
 func segments(t *testing.T, files disk.Files) []string {
 	t.Helper()
 	names, err := files.List()
@@ -65,6 +65,7 @@
 	return found
 }
 
+// refusedAt checks that Open fails with a Corruption that contains the path and the remedy.
 func refusedAt(t *testing.T, files disk.Files, what string) {
 	t.Helper()
 	_, err := disk.Open(disk.Config{Files: files, Name: "control-1"})
@@ -74,13 +75,13 @@
 		return
 	}
 	if !strings.Contains(err.Error(), c.Path) || !strings.Contains(err.Error(), "admit it anew") {
-		t.Errorf("%s: the error names no file or no remedy: %v", what, err)
+		t.Errorf("%s: the error lacks the file or the remedy: %v", what, err)
 	}
 }
 
-// A VM loses power in the middle of a write. Nothing of that write was
-// acknowledged, so that the replica must start again by itself, with all that
-// was acknowledged; an operator would otherwise replace a healthy disk.
+// A VM loses power during a write. That write was never acknowledged, so the
+// replica must start again without help and keep all acknowledged entries.
+// Otherwise an operator would replace a healthy disk.
 func TestTornTailIsCut(t *testing.T) {
 	for cut := 1; cut < 39; cut++ {
 		files := faultfile.New()
@@ -93,7 +94,7 @@
 		files.Cut(name, files.Size(name)-cut)
 		s = open(t, files)
 		if got := s.State(); len(got.Entries) != 4 || got.Torn != int64(39-cut) || got.HardState.Term != 1 {
-			t.Fatalf("cut %d: %d entries, %d bytes cut off", cut, len(got.Entries), got.Torn)
+			t.Fatalf("cut %d: %d entries, %d bytes truncated", cut, len(got.Entries), got.Torn)
 		}
 		appendAll(t, s, entries(5, 6))
 		if err := s.Close(); err != nil {
@@ -105,10 +106,10 @@
 	}
 }
 
-// A disk decays and one bit of an acknowledged record turns over, in the
-// middle or at the end, in the data or in the length. A replica that cut the
-// log there would forget what it acknowledged and vote as if it had not; an
-// accepted edit could be undone. It must not start.
+// One bit of an acknowledged record flips on a failing disk, in the middle or at
+// the end, in the data or in the length. The replica must not start. If it
+// truncated the log there, it would vote without the entries that it acknowledged,
+// and a committed edit could be lost.
 func TestFlippedBitIsRefused(t *testing.T) {
 	size := 0
 	for offset := 0; offset == 0 || offset < size; offset += 3 {
@@ -125,9 +126,9 @@
 	}
 }
 
-// A segment that is not the last one ends early: an operator restored a part
-// of a folder, or the file system lost blocks. Later segments exist, so that
-// the missing end was acknowledged.
+// A segment other than the last one is too short, because an operator restored
+// part of a folder or the file system lost blocks. Later segments exist, so the
+// missing records were acknowledged.
 func TestShortOlderSegmentIsRefused(t *testing.T) {
 	files := faultfile.New()
 	s := founded(t, files)
@@ -147,10 +148,10 @@
 	}
 }
 
-// The disk is full: a write stops half-way. The replica must refuse from then
-// on, and once there is room again it must start with everything that it
-// acknowledged; were it to write on behind the half record, the next start
-// would find damage.
+// A write fails half-way because the disk is full. The store must refuse all later
+// writes, and once there is free space it must open again with all acknowledged
+// entries. If it appended after the incomplete record, the next start would find
+// corruption.
 func TestFullDiskDoesNoDamage(t *testing.T) {
 	files := faultfile.New()
 	s := founded(t, files)
@@ -166,7 +167,7 @@
 	}
 	files.SetFault(nil)
 	if err := s.Append(nil, entries(6, 6)); !errors.Is(err, syscall.ENOSPC) {
-		t.Errorf("a store went on after a failed write: %v", err)
+		t.Errorf("the store accepted a write after a failed one: %v", err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -176,9 +177,9 @@
 	}
 }
 
-// The device reports an error for a sync. The system may have dropped the
-// pages and reports the next sync as done; a store that tries again would
-// acknowledge data that is nowhere.
+// A sync fails. The kernel may have dropped the dirty pages and report success for
+// the next sync. A store that retries would acknowledge data that isn't on the
+// device.
 func TestFailedSyncIsNotTriedAgain(t *testing.T) {
 	files := faultfile.New()
 	s := founded(t, files)
@@ -200,13 +201,13 @@
 		}
 	}
 	if syncs != 1 {
-		t.Errorf("%d syncs, only the first may be tried", syncs)
+		t.Errorf("%d syncs, want 1", syncs)
 	}
 }
 
-// An operator mixes up two data folders, copies one without its identity, or
-// starts a second process on the same one; each would let one replica speak
-// for another.
+// An operator confuses two data folders, copies one without its identity, or
+// starts a second process on the same one. In each case a replica could act under
+// another replica's identity.
 func TestWrongFolderIsRefused(t *testing.T) {
 	files := faultfile.New()
 	s := founded(t, files)
@@ -227,8 +228,8 @@
 	refusedAt(t, files, "identity missing")
 }
 
-// The same through the file system: the lock holds between two opens in one
-// process too, and is gone after Close.
+// The same on the file system. The lock also works between two opens in one
+// process and is released by Close.
 func TestFolderOnDisk(t *testing.T) {
 	files, err := disk.NewFolder(t.TempDir() + "/data")
 	if err != nil {
@@ -254,9 +255,9 @@
 	}
 }
 
-// The VM loses power right after an acknowledgement, with nothing on the
-// device that was not synced, at any size of segments. Everything
-// acknowledged must be there, the names of new files too.
+// The VM loses power right after an acknowledgement and loses all unsynced data,
+// with any segment size. All acknowledged data must survive, including the names
+// of new files.
 func TestAcknowledgedSurvivesPowerLoss(t *testing.T) {
 	for _, size := range []int{1, 100, 1 << 20} {
 		files := faultfile.New()
