--- a/internal/control/faultfile/doc.go
+++ b/internal/control/faultfile/doc.go
@@ -1,4 +1,4 @@
-// Package faultfile is a data folder in memory that loses what was not synced
-// when it crashes, tears writes and fails on demand, for the tests of the
-// packages that keep files.
+// Package faultfile provides an in-memory data folder for tests of packages that
+// store files. It loses unsynced data in a simulated crash, tears writes and
+// returns errors on demand.
 package faultfile
--- a/internal/control/faultfile/file.go
+++ b/internal/control/faultfile/file.go
@@ -6,7 +6,7 @@
 	inode  *inode
 }
 
-// Write implements disk.File; a write that fails leaves half of its bytes behind.
+// Write implements disk.File. A failed write writes the first half of b.
 func (f *file) Write(b []byte) (int, error) {
 	f.folder.mu.Lock()
 	defer f.folder.mu.Unlock()
--- a/internal/control/faultfile/folder.go
+++ b/internal/control/faultfile/folder.go
@@ -13,37 +13,37 @@
 	"hornbeamwood/internal/control/disk"
 )
 
-var errLocked = errors.New("faultfile: the folder is in use")
+var errLocked = errors.New("faultfile: the folder is locked")
 
-// Folder is a disk.Files in memory.
+// Folder is an in-memory disk.Files.
 type Folder struct {
 	mu sync.Mutex
-	// names are those that a process sees, durable those that survive a crash.
+	// names are the current files, and durable are the files that survive a crash.
 	names, durable map[string]*inode
-	// pending are the changes of names since the last sync, in their order.
+	// pending are the changes to names since the last sync, in order.
 	pending []func(map[string]*inode)
 	fault   Fault
 	locked  bool
 	free    uint64
 }
 
-// plenty is the free space of a new Folder in bytes.
-const plenty = 1 << 40
+// defaultFree is the free space of a new Folder in bytes.
+const defaultFree = 1 << 40
 
 // New returns an empty Folder.
 func New() *Folder {
-	return &Folder{names: map[string]*inode{}, durable: map[string]*inode{}, free: plenty}
+	return &Folder{names: map[string]*inode{}, durable: map[string]*inode{}, free: defaultFree}
 }
 
-// SetFault lets operations fail from now on; nil lets all pass.
+// SetFault sets the fault for all later operations; nil lets all of them succeed.
 func (f *Folder) SetFault(fault Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fault = fault
 }
 
-// Crash loses what is not synced. With a source of random numbers a part of
-// it is kept: a prefix of the changes of names and of each file's new bytes.
+// Crash drops all unsynced data. If random is not nil, a random part is kept: a
+// prefix of the changes to names and a prefix of each file's unsynced bytes.
 func (f *Folder) Crash(random *rand.Rand) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -65,7 +65,7 @@
 	f.fault = nil
 }
 
-// Flip turns one bit of a file over, as a decaying disk does.
+// Flip flips one bit of a file, like a failing disk.
 func (f *Folder) Flip(name string, offset int, bit uint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -74,7 +74,7 @@
 	n.sync()
 }
 
-// Cut drops the end of a file.
+// Cut truncates a file to size bytes.
 func (f *Folder) Cut(name string, size int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -83,14 +83,14 @@
 	n.sync()
 }
 
-// Size returns the length of a file.
+// Size returns the size of a file in bytes.
 func (f *Folder) Size(name string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.names[name].content)
 }
 
-// check returns the fault of an operation; the caller holds the lock.
+// check returns the error that the fault injects into an operation. The caller holds f.mu.
 func (f *Folder) check(o Operation, name string) error {
 	if f.fault == nil {
 		return nil
@@ -98,7 +98,7 @@
 	return f.fault(o, name)
 }
 
-// change applies a change of names, which a crash may lose until the folder is synced.
+// change applies a change to names, which a crash may lose until the folder is synced.
 func (f *Folder) change(c func(map[string]*inode)) {
 	c(f.names)
 	f.pending = append(f.pending, c)
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// SetFree sets what Free returns.
+// SetFree sets the value that Free returns.
 func (f *Folder) SetFree(bytes uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -219,7 +219,7 @@
 
 type unlocker struct{ folder *Folder }
 
-// Close releases the folder.
+// Close unlocks the folder.
 func (u unlocker) Close() error {
 	u.folder.mu.Lock()
 	defer u.folder.mu.Unlock()
--- a/internal/control/faultfile/inode.go
+++ b/internal/control/faultfile/inode.go
@@ -1,6 +1,6 @@
 package faultfile
 
-// inode is one file's content: all of it, and how much of it is synced.
+// inode is the content of one file: the current content and the content at the last sync.
 type inode struct {
 	content []byte
 	synced  []byte
@@ -10,7 +10,7 @@
 	n.synced = append([]byte(nil), n.content...)
 }
 
-// crash keeps what is synced and the given part of what was added since.
+// crash keeps the synced content and the first keep(n) of the n bytes appended since.
 func (n *inode) crash(keep func(limit int) int) {
 	added := len(n.content) - len(n.synced)
 	if added <= 0 {
--- a/internal/control/faultfile/operation.go
+++ b/internal/control/faultfile/operation.go
@@ -1,24 +1,24 @@
 package faultfile
 
-// Operation is what a fault can hit.
+// Operation is an operation that can fail.
 type Operation uint8
 
 const (
-	// Create makes a new file.
+	// Create creates a file.
 	Create Operation = iota
-	// Write adds bytes to a file.
+	// Write appends bytes to a file.
 	Write
 	// Sync syncs a file.
 	Sync
-	// SyncFolder syncs the names.
+	// SyncFolder syncs the folder's names.
 	SyncFolder
 	// Rename renames a file.
 	Rename
 	// Remove deletes a file.
 	Remove
-	// Truncate cuts a file.
+	// Truncate truncates a file.
 	Truncate
 )
 
-// Fault returns the error with which an operation on the named file fails, nil to let it pass.
+// Fault returns the error of an operation on the named file, or nil to let it succeed.
 type Fault func(o Operation, name string) error
