--- a/internal/control/quic/doc.go
+++ b/internal/control/quic/doc.go
@@ -1,4 +1,4 @@
-// Package quic connects a replica of the control log to the other processes:
-// it carries the replicas' messages, and answers proposals and reads of
-// entries, passing them on to the leader where needed.
+// Package quic connects a replica of the control log to the other processes.
+// It sends and receives the replicas' messages, and serves the proposals and
+// reads of entries, which it forwards to the leader if necessary.
 package quic
--- a/internal/control/quic/leases.go
+++ b/internal/control/quic/leases.go
@@ -9,19 +9,19 @@
 	"hornbeamwood/internal/settings/lease"
 )
 
-// Leases is the account of settings leases at the leader.
+// Leases tracks the settings leases at the leader.
 type Leases interface {
-	// Renew notes an entry's report in the given term, before a quorum confirms the leader for the answer.
+	// Renew records an entry's report in the given term. It is called before a quorum confirms the leader for the reply.
 	Renew(term uint64, r protocol.Report)
-	// InForce returns whether a revision is in force everywhere, after a quorum has confirmed the leader of the term.
+	// InForce returns whether a revision is in force everywhere. It is called after a quorum confirmed the leader of the term.
 	InForce(term, revision uint64) lease.Force
-	// Live returns the entries whose lease has not run out, with the revisions that they have applied.
+	// Live returns the entries whose lease has not expired, with the revisions that they have applied.
 	Live() []protocol.HolderRevision
 }
 
-// Terms tells what the settings say of leases.
+// Terms provides the lease terms from the settings.
 type Terms interface {
-	// Terms returns the terms at the newest applied revision.
+	// Terms returns the lease terms of the newest applied revision.
 	Terms() lease.Terms
 }
 
@@ -31,7 +31,7 @@
 	now     func() time.Time
 }
 
-// NewLeases returns Leases over the given account.
+// NewLeases returns Leases backed by h.
 func NewLeases(h lease.Holders, t Terms, now func() time.Time) Leases {
 	return &leases{holders: h, terms: t, now: now}
 }
--- a/internal/control/quic/rounds.go
+++ b/internal/control/quic/rounds.go
@@ -7,35 +7,35 @@
 )
 
 const (
-	// roundPause is the least time between the starts of two rounds.
-	roundPause = 10 * time.Millisecond
+	// roundInterval is the minimum time between the starts of two rounds.
+	roundInterval = 10 * time.Millisecond
 	// roundTimeout bounds one round.
 	roundTimeout = 2 * time.Second
 )
 
-// moment is the result of a round.
-type moment struct {
+// roundResult is the result of a round.
+type roundResult struct {
 	leadership leadership
 	err        error
 }
 
-// rounds lets all reads that come while a round runs share the next one.
+// rounds batches leadership confirmations: all reads that arrive during a round share the next one.
 //
-// Each entry of the fleet reads about once a second. A round for each read
-// costs the leader a message to each voter and back; shared, the cost does not
-// grow with the number of entries.
+// Each entry of the fleet reads about once a second, and a round costs the leader
+// a message to each voter and a reply from it. With shared rounds this cost does
+// not grow with the number of entries.
 type rounds struct {
 	confirm func(ctx context.Context) (leadership, error)
 
 	mu      sync.Mutex
-	waiting []chan moment
+	waiting []chan roundResult
 	running bool
 	ended   sync.WaitGroup
 }
 
-// next returns the result of a round that begins after the call.
+// next returns the result of a round that starts after the call.
 func (r *rounds) next(ctx context.Context) (leadership, error) {
-	result := make(chan moment, 1)
+	result := make(chan roundResult, 1)
 	r.mu.Lock()
 	r.waiting = append(r.waiting, result)
 	if !r.running {
@@ -44,17 +44,17 @@
 	}
 	r.mu.Unlock()
 	select {
-	case m := <-result:
-		return m.leadership, m.err
+	case res := <-result:
+		return res.leadership, res.err
 	case <-ctx.Done():
 		return leadership{}, ctx.Err()
 	}
 }
 
-// run carries out rounds while anybody waits.
+// run runs rounds while there are waiting reads.
 func (r *rounds) run() {
 	for {
-		began := time.Now()
+		started := time.Now()
 		r.mu.Lock()
 		all := r.waiting
 		r.waiting = nil
@@ -64,15 +64,15 @@
 			return
 		}
 		r.round(all)
-		time.Sleep(roundPause - time.Since(began))
+		time.Sleep(roundInterval - time.Since(started))
 	}
 }
 
-func (r *rounds) round(all []chan moment) {
+func (r *rounds) round(all []chan roundResult) {
 	ctx, cancel := context.WithTimeout(context.Background(), roundTimeout)
 	defer cancel()
 	l, err := r.confirm(ctx)
 	for _, c := range all {
-		c <- moment{leadership: l, err: err}
+		c <- roundResult{leadership: l, err: err}
 	}
 }
--- a/internal/control/quic/rounds_test.go
+++ b/internal/control/quic/rounds_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// Many entries read at the same moment. They must share rounds, but each must
-// get one that began after it asked: an older one could miss an edit that was
-// accepted in between, and the entry would serve on under replaced settings.
+// Concurrent reads must share rounds, but each must get a round that started after
+// the read. An earlier round could miss an edit that was committed in between, and
+// the entry would continue with outdated settings.
 func TestReadersShareRoundsThatBeganAfterThem(t *testing.T) {
 	const readers = 200
-	var began, accepted atomic.Uint64
+	var started, accepted atomic.Uint64
 	r := &rounds{confirm: func(context.Context) (leadership, error) {
-		began.Add(1)
+		started.Add(1)
 		return leadership{index: accepted.Load()}, nil
 	}}
 	var all sync.WaitGroup
@@ -30,13 +30,13 @@
 	}
 	all.Wait()
 	r.ended.Wait()
-	if n := began.Load(); n >= readers {
+	if n := started.Load(); n >= readers {
 		t.Errorf("%d rounds for %d readers", n, readers)
 	}
 }
 
-// A round fails because the replica does not lead. Every reader that shared it
-// must learn that, and a later reader gets a round of its own.
+// A round fails because the replica is not the leader. Every read that shared it
+// must fail, and a later read must get a new round.
 func TestFailedRoundFailsItsReaders(t *testing.T) {
 	failed := errors.New("not the leader")
 	fails := true
--- a/internal/control/quic/server.go
+++ b/internal/control/quic/server.go
@@ -16,15 +16,15 @@
 	"hornbeamwood/internal/settings/lease"
 )
 
-// Config is what Register needs.
+// Config holds the dependencies of Register.
 type Config struct {
-	// Node takes the calls.
+	// Node receives and sends the calls.
 	Node rpc.Node
 	// Replica is this process's replica.
 	Replica replica.Replica
 	// Machine is the replicated state.
 	Machine state.Machine
-	// Leases is the account of settings leases while this replica leads.
+	// Leases tracks the settings leases while this replica is the leader.
 	Leases Leases
 }
 
@@ -33,17 +33,17 @@
 	rounds rounds
 }
 
-// Leader is this process's replica while it leads.
+// Leader gives this process access to the leader of the control log, which may be its own replica.
 type Leader interface {
 	// Confirm returns the term in which a quorum confirmed this replica as the leader after the call began.
 	Confirm(ctx context.Context) (uint64, error)
-	// Propose commits a section's command here or at the leader.
+	// Propose commits a section's command through this replica or the leader and returns its result.
 	Propose(ctx context.Context, section string, body []byte) ([]byte, error)
-	// CatchUp returns once this replica has applied all that was accepted before the call began, as a quorum confirms.
+	// CatchUp returns after this replica has applied everything that was committed before the call began, as confirmed by a quorum.
 	CatchUp(ctx context.Context) error
 }
 
-// Register adds the handlers of the control log to the node; it is called before the node serves.
+// Register registers the handlers of the control log at the node. It must be called before Node.Serve.
 func Register(c Config) Leader {
 	s := &server{Config: c}
 	s.rounds.confirm = s.confirmOnce
@@ -88,10 +88,10 @@
 	return s.Replica.Status(), nil
 }
 
-// propose commits at the leader; another replica passes the proposal on once.
+// propose commits the proposal if this replica is the leader and otherwise forwards it once.
 //
-// It is passed on only after a refusal that proves that nothing was appended
-// here, so one proposal never stands twice in the log.
+// The proposal is forwarded only after a refusal which guarantees that nothing
+// was appended here, so it is never in the log twice.
 func (s *server) propose(ctx context.Context, _ rpc.Peer, p protocol.Proposal) (protocol.Applied, error) {
 	c, err := codec.Marshal(state.Command{At: time.Now().UnixNano(), Section: p.Section, Body: p.Body})
 	if err != nil {
@@ -109,7 +109,7 @@
 	return rpc.Call(ctx, s.Node, leader, protocol.Propose, p)
 }
 
-// read answers from a state that includes everything that was accepted before the call.
+// read answers queries from a state that includes everything that was committed before the call.
 func (s *server) read(ctx context.Context, _ rpc.Peer, q protocol.Reading) (protocol.Answers, error) {
 	c, err := s.confirmed(ctx, protocol.Confirmation{Report: q.Report})
 	if err != nil {
@@ -129,9 +129,9 @@
 	return a, nil
 }
 
-// confirmed has the leader confirm an index, whether it is here or elsewhere.
+// confirmed returns an index that a quorum confirmed to the leader, on this replica or another one.
 func (s *server) confirmed(ctx context.Context, q protocol.Confirmation) (protocol.Confirmed, error) {
-	c, err := s.lead(ctx, q)
+	c, err := s.renewAndConfirm(ctx, q)
 	if err == nil {
 		return c, nil
 	}
@@ -143,14 +143,14 @@
 }
 
 func (s *server) confirm(ctx context.Context, _ rpc.Peer, q protocol.Confirmation) (protocol.Confirmed, error) {
-	return s.lead(ctx, q)
+	return s.renewAndConfirm(ctx, q)
 }
 
-// lead notes the report, then has a quorum confirm this replica as the leader.
+// renewAndConfirm records the report and then lets a quorum confirm this replica as the leader.
 //
-// In the other order an edit could be declared in force between the two, and
-// the entry would serve on under the older settings.
-func (s *server) lead(ctx context.Context, q protocol.Confirmation) (protocol.Confirmed, error) {
+// In the reverse order an edit could be declared in force between the two steps,
+// and the entry would continue with the older settings.
+func (s *server) renewAndConfirm(ctx context.Context, q protocol.Confirmation) (protocol.Confirmed, error) {
 	if q.Report != nil {
 		s.Leases.Renew(s.Replica.Status().Term, *q.Report)
 	}
@@ -182,12 +182,12 @@
 	return rpc.Call(ctx, s.Node, leader, protocol.Holders, q)
 }
 
-// leadership is a moment at which a quorum confirmed this replica as leader of a term.
+// leadership is a quorum's confirmation of this replica as the leader: the term and the commit index at that time.
 type leadership struct {
 	term, index uint64
 }
 
-// leadership returns a confirmed moment after the call began, with all that was committed by then applied.
+// leadership returns a confirmation from after the call began. This replica has applied the log up to its index.
 func (s *server) leadership(ctx context.Context) (leadership, error) {
 	if s.Replica.Status().Role != raft.Leader.String() {
 		return s.confirmOnce(ctx)
@@ -195,10 +195,10 @@
 	return s.rounds.next(ctx)
 }
 
-// confirmOnce carries out one round.
+// confirmOnce runs one confirmation round.
 //
-// The term is read before and after. Leadership that was lost and won again in
-// between would be answered from an account of leases that misses what the
+// It compares the terms before and after the round. If leadership was lost and
+// regained in between, the local record of leases would lack those that the
 // other leader granted.
 func (s *server) confirmOnce(ctx context.Context) (leadership, error) {
 	before := s.Replica.Status().Term
@@ -224,12 +224,12 @@
 	}
 	change, ok := changes[c.Kind]
 	if !ok {
-		return protocol.Empty{}, verdict.New(verdict.NotRun, http.StatusBadRequest, "unknown-change", "no member change is named %q", c.Kind)
+		return protocol.Empty{}, verdict.New(verdict.NotRun, http.StatusBadRequest, "unknown-change", "unknown member change %q", c.Kind)
 	}
 	return protocol.Empty{}, change()
 }
 
-// otherLeader returns the leader's address when err says that nothing was done because another replica leads.
+// otherLeader returns the leader's address if err means that nothing was done because another replica is the leader.
 func otherLeader(err error) (string, bool) {
 	var n replica.NotLeaderError
 	if verdict.Of(err) != verdict.NotRun || !errors.As(err, &n) || n.Address == "" {
--- a/internal/control/quic/transport.go
+++ b/internal/control/quic/transport.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// outboxLength bounds what waits for one replica; consensus repeats what is dropped.
+	// outboxLength is the number of messages that are queued for one replica. Raft resends dropped messages.
 	outboxLength = 256
-	// sendTimeout bounds one message to a replica that does not answer.
+	// sendTimeout bounds the sending of one message to a replica that does not respond.
 	sendTimeout = time.Second
 )
 
-// Transport carries messages of one replica over QUIC; Close ends its goroutines.
+// Transport sends the messages of one replica over QUIC.
 type Transport interface {
 	replica.Transport
-	// Close ends the goroutines that send.
+	// Close stops the sending goroutines.
 	Close()
 }
 
@@ -32,8 +32,8 @@
 
 // NewTransport returns a Transport that sends through n.
 //
-// Each replica has its own queue: a frozen one would otherwise hold up the
-// heartbeats to all others, and they would elect a new leader.
+// Each destination has its own queue. Otherwise a suspended replica would delay
+// the heartbeats to all others, and they would elect a new leader.
 func NewTransport(n rpc.Node) Transport {
 	t := &transport{node: n}
 	t.outbox = outbox.New(outbox.Config[raft.Message]{Length: outboxLength, Send: t.send})
@@ -58,6 +58,6 @@
 func (t *transport) send(ctx context.Context, address string, m raft.Message) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	// A lost message is consensus's everyday case; it sends again.
+	// Raft tolerates lost messages and resends them.
 	_ = rpc.Notify(ctx, t.node, address, protocol.Message, m)
 }
