--- a/internal/control/reaper/doc.go
+++ b/internal/control/reaper/doc.go
@@ -1,3 +1,3 @@
-// Package reaper abandons the claims of entries that have died, so that a
-// resend learns that the outcome is unknown instead of waiting for ever.
+// Package reaper abandons the claims of dead entries, so that a resend gets an
+// unknown outcome instead of being answered as busy indefinitely.
 package reaper
--- a/internal/control/reaper/reaper.go
+++ b/internal/control/reaper/reaper.go
@@ -13,50 +13,50 @@
 )
 
 const (
-	// interval is the time between two looks.
+	// interval is the time between two checks.
 	interval = 2 * time.Second
-	// misses is the number of looks in a row at which an owner must be without a lease.
+	// misses is the number of consecutive checks without a lease after which an owner counts as dead.
 	misses = 2
 )
 
-// Leader is this replica while it leads.
+// Leader confirms the leadership of this replica.
 type Leader interface {
 	// Confirm returns the term in which a quorum confirmed this replica as the leader after the call began.
 	Confirm(ctx context.Context) (uint64, error)
 }
 
-// Leases is the account of settings leases.
+// Leases provides the settings leases.
 type Leases interface {
-	// InForce is true for revision 0 once every lease of an earlier term has run out.
+	// InForce is true for revision 0 once every lease of an earlier term has expired.
 	InForce(term, revision uint64) lease.Force
-	// Live returns the entries whose lease has not run out.
+	// Live returns the entries whose lease has not expired.
 	Live() []protocol.HolderRevision
 }
 
-// Ledger is the record of calls.
+// Ledger provides the record of non-idempotent calls.
 type Ledger interface {
-	// Owners returns who holds live claims.
+	// Owners returns the owners of live claims.
 	Owners(ctx context.Context) ([]ledger.Owner, error)
 	// Abandon makes the claims of a dead owner unknown.
 	Abandon(ctx context.Context, o ledger.Owner) error
 }
 
-// Config is what a Reaper needs.
+// Config holds the dependencies of a Reaper.
 type Config struct {
-	// Leader, Leases and Ledger are those of this replica.
+	// Leader, Leases and Ledger belong to this replica.
 	Leader Leader
 	Leases Leases
 	Ledger Ledger
-	// Logger takes the events.
+	// Logger receives the events.
 	Logger log.Interface
 }
 
-// Reaper looks for dead owners of claims.
+// Reaper abandons the claims of dead owners.
 type Reaper interface {
-	// Run looks until ctx ends.
+	// Run checks for dead owners at a fixed interval until ctx ends.
 	Run(ctx context.Context)
-	// Look looks once.
-	Look(ctx context.Context)
+	// Check abandons the claims of the owners that count as dead at this check.
+	Check(ctx context.Context)
 }
 
 type reaper struct {
@@ -65,7 +65,7 @@
 	missed map[ledger.Owner]int
 }
 
-// New returns a Reaper that has missed nobody yet.
+// New returns a Reaper without any recorded misses.
 func New(c Config) Reaper {
 	return &reaper{Config: c, missed: make(map[ledger.Owner]int)}
 }
@@ -79,18 +79,18 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			r.Look(ctx)
+			r.Check(ctx)
 		}
 	}
 }
 
-// Look implements Reaper.
+// Check implements Reaper.
 //
-// Only the leader knows who holds a lease, and a new one only after all leases
-// of earlier terms have run out. An owner that is wrongly taken for dead loses
-// nothing but the certainty of its open calls: their outcomes still count when
-// they come, and no call is dispatched a second time.
-func (r *reaper) Look(ctx context.Context) {
+// Only the leader knows the lease holders, and a new leader knows them only after
+// all leases of earlier terms have expired. If a live owner is abandoned by
+// mistake, its open calls become unknown, but their outcomes are still accepted
+// when they arrive, and no call is dispatched a second time.
+func (r *reaper) Check(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, interval)
 	defer cancel()
 	term, err := r.Leader.Confirm(ctx)
@@ -112,7 +112,7 @@
 	}
 }
 
-// dead returns the owners that were without a lease at each of the last looks.
+// dead returns the owners that had no lease at each of the last checks.
 func (r *reaper) dead(owners []ledger.Owner) []ledger.Owner {
 	live := make(map[string]bool)
 	for _, h := range r.Leases.Live() {
--- a/internal/control/reaper/reaper_test.go
+++ b/internal/control/reaper/reaper_test.go
@@ -29,36 +29,36 @@
 	return nil
 }
 
-// An entry's VM dies with a call dispatched and never comes back. A user who
-// sends the call again must soon be told that its outcome is unknown; but an
-// entry that lives, or whose leader has just changed, must not lose its claims.
+// An entry's VM is lost for good with a call dispatched. A user who resends the
+// call must soon get an unknown outcome. The claims of a live entry, or of one seen
+// without a lease only around a change of the leader, must not be abandoned.
 func TestOnlyClaimsOfDeadEntriesAreAbandoned(t *testing.T) {
 	dead, alive := ledger.Owner{Entry: "entry-1", Incarnation: 4}, ledger.Owner{Entry: "entry-2", Incarnation: 5}
 	f := &fakeControl{term: 1, live: []protocol.HolderRevision{{Holder: lease.Holder{Name: "entry-2", Incarnation: 5}}}, owners: []ledger.Owner{dead, alive}}
 	r := New(Config{Leader: f, Leases: f, Ledger: f})
-	look := func() { r.Look(context.Background()) }
+	check := func() { r.Check(context.Background()) }
 
-	look()
-	look()
-	look()
+	check()
+	check()
+	check()
 	if len(f.abandoned) != 0 {
-		t.Fatal("claims were abandoned before the leases of earlier terms had run out")
+		t.Fatal("claims were abandoned before the leases of earlier terms had expired")
 	}
 	f.settled = true
-	look()
+	check()
 	if len(f.abandoned) != 0 {
-		t.Fatal("claims were abandoned after one look")
+		t.Fatal("claims were abandoned after one check")
 	}
 	f.term = 2
-	look()
+	check()
 	f.err = errors.New("no quorum")
-	look()
+	check()
 	f.err = nil
-	look()
+	check()
 	if len(f.abandoned) != 0 {
-		t.Fatal("looks of two terms were counted together")
+		t.Fatal("checks of two terms were counted together")
 	}
-	look()
+	check()
 	if !slices.Equal(f.abandoned, []ledger.Owner{dead}) {
 		t.Fatalf("abandoned %v", f.abandoned)
 	}
