--- a/internal/node/boottime/doc.go
+++ b/internal/node/boottime/doc.go
@@ -1,3 +1,3 @@
-// Package boottime reads the clock that also counts the time in which the VM
-// was suspended.
+// Package boottime reads the clock CLOCK_BOOTTIME, which includes the time in
+// which the VM was suspended.
 package boottime
--- a/internal/node/keys/authority.go
+++ b/internal/node/keys/authority.go
@@ -16,39 +16,39 @@
 	"time"
 )
 
-// File names of an authority in its folder.
+// File names of an authority's certificate and private key in its folder.
 const (
 	AuthorityCertificate = "ca.pem"
 	AuthorityKey         = "ca-key.pem"
 )
 
-// backdate makes a new certificate valid on VMs whose clocks are a little behind.
+// backdate is how long before its creation a certificate becomes valid, for VMs whose clocks are slightly behind.
 const backdate = 5 * time.Minute
 
-// serialBits is the size of random serial numbers.
+// serialBits is the size of random serial numbers in bits.
 const serialBits = 120
 
 // Authority signs node certificates.
 type Authority interface {
-	// Issue writes NAME.pem and NAME-key.pem into folder.
+	// Issue creates a certificate and writes NAME.pem and NAME-key.pem into folder.
 	Issue(r Request, folder string) (Issued, error)
 }
 
-// Request says for whom a certificate is made.
+// Request describes the node for which a certificate is issued.
 type Request struct {
 	// Name is the node's name in the settings.
 	Name string
-	// Role is what the node may do.
+	// Role determines what the node may do.
 	Role Role
 	// Valid is how long the certificate is valid.
 	Valid time.Duration
 }
 
-// Issued names the files of one certificate.
+// Issued holds the file paths and the expiry of an issued certificate.
 type Issued struct {
 	// CertificateFile is the path of the PEM certificate.
 	CertificateFile string
-	// KeyFile is the path of the PEM private key, readable by its owner only.
+	// KeyFile is the path of the PEM private key, which only its owner can read.
 	KeyFile string
 	// NotAfter is when the certificate expires.
 	NotAfter time.Time
@@ -59,11 +59,11 @@
 	key         crypto.Signer
 }
 
-// NewAuthority makes a certificate authority in folder; one that is already there is an error and stays untouched.
+// NewAuthority creates a certificate authority in folder. It fails if folder contains one already and leaves that one unchanged.
 func NewAuthority(folder string, valid time.Duration) (Authority, error) {
 	path := filepath.Join(folder, AuthorityKey)
 	if _, err := os.Stat(path); !errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("keys: %s already exists; a second authority would shut out every node of the first", path)
+		return nil, fmt.Errorf("keys: %s already exists; nodes with certificates of the existing authority would be refused under a new one", path)
 	}
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
@@ -111,7 +111,7 @@
 		return Issued{}, err
 	}
 	if r.Role != Entry && r.Role != Control && r.Role != Operator {
-		return Issued{}, fmt.Errorf("keys: role %q is none of entry, control, operator", r.Role)
+		return Issued{}, fmt.Errorf("keys: unknown role %q, want entry, control or operator", r.Role)
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -133,7 +133,7 @@
 
 func template(name pkix.Name, valid time.Duration) (*x509.Certificate, error) {
 	if valid <= 0 {
-		return nil, fmt.Errorf("keys: a certificate valid for %s is of no use", valid)
+		return nil, fmt.Errorf("keys: the validity of a certificate must be positive, got %s", valid)
 	}
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
@@ -158,7 +158,7 @@
 
 func checkName(name string) error {
 	if name == "" || name != filepath.Base(name) || name == "." || name == ".." {
-		return fmt.Errorf("keys: node name %q can't be a file name", name)
+		return fmt.Errorf("keys: node name %q is not a valid file name", name)
 	}
 	return nil
 }
--- a/internal/node/keys/doc.go
+++ b/internal/node/keys/doc.go
@@ -1,3 +1,3 @@
-// Package keys makes and loads the X.509 keys with which the system's
-// processes prove to each other who they are.
+// Package keys creates and loads the X.509 certificates and private keys with
+// which the system's processes authenticate to each other.
 package keys
--- a/internal/node/keys/files.go
+++ b/internal/node/keys/files.go
@@ -43,8 +43,8 @@
 	return replaceFile(path, pem.EncodeToMemory(&pem.Block{Type: certificateBlock, Bytes: c.Raw}), 0o644)
 }
 
-// replaceFile swaps the whole file at once. A running process that reads the
-// pair while it is rotated would otherwise see half a file.
+// replaceFile replaces the file atomically. Otherwise a running process that
+// reads the pair during a rotation could read an incomplete file.
 func replaceFile(path string, b []byte, mode fs.FileMode) error {
 	next := path + ".next"
 	if err := os.WriteFile(next, b, mode); err != nil {
@@ -79,7 +79,7 @@
 	}
 	s, ok := k.(crypto.Signer)
 	if !ok {
-		return nil, fmt.Errorf("keys: %s: a %T can't sign", path, k)
+		return nil, fmt.Errorf("keys: %s: a key of type %T can't sign", path, k)
 	}
 	return s, nil
 }
@@ -87,14 +87,14 @@
 func readBlock(path, kind string) ([]byte, error) {
 	b, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrPermission) {
-		return nil, fmt.Errorf("keys: %s can't be read by this user: %w", path, err)
+		return nil, fmt.Errorf("keys: this user may not read %s: %w", path, err)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
 	p, _ := pem.Decode(b)
 	if p == nil || p.Type != kind {
-		return nil, fmt.Errorf("keys: %s holds no PEM block of type %s", path, kind)
+		return nil, fmt.Errorf("keys: %s contains no PEM block of type %s", path, kind)
 	}
 	return p.Bytes, nil
 }
--- a/internal/node/keys/keys_test.go
+++ b/internal/node/keys/keys_test.go
@@ -35,12 +35,12 @@
 		t.Fatal(err)
 	}
 	if !r.Expires().After(before) {
-		t.Error("the ring still holds the old certificate")
+		t.Error("the ring still uses the old certificate")
 	}
 }
 
-// An operator copies a damaged or foreign file over a running node's key. The
-// node must go on with the keys that it has, or it drops out of the fleet.
+// An operator overwrites a running node's key file with an invalid one. The node
+// must continue to use its loaded keys, or it would lose its connections.
 func TestBadFilesKeepTheKeysInUse(t *testing.T) {
 	folder := t.TempDir()
 	a, err := NewAuthority(folder, day)
@@ -56,15 +56,15 @@
 		t.Fatal(err)
 	}
 	if err := r.Reload(); err == nil || !strings.Contains(err.Error(), c.KeyFile) {
-		t.Errorf("a damaged key gave %v; want an error that names the file", err)
+		t.Errorf("an invalid key file: got %v, want an error with the file's path", err)
 	}
 	if r.Name() != "entry-1" {
-		t.Errorf("the keys in use are gone: %q", r.Name())
+		t.Errorf("the loaded keys were lost: name %q", r.Name())
 	}
 }
 
-// A certificate from another authority, or one past its date, must not start
-// a node: its peers would refuse it one by one, with no error at the node.
+// A node must not start with an expired certificate or one from another authority:
+// every peer would refuse it, without an error at the node itself.
 func TestForeignAndExpiredCertificatesAreRefused(t *testing.T) {
 	ours, theirs := t.TempDir(), t.TempDir()
 	if _, err := NewAuthority(ours, day); err != nil {
@@ -81,7 +81,7 @@
 	}
 	expired := issue(t, b, theirs, "entry-2", time.Nanosecond)
 	if _, err := NewRing(expired); err == nil || !strings.Contains(err.Error(), "expired") {
-		t.Errorf("an expired certificate gave %v", err)
+		t.Errorf("an expired certificate: got %v", err)
 	}
 }
 
@@ -98,6 +98,6 @@
 	}
 	a, _ := LoadAuthority(folder)
 	if _, err := a.Issue(Request{Name: "../x", Role: Entry, Valid: day}, folder); err == nil {
-		t.Error("a name that leaves the folder was accepted")
+		t.Error("a name with a path outside the folder was accepted")
 	}
 }
--- a/internal/node/keys/open.go
+++ b/internal/node/keys/open.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// openValid is how long a key made at start is valid; peers don't check it, a process rarely lives that long.
+	// openValid is the validity of a certificate created at start. Peers don't check it, and processes rarely run that long.
 	openValid = 10 * 365 * 24 * time.Hour
-	// openResetDomain keeps the reset keys of open rings apart from those made from private keys.
+	// openResetDomain separates the reset keys of open rings from those derived from private keys.
 	openResetDomain = "hornbeamwood open reset 1"
 )
 
-// openRing holds a key made at start; it takes the word of every peer for its name and role.
+// openRing holds a key that is generated at start. It accepts every peer's name and role without verification.
 type openRing struct {
 	name        string
 	role        Role
 	certificate tls.Certificate
 }
 
-// NewOpenRing returns a ring for a network that only the system's own VMs reach and on which no key files are handed out.
+// NewOpenRing returns a ring for a network that only the system's own VMs can reach and on which no key files are distributed.
 //
-// Connections are encrypted, which keeps packets of an earlier process at the
-// same address from being taken for those of the present one, but whoever
-// reaches the port is believed.
+// Connections are encrypted, so that packets of an earlier process at the same
+// address aren't attributed to the current one. Peers are not authenticated:
+// whoever can reach the port is accepted.
 func NewOpenRing(name string, role Role) (Ring, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -51,7 +51,7 @@
 	}, nil
 }
 
-// Reload implements Ring; there are no files to read.
+// Reload implements Ring. It does nothing, because there are no files to read.
 func (r *openRing) Reload() error {
 	return nil
 }
@@ -68,9 +68,9 @@
 
 // ResetKey implements Ring.
 //
-// It depends on the name alone, so that a process that was killed can end its
-// predecessor's connections. Who could forge a reset could also pose as the
-// process, see NewOpenRing.
+// It depends only on the name, so that a restarted process can reset the
+// connections of its killed predecessor. An attacker who can forge a reset could
+// also impersonate the process, see NewOpenRing.
 func (r *openRing) ResetKey() [32]byte {
 	return sha256.Sum256([]byte(openResetDomain + r.name))
 }
@@ -79,9 +79,9 @@
 func (r *openRing) TLS(protocol string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
-		// After a loss of all processes each replica has a handshake with every entry
-		// before it can tell anything. Keys that nobody vouches for gain nothing from
-		// the larger exchange that also resists quantum computers.
+		// After a loss of all processes, each replica must complete a handshake with
+		// every entry before it can send anything. The larger post-quantum key exchange
+		// would add no security, because the peers' keys are not authenticated.
 		CurvePreferences:   []tls.CurveID{tls.X25519},
 		NextProtos:         []string{protocol},
 		ServerName:         ServerName,
--- a/internal/node/keys/open_test.go
+++ b/internal/node/keys/open_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// On a network without key files two processes that started on their own must
-// reach each other and learn each other's name and role from the handshake.
+// On a network without key files, two independently started processes must be able
+// to connect, and the handshake must provide the peer's name and role.
 func TestOpenRingsReachEachOther(t *testing.T) {
-	server, client := openRing1(t, "a", Control), openRing1(t, "b", Entry)
+	server, client := mustOpenRing(t, "a", Control), mustOpenRing(t, "b", Entry)
 	l, err := tls.Listen("tcp", "127.0.0.1:0", server.TLS("test"))
 	if err != nil {
 		t.Fatal(err)
@@ -41,12 +41,12 @@
 	if subject.CommonName != "b" || subject.OrganizationalUnit[0] != string(Entry) {
 		t.Errorf("the server saw %v", subject)
 	}
-	if openRing1(t, "a", Control).ResetKey() != server.ResetKey() {
-		t.Error("a process that restarts can't reset its predecessor's connections")
+	if mustOpenRing(t, "a", Control).ResetKey() != server.ResetKey() {
+		t.Error("a restarted process can't reset its predecessor's connections")
 	}
 }
 
-func openRing1(t *testing.T, name string, role Role) Ring {
+func mustOpenRing(t *testing.T, name string, role Role) Ring {
 	t.Helper()
 	r, err := NewOpenRing(name, role)
 	if err != nil {
--- a/internal/node/keys/ring.go
+++ b/internal/node/keys/ring.go
@@ -11,27 +11,27 @@
 	"time"
 )
 
-// Config names the key files of one node.
+// Config holds the paths of a node's key files.
 type Config struct {
 	// CertificateFile is the node's PEM certificate.
 	CertificateFile string
 	// KeyFile is the node's PEM private key.
 	KeyFile string
-	// AuthorityFile holds the PEM certificates of all authorities that are trusted; two during a rotation.
+	// AuthorityFile contains the PEM certificates of all trusted authorities, two of them during a rotation.
 	AuthorityFile string
 }
 
-// Ring holds a node's keys and can load them anew while connections use them.
+// Ring holds a node's keys and can reload them while connections use them.
 type Ring interface {
-	// Reload reads the files again; on an error the keys in use stay.
+	// Reload reads the files again. On an error the current keys remain in use.
 	Reload() error
 	// Expires returns when the node's certificate expires.
 	Expires() time.Time
-	// TLS returns settings for mutual TLS that follow every Reload.
+	// TLS returns a configuration for mutual TLS that uses the keys of the latest Reload.
 	TLS(protocol string) *tls.Config
 	// Name returns the node's name from its certificate.
 	Name() string
-	// ResetKey returns a secret that stays the same over restarts with the same keys.
+	// ResetKey returns a secret that remains the same across restarts with the same keys.
 	ResetKey() [32]byte
 }
 
@@ -45,7 +45,7 @@
 	authorities *x509.CertPool
 }
 
-// NewRing returns the keys in the files of c; unreadable, expired or unmatched keys are an error.
+// NewRing returns a ring with the keys in the files of c. It fails if they are unreadable, expired or don't match.
 func NewRing(c Config) (Ring, error) {
 	r := &ring{config: c}
 	if err := r.Reload(); err != nil {
@@ -58,7 +58,7 @@
 func (r *ring) Reload() error {
 	c, err := tls.LoadX509KeyPair(r.config.CertificateFile, r.config.KeyFile)
 	if err != nil {
-		return fmt.Errorf("keys: %s with %s: %w", r.config.CertificateFile, r.config.KeyFile, err)
+		return fmt.Errorf("keys: load %s with %s: %w", r.config.CertificateFile, r.config.KeyFile, err)
 	}
 	b, err := os.ReadFile(r.config.AuthorityFile)
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(b) {
-		return fmt.Errorf("keys: %s holds no certificate", r.config.AuthorityFile)
+		return fmt.Errorf("keys: %s contains no certificate", r.config.AuthorityFile)
 	}
 	if err := verify(c.Leaf, pool); err != nil {
 		return fmt.Errorf("keys: %s: %w", r.config.CertificateFile, err)
@@ -85,7 +85,7 @@
 	return r.loaded.Load().certificate.Leaf.Subject.CommonName
 }
 
-// resetDomain keeps the reset key apart from other uses of the private key.
+// resetDomain separates the reset key from other uses of the private key.
 const resetDomain = "hornbeamwood stateless reset 1"
 
 // ResetKey implements Ring.
@@ -99,8 +99,9 @@
 
 // TLS implements Ring.
 //
-// The standard verification is replaced, not dropped: RootCAs is fixed when a
-// tls.Config is made, and a ring must trust a new authority without a restart.
+// VerifyConnection replaces the standard verification, which InsecureSkipVerify
+// disables. RootCAs is fixed when a tls.Config is created, and a ring must trust
+// a new authority without a restart.
 func (r *ring) TLS(protocol string) *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
@@ -116,7 +117,7 @@
 		},
 		VerifyConnection: func(s tls.ConnectionState) error {
 			if len(s.PeerCertificates) == 0 {
-				return errors.New("keys: the peer showed no certificate")
+				return errors.New("keys: the peer sent no certificate")
 			}
 			return verify(s.PeerCertificates[0], r.loaded.Load().authorities)
 		},
--- a/internal/node/keys/role.go
+++ b/internal/node/keys/role.go
@@ -1,16 +1,16 @@
 package keys
 
-// Role is what a process may do towards others; it stands in its certificate's organizational unit.
+// Role determines what a process may call. It is the organizational unit in the process's certificate.
 type Role string
 
 const (
-	// Entry is the role of processes that serve callers.
+	// Entry is the role of entries, which serve callers.
 	Entry Role = "entry"
 	// Control is the role of replicas of the control log.
 	Control Role = "control"
-	// Operator is the role of the command line.
+	// Operator is the role of the command-line tool.
 	Operator Role = "operator"
 )
 
-// ServerName is the DNS name in each node certificate; nodes are dialled by IP number, so it stands for membership and not for one node.
+// ServerName is the DNS name in every node certificate. Nodes are dialed by IP address, so the name identifies membership in the system rather than one node.
 const ServerName = "node.hornbeamwood"
--- a/internal/node/outbox/doc.go
+++ b/internal/node/outbox/doc.go
@@ -1,3 +1,3 @@
-// Package outbox sends messages to several peers, each by a goroutine of its
-// own, so that one peer that does not answer holds up no other.
+// Package outbox sends messages to several peers with one goroutine per peer, so
+// that an unresponsive peer does not delay messages to the others.
 package outbox
--- a/internal/node/outbox/outbox.go
+++ b/internal/node/outbox/outbox.go
@@ -5,19 +5,19 @@
 	"sync"
 )
 
-// Config is what an Outbox needs.
+// Config configures an Outbox.
 type Config[T any] struct {
-	// Length is the number of messages that wait for one peer; further ones are dropped.
+	// Length is the largest number of messages queued for one peer; further ones are dropped.
 	Length int
-	// Send sends one message to a peer; it gives up on a peer that does not answer.
+	// Send sends one message to a peer. It must return within a bounded time if the peer does not respond.
 	Send func(ctx context.Context, peer string, m T)
 }
 
-// Outbox queues messages by peer.
+// Outbox queues messages per peer.
 type Outbox[T any] interface {
-	// Post queues a message and never blocks; it drops the message when too many wait for the peer.
+	// Post queues a message without blocking and drops it if the peer's queue is full.
 	Post(peer string, m T)
-	// Close drops what waits and ends the goroutines.
+	// Close drops the queued messages and stops the goroutines.
 	Close()
 }
 
@@ -32,7 +32,7 @@
 	closed bool
 }
 
-// New returns an Outbox without peers; a peer's goroutine starts with its first message.
+// New returns an Outbox without peers. A peer's goroutine starts with the first message to it.
 func New[T any](c Config[T]) Outbox[T] {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &outbox[T]{config: c, ctx: ctx, cancel: cancel, queues: make(map[string]chan T)}
@@ -55,7 +55,7 @@
 	o.ended.Wait()
 }
 
-// queue returns the peer's queue; after Close nobody reads from a new one.
+// queue returns the peer's queue and creates it if necessary. After Close a new queue has no goroutine that reads from it.
 func (o *outbox[T]) queue(peer string) chan T {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/node/outbox/outbox_test.go
+++ b/internal/node/outbox/outbox_test.go
@@ -5,19 +5,19 @@
 	"testing"
 )
 
-// One of two peers is frozen and what is sent to it hangs. The other one must
-// get its messages all the same, and whoever posts must not wait.
-func TestFrozenPeerHoldsUpNobody(t *testing.T) {
+// One of two peers is suspended, and sending to it blocks. The other peer must
+// still get its messages, and Post must not block.
+func TestSuspendedPeerDelaysNoOther(t *testing.T) {
 	got := make(chan int)
 	o := New(Config[int]{Length: 2, Send: func(ctx context.Context, peer string, m int) {
-		if peer == "frozen" {
+		if peer == "suspended" {
 			<-ctx.Done()
 			return
 		}
 		got <- m
 	}})
 	for i := range 10 {
-		o.Post("frozen", i)
+		o.Post("suspended", i)
 	}
 	o.Post("alive", 7)
 	if m := <-got; m != 7 {
--- a/internal/node/rpc/bench_test.go
+++ b/internal/node/rpc/bench_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// BenchmarkCall measures one call with its answer between two nodes on
-// loopback: time of both sides, and the bytes of both sides on the wire.
+// BenchmarkCall measures one call and its reply between two nodes on loopback:
+// the time and the bytes on the wire, each for both sides together.
 func BenchmarkCall(b *testing.B) {
 	for _, size := range []int{32, 1024, 16384} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// BenchmarkNotice measures one message without an answer.
+// BenchmarkNotice measures one message without a reply.
 func BenchmarkNotice(b *testing.B) {
 	server, client := benchNodes(b)
 	var taken atomic.Int64
--- a/internal/node/rpc/call.go
+++ b/internal/node/rpc/call.go
@@ -11,17 +11,17 @@
 // request is one encoded call.
 type request struct {
 	name string
-	// idle is the method's.
+	// idle is the method's Idle.
 	idle time.Duration
 	body []byte
 }
 
-// call sends one request and returns the answer's body.
+// call sends one request and returns the body of the answer.
 //
-// Once a byte was handed to the connection nobody can say whether it left, so
-// from then on every failure is MayHaveRun.
+// Once a byte was passed to the connection, it may have been sent, so every
+// failure after that is MayHaveRun.
 func (n *node) call(ctx context.Context, address string, q request) ([]byte, error) {
-	ctx, heard, stopIdle := withIdle(ctx, q.idle)
+	ctx, resetIdle, stopIdle := withIdle(ctx, q.idle)
 	defer stopIdle()
 	c, err := n.pool.get(ctx, address)
 	if err != nil {
@@ -38,14 +38,14 @@
 	})
 	defer stop()
 	if err := writeFrame(s, header{Name: q.name, Timeout: q.timeout(ctx), Body: q.body}); err != nil {
-		return nil, lost(q.name, address, err)
+		return nil, answerLost(q.name, address, err)
 	}
 	_ = s.Close()
-	r := &countingReader{Reader: s, heard: heard}
+	r := &countingReader{Reader: s, onRead: resetIdle}
 	a, err := readFrame[answer](r)
 	n.countAnswer(q.name, r.bytes, err == nil)
 	if err != nil {
-		return nil, brokeOff(q.name, address, r.bytes, err)
+		return nil, answerTruncated(q.name, address, r.bytes, err)
 	}
 	if a.Failure != nil {
 		return nil, *a.Failure
@@ -53,8 +53,8 @@
 	return a.Body, nil
 }
 
-// withIdle returns a context that ends when heard isn't called for the given time; zero sets no such bound.
-func withIdle(ctx context.Context, idle time.Duration) (bounded context.Context, heard func(), stop func()) {
+// withIdle returns a context that ends if reset isn't called for the given time; zero means no limit.
+func withIdle(ctx context.Context, idle time.Duration) (bounded context.Context, reset func(), stop func()) {
 	if idle <= 0 {
 		return ctx, func() {}, func() {}
 	}
@@ -77,28 +77,28 @@
 	}
 	if err := writeFrame(s, header{Name: name, Body: body}); err != nil {
 		s.CancelWrite(0)
-		return lost(name, address, err)
+		return answerLost(name, address, err)
 	}
 	return s.Close()
 }
 
-// timeout returns how long the peer may work at the request, in nanoseconds; zero for no bound.
+// timeout returns how long the peer may process the request, in nanoseconds; zero means no limit.
 func (q request) timeout(ctx context.Context) int64 {
-	left := q.idle
-	if d, ok := ctx.Deadline(); ok && (left <= 0 || time.Until(d) < left) {
-		left = max(1, time.Until(d))
+	remaining := q.idle
+	if d, ok := ctx.Deadline(); ok && (remaining <= 0 || time.Until(d) < remaining) {
+		remaining = max(1, time.Until(d))
 	}
-	return int64(left)
+	return int64(remaining)
 }
 
 func unreachable(address string, err error) error {
 	return verdict.New(verdict.NotRun, http.StatusServiceUnavailable, "unreachable", "the process at %s can't be reached", address).WithCause(err)
 }
 
-func brokeOff(name, address string, bytes int, err error) error {
+func answerTruncated(name, address string, bytes int, err error) error {
 	return verdict.New(verdict.MayHaveRun, http.StatusGatewayTimeout, "answer-lost", "the answer of %s to %s was lost after %d bytes", address, name, bytes).WithCause(err)
 }
 
-func lost(name, address string, err error) error {
+func answerLost(name, address string, err error) error {
 	return verdict.New(verdict.MayHaveRun, http.StatusGatewayTimeout, "answer-lost", "the answer of %s to %s was lost", address, name).WithCause(err)
 }
--- a/internal/node/rpc/counting_conn.go
+++ b/internal/node/rpc/counting_conn.go
@@ -5,13 +5,13 @@
 	"sync/atomic"
 )
 
-// countingConn counts the bytes that leave a UDP socket, headers of IP and UDP left out.
+// countingConn counts the bytes sent on a UDP socket, without IP and UDP headers.
 type countingConn struct {
 	*net.UDPConn
 	sent atomic.Int64
 }
 
-// WriteMsgUDP implements the writer that QUIC uses where the system allows it.
+// WriteMsgUDP implements the method that quic-go uses to send where the operating system supports it.
 func (c *countingConn) WriteMsgUDP(b, oob []byte, a *net.UDPAddr) (n, oobn int, err error) {
 	n, oobn, err = c.UDPConn.WriteMsgUDP(b, oob, a)
 	c.sent.Add(int64(n))
--- a/internal/node/rpc/counting_reader.go
+++ b/internal/node/rpc/counting_reader.go
@@ -5,11 +5,11 @@
 	"io"
 )
 
-// countingReader counts the bytes that were read through it and calls heard when some come.
+// countingReader counts the bytes that are read through it and calls onRead after each read that returns any.
 type countingReader struct {
 	io.Reader
-	heard func()
-	bytes int
+	onRead func()
+	bytes  int
 }
 
 // Read implements io.Reader.
@@ -17,12 +17,12 @@
 	n, err := r.Reader.Read(b)
 	r.bytes += n
 	if n > 0 {
-		r.heard()
+		r.onRead()
 	}
 	return n, err
 }
 
-// countAnswer adds the bytes of one answer to the counters, apart for those that did not come whole.
+// countAnswer adds the bytes of one answer to the metrics, separately for complete and lost answers.
 func (n *node) countAnswer(method string, bytes int, whole bool) {
 	if n.config.Metrics == nil {
 		return
--- a/internal/node/rpc/doc.go
+++ b/internal/node/rpc/doc.go
@@ -1,6 +1,7 @@
-// Package rpc carries typed calls and notices between the system's processes
-// over QUIC with mutual TLS.
+// Package rpc sends typed calls and notices between the system's processes over
+// QUIC with mutual TLS.
 //
-// A call has its own stream: a header, a CBOR body, and one answer. A failed
-// call says by its verdict whether the peer may have carried it out.
+// Each call uses its own stream, with a header that contains the CBOR body, and
+// one answer. The verdict of a failed call states whether the peer may have
+// executed it.
 package rpc
--- a/internal/node/rpc/frame.go
+++ b/internal/node/rpc/frame.go
@@ -14,21 +14,21 @@
 
 const lengthBytes = 4
 
-// header opens each stream.
+// header is the request on each stream.
 type header struct {
-	// Name is the method's or notice's name.
+	// Name is the name of the method or notice.
 	Name string `cbor:"name"`
-	// Timeout is the rest of the caller's deadline in nanoseconds; zero for none.
+	// Timeout is the time left until the caller's deadline in nanoseconds; zero means none.
 	Timeout int64 `cbor:"timeout"`
 	// Body is the encoded request.
 	Body []byte `cbor:"body"`
 }
 
-// answer closes each call.
+// answer is the reply to a call.
 type answer struct {
-	// Failure is set when the call failed.
+	// Failure is set if the call failed.
 	Failure *verdict.Error `cbor:"failure"`
-	// Body is the encoded answer.
+	// Body is the encoded result.
 	Body []byte `cbor:"body"`
 }
 
@@ -56,7 +56,7 @@
 	if n > MaxFrame {
 		return zero, fmt.Errorf("rpc: a message of %d bytes is over the limit of %d", n, MaxFrame)
 	}
-	// A peer that lies about its length costs no memory before the bytes are here.
+	// Memory is allocated as bytes arrive, so that a false length costs no memory.
 	b, err := io.ReadAll(io.LimitReader(r, int64(n)))
 	if err != nil {
 		return zero, err
--- a/internal/node/rpc/handler.go
+++ b/internal/node/rpc/handler.go
@@ -9,10 +9,10 @@
 	"hornbeamwood/internal/node/keys"
 )
 
-// Handler answers one call.
+// Handler serves one call.
 type Handler[Q, R any] func(ctx context.Context, p Peer, q Q) (R, error)
 
-// Receiver takes one notice.
+// Receiver handles one notice.
 type Receiver[Q any] func(p Peer, q Q)
 
 type rawHandler struct {
@@ -20,7 +20,7 @@
 	call  func(ctx context.Context, p Peer, body []byte) ([]byte, error)
 }
 
-// Handle registers h for m; it is called before Serve.
+// Handle registers h for m. It must be called before Serve.
 func Handle[Q, R any](n Node, m Method[Q, R], h Handler[Q, R]) {
 	n.register(m.Name, rawHandler{roles: m.Roles, call: func(ctx context.Context, p Peer, body []byte) ([]byte, error) {
 		q, err := codec.Unmarshal[Q](body)
@@ -35,7 +35,7 @@
 	}})
 }
 
-// Receive registers r for n; it is called before Serve.
+// Receive registers r for n. It must be called before Serve.
 func Receive[Q any](o Node, n Notice[Q], r Receiver[Q]) {
 	o.register(n.Name, rawHandler{roles: n.Roles, call: func(_ context.Context, p Peer, body []byte) ([]byte, error) {
 		q, err := codec.Unmarshal[Q](body)
@@ -47,10 +47,10 @@
 	}})
 }
 
-// Call sends q to the process at address and returns its answer.
+// Call sends q to the process at address and returns its result.
 //
-// A failure is a verdict.Error: NotRun when the call never left or the peer
-// refused it before carrying it out, MayHaveRun when the answer was lost.
+// A failure is a verdict.Error: NotRun if the call was never sent or the peer
+// refused it without executing it, MayHaveRun if the answer was lost.
 func Call[Q, R any](ctx context.Context, n Node, address string, m Method[Q, R], q Q) (R, error) {
 	var zero R
 	body, err := codec.Marshal(q)
@@ -68,7 +68,7 @@
 	return r, nil
 }
 
-// Notify sends q to the process at address without waiting for anything but a connection; it may be lost.
+// Notify sends q to the process at address. It waits only for a connection, and the message may be lost.
 func Notify[Q any](ctx context.Context, o Node, address string, n Notice[Q], q Q) error {
 	body, err := codec.Marshal(q)
 	if err != nil {
--- a/internal/node/rpc/method.go
+++ b/internal/node/rpc/method.go
@@ -7,24 +7,24 @@
 	"hornbeamwood/internal/node/keys"
 )
 
-// Method names a call with its request type Q and its answer type R, known to both sides.
+// Method describes a call with request type Q and result type R, as both sides know it.
 type Method[Q, R any] struct {
 	// Name is the kebab-case name on the wire.
 	Name string
-	// Roles are those who may call.
+	// Roles are the roles that may call the method.
 	Roles []keys.Role
-	// Idle is how long nothing of the answer may come until the call counts as lost; zero leaves that to the call's context.
+	// Idle is how long the caller waits for further bytes of the answer before the call counts as lost; zero means that only the call's context limits it.
 	//
-	// A bound on the whole answer must be short for a silent peer to be left soon, and
-	// an answer that grows with the state is then given up while it is still coming.
+	// A limit on the complete answer would have to be short to detect an unresponsive
+	// peer quickly. It would then abort a large answer while it is still arriving.
 	Idle time.Duration
 }
 
-// Notice names a message without an answer.
+// Notice describes a message without a reply.
 type Notice[Q any] struct {
 	// Name is the kebab-case name on the wire.
 	Name string
-	// Roles are those who may send it.
+	// Roles are the roles that may send the notice.
 	Roles []keys.Role
 }
 
--- a/internal/node/rpc/node.go
+++ b/internal/node/rpc/node.go
@@ -27,27 +27,27 @@
 	maxStreams       = 4096
 )
 
-// Config is what a Node needs.
+// Config configures a Node.
 type Config struct {
-	// Listen is the UDP IP and port.
+	// Listen is the UDP address to listen on, as IP:port.
 	Listen string
 	// Ring holds the node's keys.
 	Ring keys.Ring
-	// Logger takes the events; nil for none.
+	// Logger receives the events; nil disables them.
 	Logger log.Interface
-	// Metrics takes the counters; nil for none.
+	// Metrics receives the counters; nil disables them.
 	Metrics *metrics.Set
 }
 
-// Node is one process's end of the QUIC connections: it calls and is called on one UDP socket.
+// Node is one process's QUIC endpoint. It makes and serves calls on one UDP socket.
 type Node interface {
-	// Serve accepts connections until ctx ends; handlers are registered before.
+	// Serve accepts connections until ctx ends. Handlers must be registered before it is called.
 	Serve(ctx context.Context) error
 	// Address returns the UDP address that the node listens on.
 	Address() string
-	// BytesSent returns the bytes that left the UDP socket, headers of IP and UDP left out.
+	// BytesSent returns the number of bytes sent on the UDP socket, without IP and UDP headers.
 	BytesSent() int64
-	// Close ends all connections.
+	// Close closes all connections and the socket.
 	Close() error
 
 	register(name string, h rawHandler)
@@ -77,9 +77,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("rpc: %w", err)
 	}
-	// A process that was killed comes back under its old address. With a reset
-	// key that outlives it, its answer to packets of old connections ends them at
-	// the peers at once; without it their messages are lost until the idle timeout.
+	// A killed process restarts under its old address. With a reset key that is the
+	// same after the restart, its reply to packets of old connections closes them at
+	// the peers immediately. Otherwise the peers' messages are lost until the idle
+	// timeout.
 	reset := quic.StatelessResetKey(c.Ring.ResetKey())
 	conn := &countingConn{UDPConn: s}
 	t := &quic.Transport{Conn: conn, StatelessResetKey: &reset}
@@ -126,8 +127,8 @@
 	return err
 }
 
-// keep remembers an accepted connection until it ends.
-func (n *node) keep(c *quic.Conn) {
+// trackAccepted tracks an accepted connection until it ends.
+func (n *node) trackAccepted(c *quic.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.accepted[c] = struct{}{}
@@ -138,7 +139,7 @@
 	})
 }
 
-// closeAccepted tells the peers that this process ends, so that their next message goes to its successor.
+// closeAccepted closes the accepted connections, so that the peers send their next message to this process's successor.
 func (n *node) closeAccepted() {
 	n.mu.Lock()
 	all := slices.Collect(maps.Keys(n.accepted))
@@ -165,7 +166,7 @@
 			return ctx.Err()
 		}
 		event.PeerConnected.Write(n.config.Logger, log.Fields{"peer": peerOf(c.ConnectionState().TLS, c.RemoteAddr().String()).Name})
-		n.keep(c)
+		n.trackAccepted(c)
 		n.running.Go(func() { n.acceptCalls(ctx, c) })
 		n.running.Go(func() { n.acceptNotices(ctx, c) })
 	}
--- a/internal/node/rpc/peer.go
+++ b/internal/node/rpc/peer.go
@@ -6,13 +6,13 @@
 	"hornbeamwood/internal/node/keys"
 )
 
-// Peer is the process at the other end, as its certificate names it.
+// Peer is the process at the other end of a connection, as identified by its certificate.
 type Peer struct {
 	// Name is the node's name.
 	Name string
-	// Role is what the node may do.
+	// Role determines what the node may call.
 	Role keys.Role
-	// Address is the IP and port that it calls from.
+	// Address is the IP and port from which the peer calls.
 	Address string
 }
 
--- a/internal/node/rpc/pool.go
+++ b/internal/node/rpc/pool.go
@@ -9,7 +9,7 @@
 	"github.com/quic-go/quic-go"
 )
 
-// pool holds one connection for each address that was called.
+// pool holds one outgoing connection per address.
 type pool struct {
 	transport *quic.Transport
 	tls       *tls.Config
@@ -17,17 +17,16 @@
 	slots     map[string]*slot
 }
 
-// slot lets one caller dial while the others of the same address wait, each no
-// longer than its own deadline: a mutex would hold them for a dead peer's
-// whole handshake timeout.
+// slot lets one caller dial an address while the others wait, each until its own
+// deadline. A mutex would block them for the full handshake timeout of a dead peer.
 type slot struct {
-	turn chan struct{}
+	sem  chan struct{}
 	conn *quic.Conn
 }
 
 func (s *slot) lock(ctx context.Context) error {
 	select {
-	case s.turn <- struct{}{}:
+	case s.sem <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -35,7 +34,7 @@
 }
 
 func (s *slot) unlock() {
-	<-s.turn
+	<-s.sem
 }
 
 func newPool(t *quic.Transport, c *tls.Config) *pool {
@@ -47,7 +46,7 @@
 	defer p.mu.Unlock()
 	s, ok := p.slots[address]
 	if !ok {
-		s = &slot{turn: make(chan struct{}, 1)}
+		s = &slot{sem: make(chan struct{}, 1)}
 		p.slots[address] = s
 	}
 	return s
--- a/internal/node/rpc/restart_test.go
+++ b/internal/node/rpc/restart_test.go
@@ -11,8 +11,9 @@
 	"hornbeamwood/internal/node/keys"
 )
 
-// restarted starts a node of the given files on a fixed address and serves until the returned function is called.
-func restarted(t *testing.T, c keys.Config, listen string, close bool) (Node, func()) {
+// restarted starts a node with the given key files on the address listen and serves until
+// the returned function is called. That function simulates a kill unless graceful is true.
+func restarted(t *testing.T, c keys.Config, listen string, graceful bool) (Node, func()) {
 	t.Helper()
 	r, err := keys.NewRing(c)
 	if err != nil {
@@ -30,21 +31,21 @@
 		_ = n.Serve(ctx)
 	}()
 	return n, func() {
-		if !close {
-			// A killed process says nothing; its socket is gone at once.
+		if !graceful {
+			// A killed process sends nothing, and its socket is closed immediately.
 			_ = n.(*node).transport.Conn.Close()
 		}
 		cancel()
 		<-done
-		if close {
+		if graceful {
 			_ = n.Close()
 		}
 	}
 }
 
-// A process is killed or stopped and comes back under its old address. Its
-// peers hold connections to the one that is gone; what they send on them is
-// lost, and for seconds they believe that the new process does not answer.
+// A process is killed or stopped and restarts under its old address. Its peers
+// still hold connections to the old process. Messages on them would be lost, and
+// for seconds the new process would appear unresponsive.
 func TestPeersFindARestartedProcessAtOnce(t *testing.T) {
 	for name, graceful := range map[string]bool{"killed": false, "stopped": true} {
 		t.Run(name, func(t *testing.T) {
@@ -71,11 +72,11 @@
 			end()
 			_, endSecond := restarted(t, c, address, true)
 			defer endSecond()
-			// The packet that finds the connection gone is one of the client's own keep-alives.
+			// One of the client's keep-alives triggers the reset of the old connection.
 			<-old.Context().Done()
 			var idle *quic.IdleTimeoutError
 			if cause := context.Cause(old.Context()); errors.As(cause, &idle) {
-				t.Fatalf("the old connection ended by itself: %v", cause)
+				t.Fatalf("the old connection ended by its idle timeout: %v", cause)
 			}
 			if _, err := Call(t.Context(), client, address, echo, ping{}); err != nil {
 				t.Fatal(err)
--- a/internal/node/rpc/rpc_test.go
+++ b/internal/node/rpc/rpc_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// A caller may send a request again only if the failure proves that it was
-// never carried out; each way to fail must say so truly.
+// A caller may retry a request only if the failure guarantees that it was never
+// executed, so each kind of failure must have the correct verdict.
 func TestVerdictsOfFailedCalls(t *testing.T) {
 	folder := newAuthority(t)
 	server, client := newNode(t, folder, "entry-1"), newNode(t, folder, "entry-2")
@@ -125,8 +125,8 @@
 	}
 }
 
-// A process that holds no certificate of the fleet's authority must not get
-// as far as a method.
+// A process without a certificate of the fleet's authority must not be able to
+// call a method.
 func TestForeignAuthorityIsRefused(t *testing.T) {
 	server := newNode(t, newAuthority(t), "entry-1")
 	client := newNode(t, newAuthority(t), "entry-2")
--- a/internal/node/rpc/serve.go
+++ b/internal/node/rpc/serve.go
@@ -13,7 +13,7 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-// readTimeout bounds how long a peer may take to send a request.
+// readTimeout is how long a peer may take to send a request.
 const readTimeout = 10 * time.Second
 
 func (n *node) acceptCalls(ctx context.Context, c *quic.Conn) {
@@ -34,7 +34,7 @@
 		if err != nil {
 			return
 		}
-		n.running.Go(func() { n.takeNotice(s, p) })
+		n.running.Go(func() { n.handleNotice(s, p) })
 	}
 }
 
@@ -57,7 +57,7 @@
 	}
 }
 
-func (n *node) takeNotice(s io.Reader, p Peer) {
+func (n *node) handleNotice(s io.Reader, p Peer) {
 	h, err := readFrame[header](s)
 	if err != nil {
 		return
@@ -86,7 +86,7 @@
 	return context.WithTimeout(ctx, time.Duration(timeout))
 }
 
-// failure turns err into what travels; an error without a verdict promises nothing.
+// failure converts err for the answer. An error without a verdict becomes MayHaveRun.
 func failure(err error) *verdict.Error {
 	if e, ok := verdict.As(err); ok {
 		return &e
--- a/internal/node/tcp/doc.go
+++ b/internal/node/tcp/doc.go
@@ -1,2 +1,2 @@
-// Package tcp opens TCP connections that notice a peer that has gone silent.
+// Package tcp opens TCP connections that detect an unresponsive peer within seconds.
 package tcp
--- a/internal/node/tcp/socket.go
+++ b/internal/node/tcp/socket.go
@@ -11,10 +11,11 @@
 )
 
 const (
-	// userTimeout is how long sent bytes may stay unacknowledged until the
-	// connection counts as broken: some retransmissions, well under a caller's patience.
+	// userTimeout is how long sent data may remain unacknowledged before the
+	// connection is closed: long enough for some retransmissions, and well below
+	// the time that callers wait.
 	userTimeout = 4 * time.Second
-	// keepAliveIdle, keepAliveInterval and keepAliveCount find a silent peer of an idle connection in 4 s.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect an unresponsive peer of an idle connection in 4 s.
 	keepAliveIdle     = 2 * time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
@@ -24,10 +25,10 @@
 	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 }
 
-// control sets the user timeout on a socket.
+// control sets TCP_USER_TIMEOUT on a socket.
 //
-// A cut link answers nothing: without it, a write seems to succeed and the
-// connection hangs for many minutes.
+// Without it, writes on a broken link appear to succeed, and the connection hangs
+// for many minutes.
 func control(_, _ string, c syscall.RawConn) error {
 	var failed error
 	err := c.Control(func(fd uintptr) {
@@ -42,13 +43,13 @@
 	return nil
 }
 
-// Listen listens on an IP and port.
+// Listen listens on an address of the form IP:port.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	c := net.ListenConfig{Control: control, KeepAliveConfig: keepAlive()}
 	return c.Listen(ctx, "tcp4", address)
 }
 
-// Dial connects to an IP and port before ctx ends.
+// Dial connects to an address of the form IP:port. ctx bounds the time to connect.
 func Dial(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{Control: control, KeepAliveConfig: keepAlive()}
 	return d.DialContext(ctx, "tcp4", address)
