--- a/internal/control/admission/view.go
+++ b/internal/control/admission/view.go
@@ -38,7 +38,7 @@
 	return n
 }
 
-// caughtUp returns whether the member's disk holds all but the last maxLag committed entries.
+// caughtUp returns whether the member's disk holds any entries and lacks at most maxLag committed ones.
 func (v View) caughtUp(m raft.Member) bool {
 	return v.Matches[m.Identity]+maxLag >= v.Commit && v.Matches[m.Identity] > 0
 }
