--- a/internal/fleet/membership/addresses.go
+++ b/internal/fleet/membership/addresses.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// claimTime is how long a claim counts by itself, until the server's record is in the view.
+// claimTime is how long a claim holds before the server's record is published in the view.
 const claimTime = time.Second
 
-// claim is the use of one address.
+// claim records which identity uses an address and since when.
 type claim struct {
 	identity string
 	at       time.Time
@@ -20,7 +20,7 @@
 	users map[string]claim
 }
 
-// claim gives the address to the identity, unless another one that is live uses it, and returns that one.
+// claim assigns the address to the identity and returns it. If another live identity uses the address, it returns that one and false.
 func (a *addresses) claim(now time.Time, address, identity string, live func(identity string) bool) (string, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -33,7 +33,7 @@
 	return identity, true
 }
 
-// release takes the address from the identity.
+// release removes the claim of the identity on the address.
 func (a *addresses) release(address, identity string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fleet/membership/cause.go
+++ b/internal/fleet/membership/cause.go
@@ -1,6 +1,6 @@
 package membership
 
-// Cause says why a merge had its outcome.
+// Cause is the reason for the outcome of a merge.
 type Cause string
 
 // Causes of accepted, duplicate and stale merges.
--- a/internal/fleet/membership/check.go
+++ b/internal/fleet/membership/check.go
@@ -14,7 +14,7 @@
 	maxName = 64
 	maxRate = 1e12
 	maxSize = 1 << 50
-	// maxMillis is what a time.Duration can hold.
+	// maxMillis is the largest number of milliseconds that fits into a time.Duration.
 	maxMillis = int64(math.MaxInt64 / time.Millisecond)
 )
 
@@ -23,7 +23,7 @@
 	states = []announcement.State{announcement.Ready, announcement.Leaving}
 )
 
-// Check returns an error that names the first field of a that is missing or out of bounds.
+// Check validates a and returns an error that names the first field that is missing or out of bounds.
 func (c Config) Check(a announcement.Announcement) error {
 	c = c.withDefaults()
 	checks := []func() error{
--- a/internal/fleet/membership/config.go
+++ b/internal/fleet/membership/config.go
@@ -19,12 +19,12 @@
 	Holdings int
 	// Services is the largest number of services of one server.
 	Services int
-	// Forget is the silence after which a ready server is forgotten.
+	// Forget is how long after its last announcement a ready server is removed.
 	Forget time.Duration
-	// ForgetLeaver is the silence after which a leaving server is forgotten.
+	// ForgetLeaver is how long after its last announcement a leaving server is removed.
 	//
-	// A leaver forgotten too early could be brought back by a late message of
-	// the same incarnation, so this is far above any message's life.
+	// A late message of the same incarnation could bring back a server that was
+	// removed too early, so this is far longer than any message can be delayed.
 	ForgetLeaver time.Duration
 }
 
--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -8,29 +8,30 @@
 	"time"
 )
 
-// Gossip decides what this entry tells and asks the other entries of its cell.
+// Gossip decides which messages this entry sends to the other entries of its cell.
 //
-// Each entry pushes what servers told it itself. Pulls bring what a push has
-// missed, and prove how the peers' clocks stand to this one: what a push says
-// is dated by its stamp, so that a message that lay for seconds in a broken
-// connection can't make an old announcement look new.
+// Each entry pushes the announcements that it received directly. Pulls fetch
+// what pushes have missed, and bound the offset between the peers' clocks and
+// the local clock. The stamp of a push dates its contents, so that a message
+// delayed for seconds in a broken connection can't make an old announcement
+// look new.
 type Gossip interface {
 	// SetPeers sets the identities of the other entries of the cell.
 	SetPeers(peers []string)
-	// Outgoing returns the messages that are due at now; it is called every 50 ms or so.
+	// Outgoing returns the messages that are due at now; it is called about every 50 ms.
 	Outgoing(now time.Time) []Envelope
-	// Receive merges a message from a peer and returns the answers to send.
+	// Receive merges a message from a peer and returns the replies to send.
 	Receive(now time.Time, from string, m Message) []Envelope
-	// Leaving makes the next Outgoing tell all peers that the server of an identity leaves; it is called after a Merge with Leaving set.
+	// Leaving makes the next Outgoing push the leaving state of a server to all peers; it is called after a Merge with Leaving set.
 	Leaving(identity string)
-	// Work returns the counts of work sent.
+	// Work returns the counts of the requests sent to each server.
 	Work() Work
 }
 
-// formNews is how long a new form goes with each push of its server; who misses it gets it by a pull.
-const formNews = 2 * time.Second
+// staticPushTime is how long pushes of a server include a changed static part; peers that miss it fetch it by a pull.
+const staticPushTime = 2 * time.Second
 
-// pull is a Pull that waits for its answer.
+// pull is a Pull whose Answer is outstanding.
 type pull struct {
 	peer string
 	sent time.Time
@@ -115,20 +116,20 @@
 		out = g.push(now)
 	}
 	if !now.Before(g.pullDue) {
-		g.pullDue = now.Add(g.config.Pull / g.haste())
+		g.pullDue = now.Add(g.config.Pull / g.pullSpeedup())
 		out = append(out, g.pull(now))
 	}
 	return out
 }
 
 func (g *gossip) pushTime() time.Duration {
-	return max(g.config.Push, time.Duration(len(g.peers))*pushEach)
+	return max(g.config.Push, time.Duration(len(g.peers))*pushPerPeer)
 }
 
-// haste returns by how much pulls are sped up while some peer's clock is not proved.
-func (g *gossip) haste() time.Duration {
+// pullSpeedup returns the factor by which pulls are sped up while some peer's clock has no bound.
+func (g *gossip) pullSpeedup() time.Duration {
 	for _, c := range g.clocks {
-		if !c.proved() {
+		if !c.bounded() {
 			return 4
 		}
 	}
@@ -139,9 +140,9 @@
 	return Stamp{Incarnation: g.config.Incarnation, Millis: now.Sub(g.config.Start).Milliseconds()}
 }
 
-// push returns one Push to each peer when there is something to tell.
+// push returns one Push to each peer if there is anything to send.
 func (g *gossip) push(now time.Time) []Envelope {
-	p := &Push{Stamp: g.stamp(now), Rows: g.fresh(now), Work: g.work.untold()}
+	p := &Push{Stamp: g.stamp(now), Rows: g.changedRows(now), Work: g.work.unreported()}
 	if len(p.Rows) == 0 && len(p.Work) == 0 {
 		return nil
 	}
@@ -152,8 +153,8 @@
 	return out
 }
 
-// fresh returns the servers that told this entry something since the last Push, with their forms where those are new.
-func (g *gossip) fresh(now time.Time) []Row {
+// changedRows returns rows of the servers that announced a change directly since the last Push, with their static parts where those are new.
+func (g *gossip) changedRows(now time.Time) []Row {
 	var rows []Row
 	view := g.config.Table.View()
 	for s := range view.All() {
@@ -162,7 +163,7 @@
 			continue
 		}
 		g.pushed[s.key] = v
-		rows = append(rows, newRow(now, s, now.Sub(s.formHeard) < formNews))
+		rows = append(rows, newRow(now, s, now.Sub(s.staticSince) < staticPushTime))
 	}
 	if len(g.pushed) > 2*view.Len()+shardCount {
 		clear(g.pushed)
@@ -170,7 +171,7 @@
 	return rows
 }
 
-// pull returns the next pull; every peer is asked once before the order changes.
+// pull returns the next pull; every peer gets one pull before the order is shuffled again.
 func (g *gossip) pull(now time.Time) Envelope {
 	if g.next >= len(g.peers) {
 		g.next = 0
--- a/internal/fleet/membership/gossip_bench_test.go
+++ b/internal/fleet/membership/gossip_bench_test.go
@@ -12,8 +12,8 @@
 	"hornbeamwood/internal/fleet/announcement"
 )
 
-// hop is the time that a message between two entries takes.
-const hop = 2 * time.Millisecond
+// messageDelay is the delay of a message between two entries.
+const messageDelay = 2 * time.Millisecond
 
 func benchAnnouncement(i int) announcement.Announcement {
 	return announcement.Announcement{
@@ -38,17 +38,17 @@
 	}
 }
 
-// cellLoad is a cell of entries in virtual time that counts the bytes of its messages.
+// cellLoad simulates a cell of entries in virtual time and counts the bytes of its messages.
 type cellLoad struct {
-	r       *rand.Rand
-	now     time.Time
-	nodes   []*node
-	servers []announcement.Announcement
-	wire    []delivery
-	start   time.Time
-	bytes   int
-	sent    int
-	ages    []time.Duration
+	r        *rand.Rand
+	now      time.Time
+	nodes    []*node
+	servers  []announcement.Announcement
+	inFlight []delivery
+	start    time.Time
+	bytes    int
+	sent     int
+	ages     []time.Duration
 }
 
 func newCellLoad(b *testing.B, entries, servers int) *cellLoad {
@@ -72,7 +72,7 @@
 	return c
 }
 
-// second runs one second in steps of 50 ms; requests is the number that each entry sends.
+// second simulates one second in steps of 50 ms; requests is the number of requests that each entry sends.
 func (c *cellLoad) second(requests int) {
 	const steps = 20
 	for s := range steps {
@@ -111,7 +111,7 @@
 
 func (c *cellLoad) post(from *node, all []Envelope) {
 	for _, e := range all {
-		c.wire = append(c.wire, delivery{from: from.name, to: c.node(e.To), m: e.Message})
+		c.inFlight = append(c.inFlight, delivery{from: from.name, to: c.node(e.To), m: e.Message})
 	}
 }
 
@@ -121,13 +121,13 @@
 	return c.nodes[i]
 }
 
-// deliver encodes and decodes each message, as the transport does, until none is left.
+// deliver encodes and decodes each message like the transport, until none is left.
 func (c *cellLoad) deliver() {
 	at := c.now
-	for len(c.wire) > 0 {
-		at = at.Add(hop)
-		due := c.wire
-		c.wire = nil
+	for len(c.inFlight) > 0 {
+		at = at.Add(messageDelay)
+		due := c.inFlight
+		c.inFlight = nil
 		for _, d := range due {
 			b, err := codec.Marshal(d.m)
 			if err != nil {
@@ -144,7 +144,7 @@
 	}
 }
 
-// BenchmarkGossip reports for each entry the bytes and messages that it sends, the processor time with its codec, and how old what it knows is.
+// BenchmarkGossip reports the bytes and messages that each entry sends, its CPU time including the codec, and the ages of its records.
 func BenchmarkGossip(b *testing.B) {
 	for _, size := range []struct{ entries, servers int }{{8, 13}, {20, 60}, {8, 60}, {40, 60}, {160, 60}, {40, 13}, {160, 13}} {
 		b.Run(fmt.Sprintf("entries=%d/servers=%d", size.entries, size.servers), func(b *testing.B) {
@@ -179,7 +179,7 @@
 	}
 }
 
-// BenchmarkEligible reports the time to look through the servers for those that may get a request.
+// BenchmarkEligible reports the time to filter the servers that may get a request.
 func BenchmarkEligible(b *testing.B) {
 	for _, n := range []int{13, 60, 940} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
@@ -205,7 +205,7 @@
 	}
 }
 
-// BenchmarkTableMemory reports the bytes that an entry keeps for each server.
+// BenchmarkTableMemory reports the memory that an entry uses for each server.
 func BenchmarkTableMemory(b *testing.B) {
 	for _, n := range []int{13, 60, 940} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
--- a/internal/fleet/membership/gossip_config.go
+++ b/internal/fleet/membership/gossip_config.go
@@ -12,8 +12,8 @@
 	DefaultAwait = 3 * time.Second
 )
 
-// pushEach is the least time between two pushes for each peer; it bounds the messages of an entry to 40 a second whatever the size of its cell.
-const pushEach = 25 * time.Millisecond
+// pushPerPeer is the minimum push interval for each peer in the cell. It limits an entry to 40 push messages per second regardless of the size of its cell.
+const pushPerPeer = 25 * time.Millisecond
 
 // GossipConfig holds what a Gossip needs.
 type GossipConfig struct {
@@ -21,16 +21,16 @@
 	Self string
 	// Start is the local time at which the process started.
 	Start time.Time
-	// Incarnation is a larger number with each start of this entry; its start time in seconds will do.
+	// Incarnation increases with each start of this entry; its start time in seconds is sufficient.
 	Incarnation uint32
-	// Table is where announcements are merged.
+	// Table receives the announcements.
 	Table Table
-	// Push is the least time between two pushes to all peers; zero means DefaultPush. It is longer in cells of more than ten entries.
+	// Push is the minimum interval between pushes to all peers; zero means DefaultPush. The interval is longer in cells of more than ten entries.
 	Push time.Duration
-	// Pull is the time between two pulls from one peer after the other; zero means DefaultPull.
+	// Pull is the interval between pulls, each from the next peer; zero means DefaultPull.
 	Pull time.Duration
-	// Await is how long an answer is waited for; zero means DefaultAwait.
+	// Await is the timeout of a pull; zero means DefaultAwait.
 	Await time.Duration
-	// Random chooses the order of the peers.
+	// Random shuffles the order of the peers.
 	Random *rand.Rand
 }
--- a/internal/fleet/membership/gossip_test.go
+++ b/internal/fleet/membership/gossip_test.go
@@ -8,9 +8,9 @@
 	"hornbeamwood/internal/fleet/announcement"
 )
 
-// A late announcement that a server leaves reaches an entry after that entry
-// has heard a later "ready" from a peer. It must tell the peers at once all
-// the same; else they send work until their next pull.
+// A leaving announcement reaches an entry late, after the entry has received a
+// "ready" with a higher sequence number from a peer. The entry must still push
+// it at once, or the peers send requests to the server until their next pull.
 func TestLateLeavingIsPushedAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var all []*node
@@ -40,6 +40,6 @@
 	v := all[1].table.View()
 	s, ok := v.Server(a.Identity)
 	if !ok || s.Eligible(now, Need{Kind: announcement.Engine, Model: a.Holdings[0].Model, WeightVersion: a.Holdings[0].WeightVersion}) != IsLeaving {
-		t.Errorf("the peer does not know that the server leaves")
+		t.Errorf("the peer does not know that the server is leaving")
 	}
 }
--- a/internal/fleet/membership/key.go
+++ b/internal/fleet/membership/key.go
@@ -5,11 +5,11 @@
 	"encoding/binary"
 )
 
-// Key is the first eight bytes of the SHA-256 digest of a server's identity, its short name in gossip.
+// Key is the first eight bytes of the SHA-256 digest of a server's identity, its ID in gossip.
 type Key uint64
 
-// short returns the upper half of the key, which names a server where a mix-up only blurs a count.
-func (k Key) short() uint32 {
+// prefix returns the upper half of the key, the ID of a server where a collision only makes a count less precise.
+func (k Key) prefix() uint32 {
 	return uint32(k >> 32)
 }
 
--- a/internal/fleet/membership/leaving_test.go
+++ b/internal/fleet/membership/leaving_test.go
@@ -14,41 +14,41 @@
 	"hornbeamwood/internal/fleet/announcement"
 )
 
-// leaveLimit is the promise: no new work this long after a server said that it leaves.
+// leaveLimit is the guaranteed time after a leaving announcement by which a server gets no new requests.
 const leaveLimit = 3 * time.Second
 
-// schedules is raised for long runs.
+// schedules is the number of random fault schedules; long runs raise it.
 var schedules = flag.Int("schedules", 40, "random schedules of faults")
 
-// A server says that it leaves to the one entry that it reaches. Other entries
-// are cut off or frozen meanwhile, messages come late, twice and in any order,
-// and the server comes back in a new incarnation. If an entry still took the
-// old announcement for fresh, its callers' requests would be sent to a server
-// that is going away, and be cut.
+// A server announces to a single entry that it is leaving. Other entries are
+// partitioned or suspended meanwhile, messages are delayed, duplicated and
+// reordered, and the server returns in a new incarnation. An entry that still
+// took the old announcement as current would send its callers' requests to a
+// server that is shutting down, and they would be aborted.
 func TestLeavingServerGetsNoWork(t *testing.T) {
 	p := gopter.DefaultTestParametersWithSeed(7)
 	p.MinSuccessfulTests = *schedules
 	all := gopter.NewProperties(p)
 	naive := 0
-	all.Property("no dispatch later than the limit", prop.ForAllNoShrink(func(seed uint64) string {
-		w := newWorld(seed)
+	all.Property("no dispatch after the limit", prop.ForAllNoShrink(func(seed uint64) string {
+		w := newSimulation(seed)
 		w.run(40 * time.Second)
 		naive += w.naiveLate
 		return w.fault
 	}, gen.UInt64()))
 	all.TestingRun(t)
 	if naive == 0 {
-		t.Error("the schedules bring a naive table into no error, so they prove nothing")
+		t.Error("no schedule makes the naive table fail, so the schedules prove nothing")
 	}
 	t.Logf("late dispatches of the naive table under the same schedules: %d", naive)
 }
 
-// Without faults every entry may use every ready server at any time; a check
-// of ages that is too strict would leave servers idle and refuse requests.
+// Without faults every entry may use every ready server at any time; an age
+// check that is too strict would leave servers idle and refuse requests.
 func TestReadyServersStayEligible(t *testing.T) {
 	for seed := range uint64(20) {
-		w := newWorld(seed)
-		w.calm = true
+		w := newSimulation(seed)
+		w.faultless = true
 		w.run(30 * time.Second)
 		if w.fault != "" || w.refused > 0 {
 			t.Errorf("seed %d: %s, %d of %d checks refused a ready server", seed, w.fault, w.refused, w.checks)
@@ -56,7 +56,7 @@
 	}
 }
 
-// clock is one VM's monotonic clock: another start and another rate than any other's.
+// clock is a VM's monotonic clock with its own start and rate.
 type clock struct {
 	start time.Time
 	rate  float64
@@ -72,13 +72,13 @@
 }
 
 type node struct {
-	name   string
-	clock  clock
-	table  Table
-	gossip Gossip
-	naive  naiveTable
-	frozen time.Duration
-	cut    time.Duration
+	name             string
+	clock            clock
+	table            Table
+	gossip           Gossip
+	naive            naiveTable
+	suspendedUntil   time.Duration
+	partitionedUntil time.Duration
 }
 
 type server struct {
@@ -99,23 +99,23 @@
 	m    Message
 }
 
-// world runs entries and servers in virtual time under a schedule of faults that its seed gives.
-type world struct {
+// simulation simulates entries and servers in virtual time under a fault schedule generated from its seed.
+type simulation struct {
 	r         *rand.Rand
 	now       time.Duration
 	nodes     []*node
 	servers   []*server
-	wire      []delivery
+	inFlight  []delivery
 	left      map[string]time.Duration
-	calm      bool
+	faultless bool
 	fault     string
 	naiveLate int
 	checks    int
 	refused   int
 }
 
-func newWorld(seed uint64) *world {
-	w := &world{r: rand.New(rand.NewPCG(seed, 7)), left: map[string]time.Duration{}}
+func newSimulation(seed uint64) *simulation {
+	w := &simulation{r: rand.New(rand.NewPCG(seed, 7)), left: map[string]time.Duration{}}
 	var names []string
 	for i := range 3 + w.r.IntN(4) {
 		names = append(names, fmt.Sprintf("entry-%d", i))
@@ -139,7 +139,7 @@
 	return w
 }
 
-func (w *world) newNode(name string, names []string) *node {
+func (w *simulation) newNode(name string, names []string) *node {
 	n := &node{name: name, clock: newClock(w.r), table: New(Config{}), naive: naiveTable{}}
 	g, err := NewGossip(GossipConfig{
 		Self:        name,
@@ -156,14 +156,14 @@
 	return n
 }
 
-func (w *world) later(least, most int) time.Duration {
+func (w *simulation) later(least, most int) time.Duration {
 	return w.now + time.Duration(least*1000+w.r.IntN((most-least)*1000))*time.Millisecond
 }
 
-func (w *world) run(length time.Duration) {
+func (w *simulation) run(length time.Duration) {
 	const step = 25 * time.Millisecond
 	for ; w.now < length && w.fault == ""; w.now += step {
-		w.breakThings()
+		w.injectFaults()
 		for _, s := range w.servers {
 			w.announce(s)
 		}
@@ -174,31 +174,31 @@
 	}
 }
 
-// breakThings freezes entries and cuts them off from their peers.
-func (w *world) breakThings() {
-	if w.calm || w.r.IntN(60) > 0 {
+// injectFaults suspends entries and partitions them from their peers.
+func (w *simulation) injectFaults() {
+	if w.faultless || w.r.IntN(60) > 0 {
 		return
 	}
 	n := w.nodes[w.r.IntN(len(w.nodes))]
 	if w.r.IntN(2) == 0 {
-		n.frozen = w.later(0, 12)
+		n.suspendedUntil = w.later(0, 12)
 	} else {
-		n.cut = w.later(0, 12)
+		n.partitionedUntil = w.later(0, 12)
 	}
 }
 
-// announce lets the server say what it is; now and then it leaves and comes back.
-func (w *world) announce(s *server) {
+// announce sends the server's announcement when it is due; from time to time the server leaves and returns.
+func (w *simulation) announce(s *server) {
 	if s.returns > 0 && w.now >= s.returns {
 		s.a.Incarnation++
 		s.a.Sequence = 0
 		s.a.State = announcement.Ready
 		s.started, s.returns, s.leaves = w.now, 0, w.later(5, 25)
 	}
-	if !w.calm && s.returns == 0 && w.now >= s.leaves {
+	if !w.faultless && s.returns == 0 && w.now >= s.leaves {
 		s.a.State = announcement.Leaving
 		s.returns, s.next = w.later(4, 9), w.now
-		w.left[life(s.a.Identity, s.a.Incarnation)] = w.now
+		w.left[incarnationKey(s.a.Identity, s.a.Incarnation)] = w.now
 	}
 	if w.now < s.next {
 		return
@@ -211,24 +211,24 @@
 	w.send(delivery{from: a.Identity, to: n, a: &a})
 }
 
-func life(identity string, incarnation uint64) string {
+func incarnationKey(identity string, incarnation uint64) string {
 	return fmt.Sprintf("%s/%d", identity, incarnation)
 }
 
-// send puts a message on the wire, now and then late, twice or not at all.
-func (w *world) send(d delivery) {
+// send queues a message for delivery; some messages are delayed, duplicated or dropped.
+func (w *simulation) send(d delivery) {
 	delay := w.r.IntN(60)
-	if !w.calm {
+	if !w.faultless {
 		switch w.r.IntN(10) {
 		case 0:
 			return
 		case 1:
-			w.wire = append(w.wire, d.after(w.now, w.r.IntN(15000)))
+			w.inFlight = append(w.inFlight, d.after(w.now, w.r.IntN(15000)))
 		case 2:
 			delay = w.r.IntN(15000)
 		}
 	}
-	w.wire = append(w.wire, d.after(w.now, delay))
+	w.inFlight = append(w.inFlight, d.after(w.now, delay))
 }
 
 func (d delivery) after(now time.Duration, millis int) delivery {
@@ -237,20 +237,20 @@
 	return d
 }
 
-func (w *world) deliver() {
-	due := w.wire
-	w.wire = nil
+func (w *simulation) deliver() {
+	due := w.inFlight
+	w.inFlight = nil
 	for _, d := range due {
-		blocked := d.to.frozen > w.now || (d.a == nil && d.to.cut > w.now)
+		blocked := d.to.suspendedUntil > w.now || (d.a == nil && d.to.partitionedUntil > w.now)
 		if d.at > w.now || blocked {
-			w.wire = append(w.wire, d)
+			w.inFlight = append(w.inFlight, d)
 			continue
 		}
 		w.receive(d)
 	}
 }
 
-func (w *world) receive(d delivery) {
+func (w *simulation) receive(d delivery) {
 	n, now := d.to, d.to.clock.at(w.now)
 	if d.a == nil {
 		for _, e := range n.gossip.Receive(now, d.from, d.m) {
@@ -259,7 +259,7 @@
 		w.gossipNaive(n, now, d.m)
 		return
 	}
-	if w.unbounded(n, d) {
+	if w.withoutGuarantee(n, d) {
 		return
 	}
 	n.naive.merge(now, *d.a)
@@ -268,8 +268,8 @@
 	}
 }
 
-// unbounded returns whether this is the first that the entry hears of an incarnation and was long on its way, the one case that is not claimed.
-func (w *world) unbounded(n *node, d delivery) bool {
+// withoutGuarantee reports whether the announcement is the first one of an incarnation at the entry and was delayed for long, the one case without a guarantee.
+func (w *simulation) withoutGuarantee(n *node, d delivery) bool {
 	v := n.table.View()
 	if s, ok := v.Server(d.a.Identity); ok && s.announcement.Incarnation >= d.a.Incarnation {
 		return false
@@ -277,7 +277,7 @@
 	return w.now-d.sent > 100*time.Millisecond
 }
 
-func (w *world) gossipNaive(n *node, now time.Time, m Message) {
+func (w *simulation) gossipNaive(n *node, now time.Time, m Message) {
 	var rows []Row
 	if m.Answer != nil {
 		rows = m.Answer.Rows
@@ -286,13 +286,13 @@
 		rows = m.Push.Rows
 	}
 	for _, r := range rows {
-		if form, ok := formFor(n.table.View(), r); ok {
-			n.naive.merge(now, r.announcement(form))
+		if static, ok := staticFor(n.table.View(), r); ok {
+			n.naive.merge(now, r.announcement(static))
 		}
 	}
 }
 
-func (w *world) node(name string) *node {
+func (w *simulation) node(name string) *node {
 	for _, n := range w.nodes {
 		if n.name == name {
 			return n
@@ -301,9 +301,9 @@
 	return nil
 }
 
-// tick lets the entry send and checks which servers it would give work to.
-func (w *world) tick(n *node) {
-	if n.frozen > w.now {
+// tick sends the entry's due messages and checks which servers are eligible at it.
+func (w *simulation) tick(n *node) {
+	if n.suspendedUntil > w.now {
 		return
 	}
 	now := n.clock.at(w.now)
@@ -326,12 +326,12 @@
 			w.refused++
 		}
 		if reason == Eligible && w.late(id, known.announcement.Incarnation) {
-			w.fault = fmt.Sprintf("at %v %s gives work to %s, which left at %v", w.now, n.name, id, w.left[life(id, known.announcement.Incarnation)])
+			w.fault = fmt.Sprintf("at %v %s sends requests to %s, which left at %v", w.now, n.name, id, w.left[incarnationKey(id, known.announcement.Incarnation)])
 		}
 	}
 }
 
-func (w *world) late(identity string, incarnation uint64) bool {
-	left, ok := w.left[life(identity, incarnation)]
+func (w *simulation) late(identity string, incarnation uint64) bool {
+	left, ok := w.left[incarnationKey(identity, incarnation)]
 	return ok && w.now > left+leaveLimit
 }
--- a/internal/fleet/membership/merge.go
+++ b/internal/fleet/membership/merge.go
@@ -1,16 +1,16 @@
 package membership
 
-// Merge is the typed verdict on one announcement.
+// Merge is the result of merging one announcement.
 type Merge struct {
-	// Outcome says what the merge did.
+	// Outcome is the effect of the merge.
 	Outcome Outcome
-	// Cause says why.
+	// Cause is the reason for the outcome.
 	Cause Cause
-	// Detail is a sentence for refused merges that names the field or the other server.
+	// Detail is a sentence that names the field or the other server, set for refused merges.
 	Detail string
-	// Leaving says that this merge turned the server from ready to leaving.
+	// Leaving is true if this merge changed the server's state from ready to leaving.
 	Leaving bool
-	// Changed says that the server is new or its holdings, services, role or address changed.
+	// Changed is true if the server is new or its holdings, services, role or address changed.
 	Changed bool
 }
 
--- a/internal/fleet/membership/naive_test.go
+++ b/internal/fleet/membership/naive_test.go
@@ -6,7 +6,7 @@
 	"hornbeamwood/internal/fleet/announcement"
 )
 
-// naiveTable believes the last message that came and counts ages from its arrival.
+// naiveTable uses the last message received and counts ages from its arrival.
 type naiveTable map[string]naiveRecord
 
 type naiveRecord struct {
--- a/internal/fleet/membership/need.go
+++ b/internal/fleet/membership/need.go
@@ -6,23 +6,23 @@
 	"hornbeamwood/internal/fleet/announcement"
 )
 
-// Limits of the age up to which a server gets new work.
+// Limits of the age up to which a server is eligible for new requests.
 const (
-	// DefaultAge is used when a Need names no age.
+	// DefaultAge is used if a Need has no age.
 	DefaultAge = 2500 * time.Millisecond
-	// MaxAge caps what the settings allow: a server that leaves must get no new work three seconds later, and the rest covers the way of its announcement.
+	// MaxAge caps the age that settings may allow. A leaving server must get no new requests after three seconds; the remaining 200 ms cover the delivery of its announcement.
 	MaxAge = 2800 * time.Millisecond
 )
 
-// Need is what a request asks of a server.
+// Need holds the requirements of a request on a server.
 type Need struct {
-	// Kind is what the server must be.
+	// Kind is the required kind of the server.
 	Kind announcement.Kind
-	// Model, WeightVersion and Adapter must be held together; they are compared for engines only.
+	// Model, WeightVersion and Adapter must be those of one holding; they are compared for engines only.
 	Model         string
 	WeightVersion string
 	Adapter       string
-	// Service is the plain service that must be run; it is compared for services only.
+	// Service is the plain service that the server must run; it is compared for service servers only.
 	Service string
 	// Age is the largest age of the server's last announcement, at most MaxAge; zero means DefaultAge.
 	Age time.Duration
--- a/internal/fleet/membership/outcome.go
+++ b/internal/fleet/membership/outcome.go
@@ -1,15 +1,15 @@
 package membership
 
-// Outcome says what a merge did.
+// Outcome is the effect of a merge.
 type Outcome string
 
 const (
-	// Accepted means that the announcement is now the newest one known.
+	// Accepted means that the announcement replaced the one in the table.
 	Accepted Outcome = "accepted"
-	// Duplicate means that it was known already.
+	// Duplicate means that the table already had the announcement.
 	Duplicate Outcome = "duplicate"
-	// Stale means that a newer one was known already.
+	// Stale means that the table already had a newer one.
 	Stale Outcome = "stale"
-	// Refused means that it contradicts the limits or another server.
+	// Refused means that the announcement exceeds a limit or conflicts with another server.
 	Refused Outcome = "refused"
 )
--- a/internal/fleet/membership/peer_clock.go
+++ b/internal/fleet/membership/peer_clock.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// peerClock is what is proved of the clock of one other entry.
+// peerClock bounds the clock offset of one other entry.
 type peerClock struct {
 	incarnation uint32
-	proof       proof
+	bound       startBound
 }
 
-func (c *peerClock) proved() bool {
-	return !c.proof.since.IsZero()
+func (c *peerClock) bounded() bool {
+	return !c.bound.since.IsZero()
 }
 
-// add takes in that the peer's clock had the reading at made or later.
+// add records that the peer's clock had the reading at made or later.
 func (c *peerClock) add(now, made time.Time, s Stamp) {
 	if s.Incarnation < c.incarnation {
 		return
@@ -20,12 +20,12 @@
 	if s.Incarnation > c.incarnation {
 		*c = peerClock{incarnation: s.Incarnation}
 	}
-	c.proof.add(now, made, millis(s.Millis))
+	c.bound.add(now, made, millis(s.Millis))
 }
 
-// made returns the earliest time at which the peer's clock may have had the reading, and false when nothing is proved of it.
-func (c *peerClock) made(now time.Time, s Stamp) (time.Time, bool) {
-	start, ok := c.proof.start(now)
+// earliest returns the earliest time at which the peer's clock may have had the reading, and false if there is no bound.
+func (c *peerClock) earliest(now time.Time, s Stamp) (time.Time, bool) {
+	start, ok := c.bound.start(now)
 	if !ok || s.Incarnation != c.incarnation {
 		return time.Time{}, false
 	}
--- a/internal/fleet/membership/reason.go
+++ b/internal/fleet/membership/reason.go
@@ -1,16 +1,16 @@
 package membership
 
-// Reason says whether a server may get a request, and if not, why.
+// Reason is Eligible or the reason why a server may not get a request.
 type Reason string
 
 const (
 	// Eligible means that the server may get the request.
 	Eligible Reason = "eligible"
-	// IsLeaving means that the server said that it leaves.
+	// IsLeaving means that the server announced the leaving state.
 	IsLeaving Reason = "leaving"
 	// IsSilent means that the server's last announcement is too old.
 	IsSilent Reason = "silent"
-	// HasMoved means that the server has another address than when it was chosen.
+	// HasMoved means that the server's address has changed since it was chosen.
 	HasMoved Reason = "moved"
 	// OtherKind means that the server is of another kind.
 	OtherKind Reason = "other-kind"
--- a/internal/fleet/membership/row.go
+++ b/internal/fleet/membership/row.go
@@ -6,20 +6,20 @@
 	"hornbeamwood/internal/fleet/announcement"
 )
 
-// Row is the often changing part of one server, with its form when the receiver lacks it.
+// Row holds the frequently changing fields of one server, and its static part if the receiver lacks it.
 type Row struct {
 	_ struct{} `cbor:",toarray"`
-	// Form is the number of the seldom changing part, which names the server and its incarnation as well.
-	Form     uint64
+	// Digest is the digest of the static part, which includes the server's identity and incarnation.
+	Digest   uint64
 	Sequence uint64
-	// UptimeMillis is the server's at the announcement, zero when it gives none.
+	// UptimeMillis is the server's uptime at the announcement, zero if it reports none.
 	UptimeMillis int64
 	Leaving      bool
-	// AgeMillis is an upper bound of the announcement's age when the Row was made.
+	// AgeMillis is an upper bound of the announcement's age at the time the Row was made.
 	AgeMillis int64
-	// Load is left out when the server gave none.
+	// Load is nil if the server reported none.
 	Load *RowLoad
-	// Static is the seldom changing part, left out when the receiver has it.
+	// Static is the static part, nil if the receiver has it.
 	Static *announcement.Announcement
 }
 
@@ -39,20 +39,20 @@
 	LinkQueued   int64
 }
 
-func newRow(now time.Time, s *Server, static bool) Row {
+func newRow(now time.Time, s *Server, withStatic bool) Row {
 	r := Row{
-		Form:         s.form,
+		Digest:       s.digest,
 		Sequence:     s.announcement.Sequence,
 		UptimeMillis: s.announcement.UptimeMillis,
 		Leaving:      s.announcement.State == announcement.Leaving,
 		AgeMillis:    ceilMillis(s.Age(now)),
 	}
 	if l, ok := s.Load(); ok {
-		r.Load = newRowLoad(l, ceilMillis(now.Sub(s.loadTaken)))
+		r.Load = newRowLoad(l, ceilMillis(now.Sub(s.loadMeasuredAt)))
 	}
-	if static {
-		form := formOf(s.announcement)
-		r.Static = &form
+	if withStatic {
+		part := staticPart(s.announcement)
+		r.Static = &part
 	}
 	return r
 }
@@ -63,19 +63,19 @@
 		AgeMillis:    ageMillis,
 		Running:      l.Running,
 		QueuedTokens: l.QueuedTokens,
-		PrefillRate:  short(l.PrefillRate),
-		DecodeRate:   short(l.DecodeRate),
+		PrefillRate:  roundRate(l.PrefillRate),
+		DecodeRate:   roundRate(l.DecodeRate),
 		MaxRunning:   l.MaxRunning,
 		CachePieces:  l.CachePieces,
 		FreePieces:   l.FreePieces,
-		LinkRate:     short(l.LinkRate),
+		LinkRate:     roundRate(l.LinkRate),
 		LinkQueued:   l.LinkQueued,
 	}
 }
 
-// announcement returns the row as an announcement with the given form.
-func (r Row) announcement(form announcement.Announcement) announcement.Announcement {
-	a := form
+// announcement returns the row as an announcement with the given static part.
+func (r Row) announcement(static announcement.Announcement) announcement.Announcement {
+	a := static
 	a.Sequence = r.Sequence
 	a.UptimeMillis = r.UptimeMillis
 	a.State = announcement.Ready
@@ -88,7 +88,7 @@
 	return a
 }
 
-// load returns the report with its age as it was when the announcement was made.
+// load returns the report with its age at the time of the announcement.
 func (l RowLoad) load(announcementAge int64) announcement.Load {
 	return announcement.Load{
 		Sequence:     l.Sequence,
@@ -105,7 +105,7 @@
 	}
 }
 
-func short(f float64) float64 {
+func roundRate(f float64) float64 {
 	return float64(float32(f))
 }
 
--- a/internal/fleet/membership/sent.go
+++ b/internal/fleet/membership/sent.go
@@ -7,14 +7,14 @@
 	sentStep    = 125 * time.Millisecond
 )
 
-// sent counts the work sent to one server in steps of sentStep over the last four seconds.
+// sent counts the work sent to one server over the last four seconds, in buckets of sentStep.
 type sent struct {
 	requests [sentBuckets]int32
 	tokens   [sentBuckets]int64
 	last     int64
 }
 
-// add counts requests in the given step; it first clears the steps that passed without work, and drops what is older than all steps.
+// add counts requests in the given step. It first clears the buckets of skipped steps, and ignores a step that is older than all buckets.
 func (s *sent) add(step int64, requests int, tokens int64) {
 	s.advance(step)
 	if step <= s.last-sentBuckets {
@@ -37,7 +37,7 @@
 	s.last = step
 }
 
-// since returns the requests and tokens counted from the given step on.
+// since returns the requests and tokens counted in the given step and later.
 func (s *sent) since(from, now int64) (requests int, tokens int64) {
 	from = max(from, now-sentBuckets+1, s.last-sentBuckets+1, 0)
 	for i := from; i <= s.last; i++ {
--- a/internal/fleet/membership/server.go
+++ b/internal/fleet/membership/server.go
@@ -7,17 +7,17 @@
 	"hornbeamwood/internal/fleet/announcement"
 )
 
-// Server is what is known of one backend server; it is never changed after it was built.
+// Server is an immutable record of one backend server.
 type Server struct {
 	announcement announcement.Announcement
 	key          Key
-	form         uint64
-	formHeard    time.Time
-	heard        time.Time
-	// direct says that the newest announcement came from the server itself.
-	direct    bool
-	load      announcement.Load
-	loadTaken time.Time
+	digest       uint64
+	staticSince  time.Time
+	madeAt       time.Time
+	// direct is true if the server itself sent the newest announcement.
+	direct         bool
+	load           announcement.Load
+	loadMeasuredAt time.Time
 }
 
 // Announcement returns the newest announcement; the caller must not change its slices.
@@ -25,32 +25,32 @@
 	return s.announcement
 }
 
-// Key returns the server's short name.
+// Key returns the server's key, its ID in gossip.
 func (s *Server) Key() Key {
 	return s.key
 }
 
 // Age returns an upper bound of the time since the newest announcement was made.
 func (s *Server) Age(now time.Time) time.Duration {
-	return now.Sub(s.heard)
+	return now.Sub(s.madeAt)
 }
 
-// Load returns the newest load report and false when there was none.
+// Load returns the newest load report, and false if there was none.
 func (s *Server) Load() (announcement.Load, bool) {
 	return s.load, s.load.Sequence > 0
 }
 
-// LoadTaken returns the local time at which the figures of Load were taken.
+// LoadTaken returns the local time at which the values of Load were measured.
 func (s *Server) LoadTaken() time.Time {
-	return s.loadTaken
+	return s.loadMeasuredAt
 }
 
-// Eligible returns Eligible when the server may get a new request at now, or the reason why not.
+// Eligible returns Eligible if the server may get a new request at now, or the reason why not.
 //
-// The age is checked here, before each dispatch, and not by a timer: a server
-// that leaves may reach entries that this one is cut off from, and its last
-// ready announcement would stand here for ever. A server that is heard of
-// again is eligible again by the same check.
+// The age is checked here, before each dispatch, and not by a timer. A leaving
+// server may reach only entries that this entry is partitioned from, and its
+// last ready announcement would otherwise remain valid here for ever. The same
+// check makes the server eligible again after its next announcement.
 func (s *Server) Eligible(now time.Time, n Need) Reason {
 	a := &s.announcement
 	if a.Kind != n.Kind {
@@ -64,7 +64,7 @@
 	}
 	switch a.Kind {
 	case announcement.Engine:
-		return holds(a.Holdings, n)
+		return holdingReason(a.Holdings, n)
 	case announcement.Service:
 		if !slices.Contains(a.Services, n.Service) {
 			return ServiceNotRun
@@ -73,14 +73,14 @@
 	return Eligible
 }
 
-func holds(all []announcement.Holding, n Need) Reason {
+func holdingReason(all []announcement.Holding, n Need) Reason {
 	reason := ModelNotHeld
 	for _, h := range all {
 		if h.Model != n.Model {
 			continue
 		}
 		if h.WeightVersion != n.WeightVersion {
-			reason = furthest(reason, VersionNotHeld)
+			reason = closestMismatch(reason, VersionNotHeld)
 			continue
 		}
 		if h.Adapter == n.Adapter {
@@ -91,7 +91,7 @@
 	return reason
 }
 
-func furthest(have, next Reason) Reason {
+func closestMismatch(have, next Reason) Reason {
 	if have == AdapterNotHeld {
 		return have
 	}
--- a/internal/fleet/membership/shard.go
+++ b/internal/fleet/membership/shard.go
@@ -8,13 +8,13 @@
 	"hornbeamwood/internal/fleet/announcement"
 )
 
-// entry is the changing part of one server's record.
+// entry is the mutable state of one server.
 type entry struct {
-	server  *Server
-	transit transit
+	server *Server
+	delay  delayEstimator
 }
 
-// shard holds some of the servers; its view is replaced whole, so that readers take no lock.
+// shard holds some of the servers; its view is copied on write, so that readers take no lock.
 type shard struct {
 	mu      sync.Mutex
 	entries map[string]*entry
@@ -35,35 +35,35 @@
 	s.view.Store(&all)
 }
 
-// next returns the server after a newer announcement; old is nil for a new server.
-func next(old *Server, a announcement.Announcement, heard time.Time, direct bool) *Server {
-	n := &Server{announcement: a, heard: heard, direct: direct, load: a.Load, loadTaken: taken(a, heard)}
+// updatedServer returns the record of a server after a newer announcement; old is nil for a new server.
+func updatedServer(old *Server, a announcement.Announcement, madeAt time.Time, direct bool) *Server {
+	n := &Server{announcement: a, madeAt: madeAt, direct: direct, load: a.Load, loadMeasuredAt: measuredAt(a, madeAt)}
 	if old == nil {
 		n.key = KeyOf(a.Identity)
-		n.form, n.formHeard = formNumber(a), heard
+		n.digest, n.staticSince = staticDigest(a), madeAt
 		return n
 	}
 	n.key = old.key
-	n.form, n.formHeard = old.form, old.formHeard
-	if !sameForm(&old.announcement, &a) {
-		n.form, n.formHeard = formNumber(a), heard
+	n.digest, n.staticSince = old.digest, old.staticSince
+	if !sameStaticPart(&old.announcement, &a) {
+		n.digest, n.staticSince = staticDigest(a), madeAt
 	}
 	if a.Incarnation != old.announcement.Incarnation {
 		return n
 	}
-	if old.heard.After(heard) {
-		n.heard = old.heard
+	if old.madeAt.After(madeAt) {
+		n.madeAt = old.madeAt
 	}
 	if old.announcement.State == announcement.Leaving {
 		n.announcement.State = announcement.Leaving
 	}
 	if old.load.Sequence >= a.Load.Sequence {
 		n.load = old.load
-		n.loadTaken = old.loadTaken
+		n.loadMeasuredAt = old.loadMeasuredAt
 	}
 	return n
 }
 
-func taken(a announcement.Announcement, heard time.Time) time.Time {
-	return heard.Add(-time.Duration(a.Load.AgeMillis) * time.Millisecond)
+func measuredAt(a announcement.Announcement, madeAt time.Time) time.Time {
+	return madeAt.Add(-time.Duration(a.Load.AgeMillis) * time.Millisecond)
 }
--- a/internal/fleet/membership/form.go
+++ b/internal/fleet/membership/static.go
@@ -9,8 +9,8 @@
 	"hornbeamwood/internal/fleet/announcement"
 )
 
-// formOf returns the part of a that changes seldom; gossip sends it only to those who lack it.
-func formOf(a announcement.Announcement) announcement.Announcement {
+// staticPart returns the fields of a that rarely change; gossip sends them only to entries that lack them.
+func staticPart(a announcement.Announcement) announcement.Announcement {
 	a.Sequence = 0
 	a.UptimeMillis = 0
 	a.State = ""
@@ -18,9 +18,9 @@
 	return a
 }
 
-// formNumber returns the first eight bytes of the SHA-256 digest of a's form.
-func formNumber(a announcement.Announcement) uint64 {
-	b, err := codec.Marshal(formOf(a))
+// staticDigest returns the first eight bytes of the SHA-256 digest of a's static part.
+func staticDigest(a announcement.Announcement) uint64 {
+	b, err := codec.Marshal(staticPart(a))
 	if err != nil {
 		return 0
 	}
@@ -28,7 +28,7 @@
 	return binary.BigEndian.Uint64(d[:8])
 }
 
-func sameForm(a, b *announcement.Announcement) bool {
+func sameStaticPart(a, b *announcement.Announcement) bool {
 	return a.Identity == b.Identity &&
 		a.Incarnation == b.Incarnation &&
 		a.Zone == b.Zone &&
--- a/internal/fleet/membership/streak.go
+++ b/internal/fleet/membership/streak.go
@@ -3,19 +3,20 @@
 import "time"
 
 const (
-	// streakLength and streakTime say how many direct announcements over what time must agree.
+	// streakLength and streakTime are the number of direct announcements that must agree, and the time that they must span.
 	streakLength = 5
 	streakTime   = 4 * time.Second
-	// streakSpread is how far the starts that they show may differ.
+	// streakSpread is the maximum difference between the start times that they imply.
 	streakSpread = 300 * time.Millisecond
 )
 
-// streak finds direct announcements in a row that agree on when the server started.
+// streak detects consecutive direct announcements that agree on when the server started.
 //
-// A server VM that was paused comes back with an uptime that lags. Each of its
-// announcements then looks late, and entries go on proving the old start to
-// each other, so that no entry would ever give it work again. What is really
-// late shows another start each time: a backlog comes at once, and delays vary.
+// A server VM that was paused resumes with an uptime that lags. Each of its
+// announcements then looks delayed, and gossip keeps renewing the old bound of
+// its start, so that no entry would ever make it eligible again. Announcements
+// that are really delayed imply a different start each time, because a backlog
+// arrives at once and delays vary.
 type streak struct {
 	first time.Time
 	start time.Time
@@ -23,7 +24,7 @@
 	count int
 }
 
-// add takes in the start that an announcement shows and returns the least one of the streak once it is long enough.
+// add records the start implied by an announcement. It returns the earliest start of the streak once the streak is long enough.
 func (s *streak) add(now, start time.Time) (time.Time, bool) {
 	if s.count == 0 || start.Sub(s.start).Abs() > streakSpread {
 		*s = streak{first: now, start: start, least: start, count: 1}
--- a/internal/fleet/membership/table.go
+++ b/internal/fleet/membership/table.go
@@ -13,15 +13,15 @@
 // shardCount is a power of two.
 const shardCount = 16
 
-// Table holds what is known of all backend servers of a cell.
+// Table holds the newest announcements of all backend servers of a cell.
 type Table interface {
-	// Announce merges an announcement that its server sent to this entry.
+	// Announce merges an announcement that the server itself sent to this entry.
 	Announce(now time.Time, a announcement.Announcement) Merge
 	// Merge merges an announcement that was made at most age ago.
 	Merge(now time.Time, a announcement.Announcement, age time.Duration) Merge
-	// View returns all servers as they are known now, without a lock.
+	// View returns the current records of all servers without taking a lock.
 	View() View
-	// Sweep forgets servers that were silent for long and returns their identities.
+	// Sweep removes servers whose last announcement is too old and returns their identities.
 	Sweep(now time.Time) []string
 }
 
@@ -47,12 +47,12 @@
 
 // Announce implements Table.
 func (t *table) Announce(now time.Time, a announcement.Announcement) Merge {
-	return t.merge(now, a, evidence{direct: true})
+	return t.merge(now, a, source{direct: true})
 }
 
 // Merge implements Table.
 func (t *table) Merge(now time.Time, a announcement.Announcement, age time.Duration) Merge {
-	return t.merge(now, a, evidence{age: age})
+	return t.merge(now, a, source{age: age})
 }
 
 // View implements Table.
@@ -64,7 +64,7 @@
 	return v
 }
 
-func (t *table) merge(now time.Time, a announcement.Announcement, x evidence) Merge {
+func (t *table) merge(now time.Time, a announcement.Announcement, src source) Merge {
 	if err := t.config.Check(a); err != nil {
 		return refuse(BadField, err.Error())
 	}
@@ -73,23 +73,23 @@
 	defer s.mu.Unlock()
 	e := s.entries[a.Identity]
 	if e == nil {
-		return t.add(s, now, a, x)
+		return t.add(s, now, a, src)
 	}
 	known := &e.server.announcement
 	if a.Incarnation < known.Incarnation {
 		return Merge{Outcome: Stale, Cause: OlderIncarnation}
 	}
 	if a.Incarnation > known.Incarnation {
-		return t.restart(s, e, now, a, x)
+		return t.restart(s, e, now, a, src)
 	}
 	if a.Address != known.Address {
 		return refuse(IdentityConflict, fmt.Sprintf("%s is announced from %s and from %s in one incarnation", a.Identity, known.Address, a.Address))
 	}
-	return s.same(e, a, e.heard(now, a, x), x.direct)
+	return s.mergeSameIncarnation(e, a, e.madeAt(now, a, src), src.direct)
 }
 
-// add takes in a server that was not known.
-func (t *table) add(s *shard, now time.Time, a announcement.Announcement, x evidence) Merge {
+// add adds a new server.
+func (t *table) add(s *shard, now time.Time, a announcement.Announcement, src source) Merge {
 	if t.count.Load() >= int64(t.config.Servers) {
 		return refuse(TooManyServers, fmt.Sprintf("%d servers are known, which is the limit", t.config.Servers))
 	}
@@ -98,7 +98,7 @@
 	}
 	t.count.Add(1)
 	e := &entry{}
-	e.server = next(nil, a, e.heard(now, a, x), x.direct)
+	e.server = updatedServer(nil, a, e.madeAt(now, a, src), src.direct)
 	s.entries[a.Identity] = e
 	s.publish()
 	return Merge{
@@ -109,8 +109,8 @@
 	}
 }
 
-// restart takes in a newer incarnation, whatever the older one said.
-func (t *table) restart(s *shard, e *entry, now time.Time, a announcement.Announcement, x evidence) Merge {
+// restart replaces the record of an older incarnation, whatever its state.
+func (t *table) restart(s *shard, e *entry, now time.Time, a announcement.Announcement, src source) Merge {
 	old := e.server.announcement
 	if user, ok := t.addresses.claim(now, a.Address, a.Identity, t.usedBy(now, a.Address)); !ok {
 		return refuse(AddressConflict, fmt.Sprintf("%s is in use by %s", a.Address, user))
@@ -118,8 +118,8 @@
 	if old.Address != a.Address {
 		t.addresses.release(old.Address, a.Identity)
 	}
-	e.transit = transit{}
-	e.server = next(e.server, a, e.heard(now, a, x), x.direct)
+	e.delay = delayEstimator{}
+	e.server = updatedServer(e.server, a, e.madeAt(now, a, src), src.direct)
 	s.publish()
 	return Merge{
 		Outcome: Accepted,
@@ -129,16 +129,16 @@
 	}
 }
 
-// same merges an announcement of the incarnation that is known.
-func (s *shard) same(e *entry, a announcement.Announcement, heard time.Time, direct bool) Merge {
+// mergeSameIncarnation merges an announcement of the current incarnation.
+func (s *shard) mergeSameIncarnation(e *entry, a announcement.Announcement, madeAt time.Time, direct bool) Merge {
 	old := e.server
 	wasReady := old.announcement.State == announcement.Ready
 	leaves := wasReady && a.State == announcement.Leaving
 	switch {
 	case a.Sequence > old.announcement.Sequence:
-		e.server = next(old, a, heard, direct)
+		e.server = updatedServer(old, a, madeAt, direct)
 		s.publish()
-		return Merge{Outcome: Accepted, Cause: NewerSequence, Leaving: leaves, Changed: e.server.form != old.form}
+		return Merge{Outcome: Accepted, Cause: NewerSequence, Leaving: leaves, Changed: e.server.digest != old.digest}
 	case leaves:
 		n := *old
 		n.announcement.State = announcement.Leaving
@@ -149,16 +149,16 @@
 	case a.Sequence < old.announcement.Sequence:
 		return Merge{Outcome: Stale, Cause: OlderSequence}
 	}
-	if heard.After(old.heard) {
+	if madeAt.After(old.madeAt) {
 		n := *old
-		n.heard = heard
+		n.madeAt = madeAt
 		e.server = &n
 		s.publish()
 	}
 	return Merge{Outcome: Duplicate, Cause: SameSequence}
 }
 
-// usedBy returns whether an identity still uses the address, judged from the lock-free view because the other identity's shard may be locked.
+// usedBy returns a function that reports whether an identity still uses the address. It reads the lock-free view because the other identity's shard may be locked.
 func (t *table) usedBy(now time.Time, address string) func(identity string) bool {
 	return func(identity string) bool {
 		s, ok := t.View().Server(identity)
--- a/internal/fleet/membership/table_test.go
+++ b/internal/fleet/membership/table_test.go
@@ -11,8 +11,9 @@
 
 var benchNeed = Need{Kind: announcement.Engine, Model: "certificate-drafter", WeightVersion: "2026-11-30"}
 
-// A server is chosen, and before the request is written it says that it
-// leaves, falls silent or comes back elsewhere. The choice must not stand.
+// Between the choice of a server and the write of the request, the server
+// announces that it is leaving, becomes silent or returns at another address.
+// The request must not be sent to it.
 func TestRecheckBeforeTheFirstByte(t *testing.T) {
 	table, now := New(Config{}), time.Unix(1000, 0)
 	a := benchAnnouncement(1)
@@ -37,8 +38,8 @@
 	check(now, HasMoved)
 }
 
-// A leaver is forgotten only long after any message of it could come, or a
-// late "ready" would bring it back; its place is free afterwards.
+// A leaving server is removed only when no message of it can arrive any more, or
+// a late "ready" would bring it back. After that its slot is free.
 func TestForgetting(t *testing.T) {
 	table, now := New(Config{Servers: 2}), time.Unix(1000, 0)
 	for i := range 2 {
@@ -52,22 +53,22 @@
 		t.Errorf("got %+v", m)
 	}
 	if gone := table.Sweep(now.Add(DefaultForget)); len(gone) != 1 || gone[0] != benchAnnouncement(1).Identity {
-		t.Errorf("forgotten: %v", gone)
+		t.Errorf("removed: %v", gone)
 	}
 	if m := table.Announce(now.Add(DefaultForget), benchAnnouncement(0)); m.Outcome == Accepted {
-		t.Errorf("a leaver came back: %+v", m)
+		t.Errorf("a leaving server came back: %+v", m)
 	}
 	later := now.Add(DefaultForget + DefaultForgetLeaver)
 	if gone := table.Sweep(later); len(gone) != 1 {
-		t.Errorf("forgotten: %v", gone)
+		t.Errorf("removed: %v", gone)
 	}
 	if m := table.Announce(later, benchAnnouncement(2)); m.Outcome != Accepted {
 		t.Errorf("got %+v", m)
 	}
 }
 
-// Many servers announce themselves at once, some under one address. Readers
-// must see whole records, and each address must have one user.
+// Many servers announce themselves concurrently, some with the same address.
+// Readers must see consistent records, and each address must have one user.
 func TestConcurrentAnnouncements(t *testing.T) {
 	table, now := New(Config{}), time.Unix(1000, 0)
 	var done sync.WaitGroup
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// View is the set of servers at one moment; it takes no lock and may be kept for one decision.
+// View is a snapshot of the servers; it takes no lock and may be kept for one decision.
 type View struct {
 	shards [shardCount][]*Server
 }
@@ -25,7 +25,7 @@
 	}
 }
 
-// Server returns the server of an identity and false when it is not known.
+// Server returns the server with the given identity, and false if it is unknown.
 func (v View) Server(identity string) (*Server, bool) {
 	for _, s := range v.shards[xxhash.Sum64String(identity)%shardCount] {
 		if s.announcement.Identity == identity {
@@ -35,11 +35,11 @@
 	return nil, false
 }
 
-// Recheck returns Eligible when the server that was chosen from an earlier view may still get the request, or the reason why not.
+// Recheck returns Eligible if the server that was chosen from an earlier view may still get the request, or the reason why not.
 //
-// Between the choice and the first byte lie pins, a connection, or a process
-// that was frozen. A server that said meanwhile that it leaves would get work
-// seconds later; who dispatches asks again right before it writes.
+// Pins, connecting, or a suspended process may delay the first byte after the
+// choice. A server that announced meanwhile that it is leaving would get the
+// request seconds later, so the dispatcher rechecks right before it writes.
 func (v View) Recheck(now time.Time, chosen *Server, n Need) Reason {
 	s, ok := v.Server(chosen.announcement.Identity)
 	if !ok {
--- a/internal/fleet/membership/work.go
+++ b/internal/fleet/membership/work.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Work counts what this entry and its peers sent to each backend server since the newest load reports.
+// Work counts the work that this entry and its peers sent to each backend server since its newest load report.
 type Work interface {
-	// Sent counts one request with tokens prompt tokens to compute, sent at now to the server of the given key.
+	// Sent counts one request with the given number of prefill tokens, sent at now to the server with the given key.
 	Sent(now time.Time, server Key, tokens int64)
-	// Pending returns what the server's load report, whose figures were taken at the given time, does not show.
+	// Pending returns the work that the server's load report, measured at the given time, does not include.
 	Pending(now time.Time, server Key, taken time.Time) Pending
 }
 
-// tally is the work sent to one server.
-type tally struct {
+// workCounts counts the work sent to one server.
+type workCounts struct {
 	own   sent
 	peers sent
-	// untold is what no Push has told yet.
-	untold WorkRow
+	// unreported is the work that no Push has reported yet.
+	unreported WorkRow
 }
 
 type workShard struct {
 	mu      sync.Mutex
-	tallies map[uint32]*tally
+	servers map[uint32]*workCounts
 }
 
 type work struct {
@@ -36,7 +36,7 @@
 func newWork(start time.Time) *work {
 	w := &work{start: start}
 	for i := range w.shards {
-		w.shards[i] = &workShard{tallies: map[uint32]*tally{}}
+		w.shards[i] = &workShard{servers: map[uint32]*workCounts{}}
 	}
 	return w
 }
@@ -49,39 +49,39 @@
 	return w.shards[server%shardCount]
 }
 
-// maxTallies bounds the servers of one shard, whatever the peers tell.
-const maxTallies = 4096
+// maxWorkServers limits the servers of one shard, whatever the peers report.
+const maxWorkServers = 4096
 
-// tally returns the tally of a server, a new one where there is none, and nil when there are too many.
-func (s *workShard) tally(server uint32) *tally {
-	t := s.tallies[server]
-	if t == nil && len(s.tallies) < maxTallies {
-		t = &tally{untold: WorkRow{Server: server}}
-		s.tallies[server] = t
+// counts returns the counts of a server. It creates them if there are none, and returns nil if there are too many.
+func (s *workShard) counts(server uint32) *workCounts {
+	t := s.servers[server]
+	if t == nil && len(s.servers) < maxWorkServers {
+		t = &workCounts{unreported: WorkRow{Server: server}}
+		s.servers[server] = t
 	}
 	return t
 }
 
 // Sent implements Work.
 func (w *work) Sent(now time.Time, server Key, tokens int64) {
-	s := w.shard(server.short())
+	s := w.shard(server.prefix())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.tally(server.short())
+	t := s.counts(server.prefix())
 	if t == nil {
 		return
 	}
 	t.own.add(w.step(now), 1, tokens)
-	t.untold.Requests++
-	t.untold.Tokens += tokens
+	t.unreported.Requests++
+	t.unreported.Tokens += tokens
 }
 
 // Pending implements Work.
 func (w *work) Pending(now time.Time, server Key, taken time.Time) Pending {
-	s := w.shard(server.short())
+	s := w.shard(server.prefix())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.tallies[server.short()]
+	t := s.servers[server.prefix()]
 	if t == nil {
 		return Pending{}
 	}
@@ -92,15 +92,15 @@
 	return p
 }
 
-// untold returns what was sent since the last call, in the order of the servers.
-func (w *work) untold() []WorkRow {
+// unreported returns the work sent since the last call, ordered by server.
+func (w *work) unreported() []WorkRow {
 	var all []WorkRow
 	for _, s := range w.shards {
 		s.mu.Lock()
-		for k, t := range s.tallies {
-			if t.untold.Requests > 0 {
-				all = append(all, t.untold)
-				t.untold = WorkRow{Server: k}
+		for k, t := range s.servers {
+			if t.unreported.Requests > 0 {
+				all = append(all, t.unreported)
+				t.unreported = WorkRow{Server: k}
 			}
 		}
 		s.mu.Unlock()
@@ -109,15 +109,15 @@
 	return all
 }
 
-// learn counts what a peer sent shortly before made.
-func (w *work) learn(made time.Time, rows []WorkRow) {
+// addPeerWork counts the work that a peer sent shortly before made.
+func (w *work) addPeerWork(made time.Time, rows []WorkRow) {
 	for _, r := range rows {
 		if r.Requests <= 0 || r.Tokens < 0 {
 			continue
 		}
 		s := w.shard(r.Server)
 		s.mu.Lock()
-		if t := s.tally(r.Server); t != nil {
+		if t := s.counts(r.Server); t != nil {
 			t.peers.add(w.step(made), r.Requests, r.Tokens)
 		}
 		s.mu.Unlock()
--- a/internal/fleet/membership/work_test.go
+++ b/internal/fleet/membership/work_test.go
@@ -12,7 +12,7 @@
 	tokens int64
 }
 
-// naivePending counts all requests again that were sent in or after the step of taken.
+// naivePending recounts all requests that were sent in or after the step of taken.
 func naivePending(w *work, all []dispatch, taken time.Time) (requests int, tokens int64) {
 	for _, d := range all {
 		if w.step(d.at) >= w.step(taken) {
@@ -23,8 +23,8 @@
 	return requests, tokens
 }
 
-// The fast count in steps must tell what a count of all requests tells, or the
-// routing sends too much to a server whose load report lags.
+// The bucketed counts must match a full count of all requests, or the routing
+// overloads a server whose load report lags.
 func TestPendingAgreesWithNaiveCount(t *testing.T) {
 	for seed := range uint64(50) {
 		r := rand.New(rand.NewPCG(seed, 3))
@@ -40,7 +40,7 @@
 				own = append(own, dispatch{at: now, tokens: tokens})
 			} else {
 				made := now.Add(-time.Duration(r.IntN(300)) * time.Millisecond)
-				w.learn(made, []WorkRow{{Server: server.short(), Requests: 1, Tokens: tokens}})
+				w.addPeerWork(made, []WorkRow{{Server: server.prefix(), Requests: 1, Tokens: tokens}})
 				peers = append(peers, dispatch{at: made, tokens: tokens})
 			}
 			taken := now.Add(-time.Duration(r.IntN(3000)) * time.Millisecond)
@@ -54,18 +54,18 @@
 	}
 }
 
-// A peer tells of its work once; told twice it would count twice, and kept
-// back it would let both send to the same server.
+// Each request must be reported to the peers exactly once. A second report would
+// count it twice; without a report, both entries would send to the same server.
 func TestWorkIsToldOnce(t *testing.T) {
 	w := newWork(time.Unix(1000, 0))
 	w.Sent(time.Unix(1001, 0), KeyOf("a"), 10)
 	w.Sent(time.Unix(1001, 0), KeyOf("a"), 5)
 	w.Sent(time.Unix(1001, 0), KeyOf("b"), 1)
-	rows := w.untold()
+	rows := w.unreported()
 	if len(rows) != 2 || rows[0].Requests+rows[1].Requests != 3 || rows[0].Tokens+rows[1].Tokens != 16 {
-		t.Errorf("told %+v", rows)
+		t.Errorf("reported %+v", rows)
 	}
-	if again := w.untold(); len(again) != 0 {
-		t.Errorf("told again %+v", again)
+	if again := w.unreported(); len(again) != 0 {
+		t.Errorf("reported again %+v", again)
 	}
 }
