--- a/internal/fleet/announcement/kind.go
+++ b/internal/fleet/announcement/kind.go
@@ -1,6 +1,6 @@
 package announcement
 
-// Kind says what a backend server is.
+// Kind is the kind of a backend server.
 type Kind string
 
 const (
--- a/internal/fleet/announcement/state.go
+++ b/internal/fleet/announcement/state.go
@@ -1,11 +1,11 @@
 package announcement
 
-// State says whether a backend server takes new work.
+// State tells whether a backend server accepts new requests.
 type State string
 
 const (
-	// Ready means that the server takes new work.
+	// Ready means that the server accepts new requests.
 	Ready State = "ready"
-	// Leaving means that the server ends its running work and takes none anew; within an incarnation it is never undone.
+	// Leaving means that the server finishes its running requests and accepts no new ones; it is final within an incarnation.
 	Leaving State = "leaving"
 )
--- a/internal/fleet/quic/gossip.go
+++ b/internal/fleet/quic/gossip.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// interval is how often due messages are sent.
+	// interval is the time between two sends of due messages.
 	interval = 50 * time.Millisecond
-	// sendTimeout bounds one message to an entry that does not answer.
+	// sendTimeout limits one message to an entry that does not answer.
 	sendTimeout = time.Second
-	// outboxLength bounds what waits for one entry; gossip repeats what is dropped.
+	// outboxLength limits the messages queued for one entry; later gossip makes up for dropped ones.
 	outboxLength = 64
 )
 
@@ -28,11 +28,11 @@
 	Roles: []keys.Role{keys.Entry},
 }
 
-// Config is what a Carrier needs.
+// Config holds the dependencies of a Carrier.
 type Config struct {
-	// Node sends and receives.
+	// Node sends and receives the messages.
 	Node rpc.Node
-	// Gossip decides what is sent.
+	// Gossip decides which messages are sent.
 	Gossip membership.Gossip
 	// Addresses maps the names of the other entries of the cell to their addresses.
 	Addresses map[string]string
@@ -40,7 +40,7 @@
 	Now func() time.Time
 }
 
-// Carrier carries gossip until it is closed.
+// Carrier sends and receives gossip until it is closed.
 type Carrier interface {
 	// Close ends the goroutines.
 	Close()
@@ -53,7 +53,7 @@
 	outbox  outbox.Outbox[membership.Message]
 }
 
-// New registers the receiver and starts to send; it is called before the node serves.
+// New registers the receiver and starts sending; it must be called before the node serves.
 func New(c Config) Carrier {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &carrier{Config: c, cancel: cancel}
@@ -86,7 +86,7 @@
 	}
 }
 
-// post queues messages for their entries.
+// post queues messages for their destination entries.
 func (r *carrier) post(all []membership.Envelope) {
 	for _, e := range all {
 		if a, ok := r.Addresses[e.To]; ok {
@@ -98,6 +98,6 @@
 func (r *carrier) send(ctx context.Context, address string, m membership.Message) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	// A lost message costs one round; the next pull asks for the same again.
+	// A lost message delays its contents by one round; the next pull requests them again.
 	_ = rpc.Notify(ctx, r.Node, address, gossip, m)
 }
--- a/internal/fleet/quic/suspects.go
+++ b/internal/fleet/quic/suspects.go
@@ -9,35 +9,35 @@
 	"hornbeamwood/internal/node/rpc"
 )
 
-// tellTimeout bounds how long an entry that does not answer holds up the others' knowledge.
-const tellTimeout = 300 * time.Millisecond
+// reportTimeout limits how long Tell waits for an entry that does not answer.
+const reportTimeout = 300 * time.Millisecond
 
-// suspicion is what one entry tells the others when a server was lost under a request.
-type suspicion struct {
-	// Fingerprint names the request.
+// suspectReport is the message with which an entry reports that a server was lost while it ran a request.
+type suspectReport struct {
+	// Fingerprint identifies the request.
 	Fingerprint [32]byte `cbor:"fingerprint"`
 }
 
 type empty struct{}
 
-var suspect = rpc.Method[suspicion, empty]{
+var suspect = rpc.Method[suspectReport, empty]{
 	Name:  "fleet-suspect",
 	Roles: []keys.Role{keys.Entry},
 }
 
-// SuspectsConfig is what Suspects need.
+// SuspectsConfig holds the dependencies of Suspects.
 type SuspectsConfig struct {
-	// Node sends and receives.
+	// Node sends and receives the messages.
 	Node rpc.Node
 	// Addresses maps the names of the other entries to their addresses.
 	Addresses map[string]string
-	// Take is called with the fingerprint of each request that another entry suspects.
+	// Take is called with the fingerprint of each request that another entry reports as suspect.
 	Take func(fingerprint [32]byte)
 }
 
-// Suspects tells the other entries at once of a request under which a server was lost.
+// Suspects reports a request to the other entries as soon as a server was lost while running it.
 type Suspects interface {
-	// Tell returns when every other entry knows, or has not answered in time.
+	// Tell returns when every other entry has answered or timed out.
 	Tell(ctx context.Context, fingerprint [32]byte)
 }
 
@@ -47,7 +47,7 @@
 
 // NewSuspects registers the receiver; it is called before the node serves.
 func NewSuspects(c SuspectsConfig) Suspects {
-	rpc.Handle(c.Node, suspect, func(_ context.Context, _ rpc.Peer, s suspicion) (empty, error) {
+	rpc.Handle(c.Node, suspect, func(_ context.Context, _ rpc.Peer, s suspectReport) (empty, error) {
 		c.Take(s.Fingerprint)
 		return empty{}, nil
 	})
@@ -56,14 +56,14 @@
 
 // Tell implements Suspects.
 func (s *suspects) Tell(ctx context.Context, fingerprint [32]byte) {
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	var told sync.WaitGroup
+	var calls sync.WaitGroup
 	for _, a := range s.Addresses {
-		told.Go(func() {
-			// An entry that can't be told finds the suspicion in the control log within a second.
-			_, _ = rpc.Call(ctx, s.Node, a, suspect, suspicion{Fingerprint: fingerprint})
+		calls.Go(func() {
+			// An entry that can't be reached reads the suspicion from the control log within a second.
+			_, _ = rpc.Call(ctx, s.Node, a, suspect, suspectReport{Fingerprint: fingerprint})
 		})
 	}
-	told.Wait()
+	calls.Wait()
 }
