--- a/internal/fleet/orders/candidate.go
+++ b/internal/fleet/orders/candidate.go
@@ -8,45 +8,45 @@
 	"hornbeamwood/internal/fleet/membership"
 )
 
-// defaultLoads is the number of weight loads at once when the settings name none.
+// defaultLoads is the limit of concurrent weight loads if the settings have none.
 const defaultLoads = 2
 
 // candidate is an engine that should load a weight version.
 type candidate struct {
 	engine string
 	model  string
-	// share is the part of the model's engines that serve the wanted version or are about to.
+	// share is the fraction of the model's engines that serve the wanted version or are loading it.
 	share  float64
 	server *membership.Server
 	reason Reason
 }
 
-// modelCount counts the engines of one model.
+// modelCount counts the engines of one model by load state.
 type modelCount struct {
 	engines int
 	served  int
 	loading int
 }
 
-// unfit returns whether the engine gets no order now.
-func unfit(now time.Time, s *membership.Server) bool {
+// unavailable reports whether the server can't get an order now.
+func unavailable(now time.Time, s *membership.Server) bool {
 	a := s.Announcement()
 	return a.Kind != announcement.Engine || a.State != announcement.Ready || s.Age(now) >= membership.MaxAge
 }
 
-// add plans loads until the allowed number runs, first for the model with the smallest share of engines that serve the wanted version.
-func (c *controller) add(now time.Time, in Input, servers map[string]*membership.Server) {
+// planLoads plans loads up to the limit, starting with the model that has the smallest share of engines with the wanted version.
+func (c *controller) planLoads(now time.Time, in Input, servers map[string]*membership.Server) {
 	limit := in.Settings.Fleet.WeightLoads
 	if limit <= 0 {
 		limit = defaultLoads
 	}
-	counts := c.count(now, in, servers)
+	counts := c.countModels(now, in, servers)
 	for c.loads(now) < limit {
 		x, ok := c.best(now, in, servers, counts)
 		if !ok {
 			return
 		}
-		c.plan(now, x, in.Settings.Models[x.model].WeightVersion)
+		c.planLoad(now, x, in.Settings.Models[x.model].WeightVersion)
 		counts[x.model].loading++
 	}
 }
@@ -61,7 +61,7 @@
 	return n
 }
 
-func (c *controller) count(now time.Time, in Input, servers map[string]*membership.Server) map[string]*modelCount {
+func (c *controller) countModels(now time.Time, in Input, servers map[string]*membership.Server) map[string]*modelCount {
 	counts := map[string]*modelCount{}
 	for m := range in.Settings.Models {
 		counts[m] = &modelCount{}
@@ -69,8 +69,8 @@
 	for _, s := range servers {
 		for m, x := range counts {
 			held, wanted := versions(s.Announcement(), m, in.Settings.Models[m].WeightVersion)
-			x.engines += one(held)
-			x.served += one(wanted)
+			x.engines += countIf(held)
+			x.served += countIf(wanted)
 		}
 	}
 	for _, j := range c.jobs {
@@ -81,14 +81,14 @@
 	return counts
 }
 
-func one(b bool) int {
+func countIf(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// versions returns whether the engine holds the model at all, and whether in the wanted version.
+// versions reports whether the engine holds any version of the model, and whether it holds the wanted one.
 func versions(a announcement.Announcement, model, version string) (held, wanted bool) {
 	for _, h := range a.Holdings {
 		if h.Model == model {
@@ -99,15 +99,15 @@
 	return held, wanted
 }
 
-// best returns the engine to load next.
+// best returns the candidate to load next.
 func (c *controller) best(now time.Time, in Input, servers map[string]*membership.Server, counts map[string]*modelCount) (candidate, bool) {
 	var all []candidate
 	for k, s := range servers {
-		if c.jobs[k] != nil || unfit(now, s) {
+		if c.jobs[k] != nil || unavailable(now, s) {
 			continue
 		}
 		for m, model := range in.Settings.Models {
-			x, ok := wants(s, m, model.WeightVersion, counts[m])
+			x, ok := loadCandidate(s, m, model.WeightVersion, counts[m])
 			if ok && c.allowed(now, s, x, model.WeightVersion) {
 				all = append(all, x)
 			}
@@ -116,14 +116,14 @@
 	if len(all) == 0 {
 		return candidate{}, false
 	}
-	return slices.MinFunc(all, compareNames), true
+	return slices.MinFunc(all, compareCandidates), true
 }
 
-// wants returns whether the engine should load the version of the model.
+// loadCandidate returns a candidate and true if the engine should load the version of the model.
 //
-// At most half of a model's engines load at once, so that the others go on
-// serving those requests that still run.
-func wants(s *membership.Server, model, version string, n *modelCount) (candidate, bool) {
+// At most half of a model's engines load at the same time, so that the others
+// continue to serve the running requests.
+func loadCandidate(s *membership.Server, model, version string, n *modelCount) (candidate, bool) {
 	a := s.Announcement()
 	held, wanted := versions(a, model, version)
 	x := candidate{engine: a.Identity, model: model, server: s, reason: OtherVersion}
@@ -156,7 +156,7 @@
 	}
 }
 
-func (c *controller) plan(now time.Time, x candidate, version string) {
+func (c *controller) planLoad(now time.Time, x candidate, version string) {
 	t := loadTarget(x.server, x.model, version)
 	c.version++
 	c.jobs[x.engine] = &job{
--- a/internal/fleet/orders/controller.go
+++ b/internal/fleet/orders/controller.go
@@ -11,32 +11,32 @@
 	"hornbeamwood/internal/settings/rules"
 )
 
-// Controller decides which orders are given; one goroutine uses it.
+// Controller decides which orders are sent; it must be used by one goroutine.
 //
-// Orders that may be under way are named in the lease's note before they are
-// sent. The next holder of the lease reads them back, so that it neither
-// exceeds the number of loads at once nor gives an engine a second order
-// while the first runs.
+// Orders that may be in flight are written to the lease's note before they are
+// sent. The next lease holder recovers them from the note, so that it neither
+// exceeds the limit of concurrent loads nor sends an engine a second order
+// while the first one runs.
 type Controller interface {
-	// Begin starts a term of the lease with the orders of the earlier holder's note.
+	// Begin starts a term of the lease with the orders from the previous holder's note.
 	Begin(now time.Time, t lease.Term, inherited []Outstanding)
-	// Renewed takes in a renewal that committed the note of the given version.
+	// Renewed records a renewal that committed the note of the given version.
 	Renewed(t lease.Term, noteVersion uint64)
 	// End ends the term.
 	End()
-	// Plan returns what is to be done now.
+	// Plan returns the actions that are due now.
 	Plan(now time.Time, in Input) Plan
-	// MaySend returns whether the lease still allows an order of the last Plan to be sent.
+	// MaySend reports whether the lease still allows sending an order of the last Plan.
 	MaySend(now time.Time, o Order) bool
-	// Answered takes in the outcome of a sent order or of a question; each Instruction gets one.
+	// Answered records the outcome of sending an order or reading its state; it is called once for each Instruction.
 	Answered(now time.Time, o Outcome)
 }
 
-// Input is what the controller compares.
+// Input holds the wanted and the actual state that the controller compares.
 type Input struct {
-	// Settings say which weight version each model has.
+	// Settings have the wanted weight version of each model.
 	Settings *rules.Snapshot
-	// Servers are the backend servers as they are known.
+	// Servers are the records of the backend servers.
 	Servers []*membership.Server
 }
 
@@ -46,14 +46,14 @@
 }
 
 type controller struct {
-	config  Config
-	term    lease.Term
-	opens   time.Time
-	jobs    map[string]*job
-	retries map[target]retry
-	version uint64
-	noted   uint64
-	fenced  bool
+	config        Config
+	term          lease.Term
+	sendFrom      time.Time
+	jobs          map[string]*job
+	retries       map[target]retry
+	version       uint64
+	committedNote uint64
+	fenced        bool
 }
 
 // New returns a Controller without a term.
@@ -63,27 +63,28 @@
 
 // Begin implements Controller.
 //
-// The earlier holder may count its lease until Quiet, and what it sent right
-// before may be on its way for Flight. Engines that check fencing numbers
-// would refuse it; the others would carry out both orders.
+// The previous holder may consider its lease valid until Quiet, and an order
+// that it sent right before that may be in flight for up to Flight. Engines
+// that check fencing numbers would refuse that order; the others would carry
+// out both orders.
 func (c *controller) Begin(now time.Time, t lease.Term, inherited []Outstanding) {
 	c.End()
 	c.term = t
-	c.opens = now
+	c.sendFrom = now
 	if t.Quiet.After(now) {
-		c.opens = t.Quiet
+		c.sendFrom = t.Quiet
 	}
 	if t.Quiet.After(now) || len(inherited) > 0 {
-		c.opens = c.opens.Add(c.config.Flight)
+		c.sendFrom = c.sendFrom.Add(c.config.Flight)
 	}
 	for _, o := range inherited {
 		c.jobs[o.Engine] = &job{
-			Outstanding: o,
-			step:        lost,
-			reason:      Inherited,
-			contact:     c.opens,
-			sent:        c.opens.Add(-c.config.Flight),
-			loose:       true,
+			Outstanding:   o,
+			step:          lost,
+			reason:        Inherited,
+			contact:       c.sendFrom,
+			sent:          c.sendFrom.Add(-c.config.Flight),
+			answerMissing: true,
 		}
 	}
 }
@@ -94,7 +95,7 @@
 		return
 	}
 	c.term = t
-	c.noted = max(c.noted, noteVersion)
+	c.committedNote = max(c.committedNote, noteVersion)
 }
 
 // End implements Controller.
@@ -103,12 +104,12 @@
 	c.jobs = map[string]*job{}
 	c.fenced = false
 	c.version++
-	c.noted = 0
+	c.committedNote = 0
 }
 
 // MaySend implements Controller.
 func (c *controller) MaySend(now time.Time, o Order) bool {
-	return c.term.Valid(now) && !c.fenced && o.Fencing == c.term.Fencing && !now.Before(c.opens)
+	return c.term.Valid(now) && !c.fenced && o.Fencing == c.term.Fencing && !now.Before(c.sendFrom)
 }
 
 // Plan implements Controller.
@@ -116,19 +117,19 @@
 	if !c.term.Valid(now) || c.fenced || in.Settings == nil {
 		return Plan{NoteVersion: c.version}
 	}
-	servers := named(in.Servers)
-	c.settle(now, in, servers)
-	if !now.Before(c.opens) {
-		c.add(now, in, servers)
+	servers := byIdentity(in.Servers)
+	c.removeEnded(now, in, servers)
+	if !now.Before(c.sendFrom) {
+		c.planLoads(now, in, servers)
 	}
 	p := Plan{NoteVersion: c.version}
 	for _, k := range slices.Sorted(maps.Keys(c.jobs)) {
-		c.put(&p, now, c.jobs[k], servers[k])
+		c.addActions(&p, now, c.jobs[k], servers[k])
 	}
 	return p
 }
 
-func named(all []*membership.Server) map[string]*membership.Server {
+func byIdentity(all []*membership.Server) map[string]*membership.Server {
 	m := make(map[string]*membership.Server, len(all))
 	for _, s := range all {
 		m[s.Announcement().Identity] = s
@@ -136,9 +137,9 @@
 	return m
 }
 
-// put adds to the plan what the job needs now.
-func (c *controller) put(p *Plan, now time.Time, j *job, s *membership.Server) {
-	if j.step != done || j.flying(now, c.config.Flight) {
+// addActions adds the actions that the job needs now to the plan.
+func (c *controller) addActions(p *Plan, now time.Time, j *job, s *membership.Server) {
+	if j.step != done || j.inFlight(now, c.config.Flight) {
 		p.Note = append(p.Note, j.Outstanding)
 	}
 	if s == nil {
@@ -151,8 +152,8 @@
 		Reason:  j.reason,
 	}
 	switch {
-	case j.step == planned && c.noted >= j.note && !now.Before(c.opens):
-		j.step, j.contact, j.sent, j.loose = sending, now, now, false
+	case j.step == planned && c.committedNote >= j.note && !now.Before(c.sendFrom):
+		j.step, j.contact, j.sent, j.answerMissing = sending, now, now, false
 		p.Send = append(p.Send, i)
 	case (j.step == lost || j.step == running) && !j.reading && now.Sub(j.asked) >= c.config.Recheck:
 		j.asked, j.reading = now, true
@@ -160,20 +161,20 @@
 	}
 }
 
-// settle ends the jobs that are over, by what the engines announce.
-func (c *controller) settle(now time.Time, in Input, servers map[string]*membership.Server) {
+// removeEnded removes the jobs that have ended according to the engines' announcements.
+func (c *controller) removeEnded(now time.Time, in Input, servers map[string]*membership.Server) {
 	for k, j := range c.jobs {
 		s := servers[k]
 		switch {
-		case j.flying(now, c.config.Flight):
-			// A copy may come yet, to this incarnation or the next; the job keeps its place.
+		case j.inFlight(now, c.config.Flight):
+			// A copy may still arrive at this incarnation or the next, so the job is kept.
 		case s != nil && s.Announcement().Incarnation > j.Incarnation:
-			c.outlive(k, j, s.Announcement().Incarnation)
-		case s != nil && j.shown(s):
+			c.engineRestarted(k, j, s.Announcement().Incarnation)
+		case s != nil && j.confirmedBy(s):
 			c.finish(k, j)
 		case j.step == done && now.Sub(j.contact) > c.config.Confirm:
 			c.fail(now, k, j)
-		case j.step == planned && (s == nil || unfit(now, s) || !wanted(in, j.Order)):
+		case j.step == planned && (s == nil || unavailable(now, s) || !wanted(in, j.Order)):
 			c.drop(k)
 		case now.Sub(j.contact) > c.config.LoadLimit:
 			c.fail(now, k, j)
@@ -185,18 +186,18 @@
 	})
 }
 
-// wanted returns whether the settings still say what the order brings about.
+// wanted reports whether the settings still want the order's weight version.
 func wanted(in Input, o Order) bool {
 	return in.Settings.Models[o.Model].WeightVersion == o.WeightVersion
 }
 
-// outlive ends a job whose engine has restarted.
+// engineRestarted handles a job whose engine has restarted.
 //
-// An order may have reached the new incarnation already or may still do so,
-// before its first announcement comes here. Dropped, it would run beside the
-// next one; so it is read back.
-func (c *controller) outlive(engine string, j *job, incarnation uint64) {
-	if j.step == planned || (j.step == done && !j.loose) {
+// The order may reach the new incarnation before its first announcement
+// arrives here, or may have done so already. If it were dropped, it would run
+// in parallel with the next order, so its state is read from the engine.
+func (c *controller) engineRestarted(engine string, j *job, incarnation uint64) {
+	if j.step == planned || (j.step == done && !j.answerMissing) {
 		c.drop(engine)
 		return
 	}
@@ -211,7 +212,7 @@
 	c.version++
 }
 
-// finish ends a job that is carried out; when the same is wanted again later, it needs another id, or the engine would say that it is done.
+// finish ends a completed job. A later order for the same target needs another ID, or the engine would report it as done.
 func (c *controller) finish(engine string, j *job) {
 	t := targetOf(j.Outstanding)
 	r := c.retries[t]
@@ -220,7 +221,7 @@
 	c.drop(engine)
 }
 
-// fail ends the job and lets the same be ordered under another id after a pause.
+// fail ends the job; its target may be retried under another ID after the backoff.
 func (c *controller) fail(now time.Time, engine string, j *job) {
 	t := targetOf(j.Outstanding)
 	c.retries[t] = retry{attempt: c.retries[t].attempt + 1, after: now.Add(c.config.Pause)}
@@ -240,9 +241,9 @@
 	case NotSent:
 		c.notSent(now, j)
 	case Lost:
-		c.lose(j)
+		c.answerLost(j)
 	case Unknown:
-		c.unknown(now, j)
+		c.orderUnknown(now, j)
 	case Fenced:
 		c.fenced = true
 	}
@@ -262,7 +263,7 @@
 	}
 }
 
-// notSent ends a job that provably did not arrive; an order that was only asked about stays as it is.
+// notSent ends a job whose order certainly did not arrive; a job whose state was only read is left unchanged.
 func (c *controller) notSent(now time.Time, j *job) {
 	if j.step != sending {
 		return
@@ -272,20 +273,21 @@
 	c.drop(j.Engine)
 }
 
-func (c *controller) lose(j *job) {
+func (c *controller) answerLost(j *job) {
 	if j.step == sending {
 		j.step = lost
 		j.reason = AnswerLost
-		j.loose = true
+		j.answerMissing = true
 	}
 }
 
-// unknown gives an order again that its engine does not know once it can't be on its way any more.
+// orderUnknown resends an order that its engine does not know, once no copy can be in flight any more.
 //
-// The question must have been asked after that time, or a copy may have come
-// in behind it. The order keeps its id, so that even a copy that comes later
-// than Flight is done once; settle drops it when it is not wanted any more.
-func (c *controller) unknown(now time.Time, j *job) {
+// The engine must have been asked after that time, or a copy may have arrived
+// after the question. The order keeps its ID, so that it is carried out only
+// once even if a copy arrives later than Flight; removeEnded drops it if it is no
+// longer wanted.
+func (c *controller) orderUnknown(now time.Time, j *job) {
 	if j.step == sending || j.step == planned || j.asked.Sub(j.sent) < c.config.Flight {
 		return
 	}
@@ -296,7 +298,7 @@
 	j.Order.Fencing = c.term.Fencing
 }
 
-func compareNames(a, b candidate) int {
+func compareCandidates(a, b candidate) int {
 	return cmp.Or(
 		cmp.Compare(a.share, b.share),
 		cmp.Compare(a.model, b.model),
--- a/internal/fleet/orders/controller_config.go
+++ b/internal/fleet/orders/controller_config.go
@@ -11,17 +11,17 @@
 	DefaultConfirm   = 10 * time.Second
 )
 
-// Config holds the times of a Controller; zero fields take the defaults.
+// Config holds the timeouts of a Controller; zero fields take the defaults.
 type Config struct {
-	// Flight is the longest time that an order is on its way to an engine.
+	// Flight is the maximum network delay of an order to an engine.
 	Flight time.Duration
-	// LoadLimit is the silence after which an order counts as ended; it is far above the time of a load.
+	// LoadLimit is how long after the last contact an order counts as ended; it is far longer than a load.
 	LoadLimit time.Duration
-	// Pause is the wait before an order that failed is given again.
+	// Pause is the backoff before a failed order is retried.
 	Pause time.Duration
-	// Recheck is the time between two questions about one order.
+	// Recheck is the interval between reads of one order's state.
 	Recheck time.Duration
-	// Confirm is how long an engine's announcement may take to show an order that is done.
+	// Confirm is the time limit for a completed order to appear in the engine's announcement.
 	Confirm time.Duration
 }
 
--- a/internal/fleet/orders/doc.go
+++ b/internal/fleet/orders/doc.go
@@ -1,6 +1,6 @@
-// Package orders decides which engine is told to load which weights.
+// Package orders decides which engine loads which weights.
 //
-// The controller compares the settings with what the engines announce and
-// gives orders under a lease with a fencing number. It keeps no state that
-// must survive: what was ordered is read back from the engines.
+// The controller compares the settings with the engines' announcements and
+// sends orders under a lease with a fencing number. It has no durable state:
+// the state of its orders is read back from the engines.
 package orders
--- a/internal/fleet/orders/fencing_test.go
+++ b/internal/fleet/orders/fencing_test.go
@@ -12,75 +12,74 @@
 	"hornbeamwood/internal/control/lease"
 )
 
-// rollouts is raised for long runs.
+// rollouts is the number of random rollouts; long runs raise it.
 var rollouts = flag.Int("rollouts", 20, "random roll-outs under faults")
 
-// Two processes want to give orders; the one that holds the lease is frozen in
-// the middle of a roll-out and thaws after the other has taken over. Half of
-// the engines don't look at fencing numbers, answers are lost, and the log's
-// leader has a clock that is ahead. Were both to give orders, a third load
-// would slow all of them, and an engine would load twice while its callers
-// wait.
+// Two processes compete for sending orders. The lease holder is suspended in the
+// middle of a rollout and resumes after the other one has taken over. Half of
+// the engines don't check fencing numbers, answers are lost, and the clock of
+// the log's leader is ahead. If both sent orders, a third load would slow down
+// the others, and an engine would load twice while its callers wait.
 func TestOneGiverOfOrders(t *testing.T) {
 	p := gopter.DefaultTestParametersWithSeed(9)
 	p.MinSuccessfulTests = *rollouts
 	all := gopter.NewProperties(p)
-	var sum tally
+	var sum counts
 	all.Property("at most two loads, none twice, and all end", prop.ForAllNoShrink(func(seed uint64) string {
-		w := newWorld(seed)
+		w := newSimulation(seed)
 		w.run(3 * time.Minute)
-		w.calm = true
+		w.faultless = true
 		w.run(3 * time.Minute)
-		sum.add(w.tally)
-		return w.judge()
+		sum.add(w.counts)
+		return w.result()
 	}, gen.UInt64()))
 	all.TestingRun(t)
 	t.Logf("%+v", sum)
-	if sum.refused == 0 || sum.repeated == 0 || sum.freezes == 0 {
-		t.Error("the roll-outs leave out a case, so they prove too little")
+	if sum.refused == 0 || sum.repeated == 0 || sum.suspensions == 0 {
+		t.Error("the rollouts do not cover all cases")
 	}
 }
 
-// Each of these schedules once showed a fault: a copy of an order that reached
+// Each of these schedules once exposed a fault: a copy of an order that reached
 // an engine after its restart, an engine that answered before it announced its
-// restart, and a load that was given again although it was done. Callers would
-// have waited for a third load, or twice for one.
+// restart, and a load that was ordered again although it was done. Callers would
+// have waited for a third load, or twice for the same load.
 func TestSchedulesThatShowedFaults(t *testing.T) {
 	for _, seed := range []uint64{17015883438274135316, 11246781351371728458, 7769551323292682336, 13417245846495852597, 2624953689283725064} {
-		w := newWorld(seed)
+		w := newSimulation(seed)
 		w.run(3 * time.Minute)
-		w.calm = true
+		w.faultless = true
 		w.run(3 * time.Minute)
-		if fault := w.judge(); fault != "" {
+		if fault := w.result(); fault != "" {
 			t.Errorf("seed %d: %s", seed, fault)
 		}
 	}
 }
 
-func (t *tally) add(o tally) {
+func (t *counts) add(o counts) {
 	t.loads += o.loads
 	t.refused += o.refused
 	t.repeated += o.repeated
 	t.terms += o.terms
-	t.freezes += o.freezes
+	t.suspensions += o.suspensions
 }
 
-// judge returns the fault of the run, or an engine that does not hold what the settings say after the calm.
-func (w *world) judge() string {
+// result returns the fault of the run, or names an engine that does not hold the wanted version after the period without faults.
+func (w *simulation) result() string {
 	if w.fault != "" {
 		return w.fault
 	}
 	for _, e := range w.engines {
 		if _, ok := versions(e.a, "m", w.settings.Models["m"].WeightVersion); !ok {
-			return e.a.Identity + " does not hold the wanted version after three calm minutes"
+			return e.a.Identity + " does not hold the wanted version after three minutes without faults"
 		}
 	}
 	return ""
 }
 
-// tick lets the giver ask for the lease, renew it, plan and send.
-func (w *world) tick(g *giver) {
-	if g.frozen > w.now {
+// tick lets the host acquire or renew the lease, plan and send.
+func (w *simulation) tick(g *host) {
+	if g.suspendedUntil > w.now {
 		return
 	}
 	w.sendUnsent(g)
@@ -92,7 +91,7 @@
 	}
 	if w.now >= g.due {
 		g.due = w.now + 2*time.Second
-		w.ask(g)
+		w.requestLease(g)
 	}
 	if !g.term.Valid(now) {
 		return
@@ -106,38 +105,38 @@
 	for _, i := range g.plan.Read {
 		w.exchange(g, i, func(e *engine) Outcome { return e.read(i.Order.ID) })
 	}
-	if w.r.IntN(8) > 0 || w.calm {
+	if w.r.IntN(8) > 0 || w.faultless {
 		w.sendUnsent(g)
 	}
 }
 
-// sendUnsent sends what was planned, also what a freeze has held up since.
-func (w *world) sendUnsent(g *giver) {
+// sendUnsent sends the planned orders, including those delayed by a suspension.
+func (w *simulation) sendUnsent(g *host) {
 	for _, i := range g.unsent {
 		if !g.c.MaySend(w.clock(g), i.Order) {
 			g.c.Answered(w.clock(g), Outcome{Engine: i.Engine, ID: i.Order.ID, Result: NotSent})
 			continue
 		}
 		w.exchange(g, i, func(e *engine) Outcome { return w.order(e, i.Order) })
-		w.strike(g)
+		w.suspendAfterOrder(g)
 	}
 	g.unsent = nil
 }
 
-// strike now and then freezes the giver right after an order, and lets the log's clock end its lease at once.
-func (w *world) strike(g *giver) {
-	if w.calm || w.r.IntN(12) > 0 {
+// suspendAfterOrder sometimes suspends the host right after an order and makes the log's clock expire its lease at once.
+func (w *simulation) suspendAfterOrder(g *host) {
+	if w.faultless || w.r.IntN(12) > 0 {
 		return
 	}
-	g.frozen = w.now + time.Duration(w.r.IntN(40000))*time.Millisecond
-	w.tally.freezes++
+	g.suspendedUntil = w.now + time.Duration(w.r.IntN(40000))*time.Millisecond
+	w.counts.suspensions++
 	if w.r.IntN(2) == 0 {
 		w.logAhead += leaseTime
 	}
 }
 
-// exchange carries a request to the engine and the answer back, each late, and now and then lost or doubled.
-func (w *world) exchange(g *giver, i Instruction, do func(e *engine) Outcome) {
+// exchange delivers a request to the engine and its answer to the host, with delays, losses and duplicates.
+func (w *simulation) exchange(g *host, i Instruction, do func(e *engine) Outcome) {
 	lost := Outcome{Engine: i.Engine, ID: i.Order.ID, Result: Lost}
 	out := make([]Outcome, 0, 1)
 	request := func() {
@@ -148,11 +147,11 @@
 		}
 	}
 	delay := w.r.IntN(40)
-	fate := w.r.IntN(12)
-	if w.calm {
-		fate = 11
+	fault := w.r.IntN(12)
+	if w.faultless {
+		fault = 11
 	}
-	switch fate {
+	switch fault {
 	case 0:
 		w.after(g, 2000, func() { g.c.Answered(w.clock(g), lost) })
 		return
@@ -161,10 +160,10 @@
 		w.after(g, 2000, func() { g.c.Answered(w.clock(g), lost) })
 		return
 	case 2:
-		w.copyLater(i, request)
+		w.duplicate(i, request)
 	}
-	if !w.calm && w.r.IntN(4) == 0 {
-		w.muchLater(i, request)
+	if !w.faultless && w.r.IntN(4) == 0 {
+		w.lateDuplicate(i, request)
 	}
 	w.after(nil, delay, request)
 	w.after(g, delay+60, func() {
@@ -175,8 +174,8 @@
 	})
 }
 
-// copyLater brings the request a second time; a connection does not outlive its engine, so neither does the copy.
-func (w *world) copyLater(i Instruction, request func()) {
+// duplicate delivers the request a second time. A connection ends with its engine's incarnation, and so does the copy.
+func (w *simulation) duplicate(i Instruction, request func()) {
 	for _, e := range w.engines {
 		if e.a.Identity != i.Engine {
 			continue
@@ -190,8 +189,8 @@
 	}
 }
 
-// muchLater brings a copy far later than Flight to an engine that checks numbers and has seen a higher one by then.
-func (w *world) muchLater(i Instruction, request func()) {
+// lateDuplicate delivers a copy much later than Flight to an engine that checks fencing numbers and has seen a higher one by then.
+func (w *simulation) lateDuplicate(i Instruction, request func()) {
 	for _, e := range w.engines {
 		if e.a.Identity != i.Engine || !e.checks {
 			continue
@@ -204,8 +203,8 @@
 	}
 }
 
-// ask acquires or renews the lease; the answer comes late and is lost now and then.
-func (w *world) ask(g *giver) {
+// requestLease acquires or renews the lease; the answer is delayed and sometimes lost.
+func (w *simulation) requestLease(g *host) {
 	sent := w.clock(g)
 	if !g.term.Valid(sent) {
 		w.acquire(g, sent)
@@ -229,7 +228,7 @@
 	})
 }
 
-func (w *world) acquire(g *giver, sent time.Time) {
+func (w *simulation) acquire(g *host, sent time.Time) {
 	c := lease.Command{Acquire: &lease.Acquire{Name: "orders", Holder: g.name, Duration: leaseTime}}
 	w.after(nil, w.r.IntN(50), func() {
 		x := w.command(c)
@@ -242,7 +241,7 @@
 			if err != nil {
 				w.fault = err.Error()
 			}
-			w.tally.terms++
+			w.counts.terms++
 			g.term = lease.NewTerm(x, sent, received, leaseTime)
 			g.renewed = 0
 			g.c.Begin(received, g.term, inherited)
@@ -250,8 +249,8 @@
 	})
 }
 
-func (w *world) answer(g *giver, do func()) {
-	if !w.calm && w.r.IntN(10) == 0 {
+func (w *simulation) answer(g *host, do func()) {
+	if !w.faultless && w.r.IntN(10) == 0 {
 		return
 	}
 	w.after(g, w.r.IntN(50), do)
--- a/internal/fleet/orders/job.go
+++ b/internal/fleet/orders/job.go
@@ -6,52 +6,52 @@
 	"hornbeamwood/internal/fleet/membership"
 )
 
-// step is how far an order is, as the controller knows.
+// step is the progress of an order as known to the controller.
 type step uint8
 
 const (
-	// planned waits until the lease's note names it.
+	// planned means that the order waits until the lease's note includes it.
 	planned step = iota
-	// sending was handed to the adapter, whose outcome is awaited.
+	// sending means that the order was handed to the adapter and its outcome is outstanding.
 	sending
-	// lost needs reading back.
+	// lost means that the order's state must be read from the engine.
 	lost
-	// running is worked on by the engine.
+	// running means that the engine is carrying out the order.
 	running
-	// done waits until the engine's announcement shows it.
+	// done means that the order waits for the engine's announcement to confirm it.
 	done
 )
 
-// job is one order from its plan to its end.
+// job tracks one order from its planning to its end.
 type job struct {
 	Outstanding
 	step   step
 	reason Reason
 	note   uint64
-	// contact is when the engine was last heard of the order, or it was sent.
+	// contact is when the engine last answered about the order, or when it was sent.
 	contact time.Time
-	// sent is when the order was sent last.
+	// sent is when the order was last sent.
 	sent time.Time
-	// loose says that the answer to the sent order was lost, so that a copy may be on its way.
-	loose bool
-	// asked is when the order was read back last.
+	// answerMissing is true if the answer to the sent order was lost, so that a copy may be in flight.
+	answerMissing bool
+	// asked is when the order's state was last requested.
 	asked time.Time
-	// reading is true until that question has its outcome.
+	// reading is true until that request has its outcome.
 	reading bool
 }
 
-// loading returns whether the order may be loading weights now or soon.
+// loading reports whether the engine may be loading weights for the order now or soon.
 func (j *job) loading(now time.Time, flight time.Duration) bool {
-	return j.Order.Kind == LoadWeights && (j.step != done || j.flying(now, flight))
+	return j.Order.Kind == LoadWeights && (j.step != done || j.inFlight(now, flight))
 }
 
-// flying returns whether a copy of the order may still be on its way.
-func (j *job) flying(now time.Time, flight time.Duration) bool {
-	return j.loose && now.Sub(j.sent) < flight
+// inFlight reports whether a copy of the order may still be in flight.
+func (j *job) inFlight(now time.Time, flight time.Duration) bool {
+	return j.answerMissing && now.Sub(j.sent) < flight
 }
 
-// shown returns whether an announcement made after the order was given shows it.
-func (j *job) shown(s *membership.Server) bool {
+// confirmedBy reports whether the server's announcement confirms that the order was carried out.
+func (j *job) confirmedBy(s *membership.Server) bool {
 	a := s.Announcement()
 	if a.LastOrder == j.Order.ID {
 		return true
--- a/internal/fleet/orders/kind.go
+++ b/internal/fleet/orders/kind.go
@@ -1,16 +1,16 @@
 package orders
 
-// Kind says what an engine is told to do.
+// Kind is the kind of an order.
 type Kind string
 
 const (
-	// LoadWeights loads a weight version, in place of another version of the model where there is one.
+	// LoadWeights loads a weight version and replaces another version of the model, if any.
 	LoadWeights Kind = "load-weights"
-	// UnloadWeights drops a weight version.
+	// UnloadWeights unloads a weight version.
 	UnloadWeights Kind = "unload-weights"
 	// LoadAdapter loads an adapter of a held weight version.
 	LoadAdapter Kind = "load-adapter"
-	// UnloadAdapter drops an adapter.
+	// UnloadAdapter unloads an adapter.
 	UnloadAdapter Kind = "unload-adapter"
 	// SetRole changes the engine's role.
 	SetRole Kind = "set-role"
--- a/internal/fleet/orders/outcome.go
+++ b/internal/fleet/orders/outcome.go
@@ -1,16 +1,16 @@
 package orders
 
-// Result says what came of sending an order or of asking about it.
+// Result is the result of sending an order or of reading its state.
 type Result string
 
 const (
 	// Answered means that the engine answered with a Progress.
 	Answered Result = "answered"
-	// NotSent means that it is proved that the order did not arrive.
+	// NotSent means that the order certainly did not arrive.
 	NotSent Result = "not-sent"
-	// Lost means that nobody knows whether the order arrived.
+	// Lost means that it is unknown whether the order arrived.
 	Lost Result = "lost"
-	// Unknown means that the engine does not know the order that it was asked about.
+	// Unknown means that the engine does not know the order whose state was read.
 	Unknown Result = "unknown"
 	// Fenced means that the engine has seen a higher fencing number.
 	Fenced Result = "fenced"
@@ -20,10 +20,10 @@
 type Outcome struct {
 	// Engine is the engine's identity.
 	Engine string
-	// ID is the order's id.
+	// ID is the order's ID.
 	ID string
-	// Result says what happened.
+	// Result is the result.
 	Result Result
-	// State is the engine's answer, for Answered.
+	// State is the state that the engine returned, for Answered.
 	State Progress
 }
--- a/internal/fleet/orders/outstanding.go
+++ b/internal/fleet/orders/outstanding.go
@@ -4,21 +4,21 @@
 	"hornbeamwood/internal/base/codec"
 )
 
-// Outstanding is an order whose end is not known; the lease's note holds them, so that the next holder reads them back.
+// Outstanding is an order that may not have ended. The lease's note lists all of them, so that the next holder can recover them.
 type Outstanding struct {
-	// Engine and Incarnation name the engine.
+	// Engine and Incarnation identify the engine.
 	Engine      string `cbor:"engine"`
 	Incarnation uint64 `cbor:"incarnation"`
-	// Order is the order; its fencing number is that of the one who gave it.
+	// Order is the order with the fencing number of the holder that sent it.
 	Order Order `cbor:"order"`
 }
 
-// EncodeNote returns the lease's note for the outstanding orders.
+// EncodeNote encodes the outstanding orders as the lease's note.
 func EncodeNote(all []Outstanding) ([]byte, error) {
 	return codec.Marshal(all)
 }
 
-// DecodeNote returns the outstanding orders of a lease's note; an empty note holds none.
+// DecodeNote decodes the outstanding orders from a lease's note; an empty note has none.
 func DecodeNote(note []byte) ([]Outstanding, error) {
 	if len(note) == 0 {
 		return nil, nil
--- a/internal/fleet/orders/plan.go
+++ b/internal/fleet/orders/plan.go
@@ -1,40 +1,40 @@
 package orders
 
-// Plan is what the controller wants done now.
+// Plan lists the actions that are due now.
 type Plan struct {
-	// Note is what the lease's note must hold; orders are sent once it is committed.
+	// Note is the required content of the lease's note; orders are sent once it is committed.
 	Note []Outstanding
-	// NoteVersion is a larger number with each change of Note.
+	// NoteVersion increases with each change of Note.
 	NoteVersion uint64
-	// Send are the orders to send; the adapter asks MaySend right before it writes each.
+	// Send are the orders to send; the adapter calls MaySend right before it writes each.
 	Send []Instruction
-	// Read are the orders to ask about.
+	// Read are the orders whose state is to be read from the engine.
 	Read []Instruction
 }
 
-// Instruction is one order with the engine that it concerns.
+// Instruction is one order with its engine.
 type Instruction struct {
-	// Engine and Address say to whom.
+	// Engine and Address are the destination.
 	Engine  string
 	Address string
 	// Order is the order.
 	Order Order
-	// Reason says why.
+	// Reason is why the order is sent or read.
 	Reason Reason
 }
 
-// Reason says why an order is given or asked about.
+// Reason is why an order is sent or its state is read.
 type Reason string
 
 const (
-	// OtherVersion means that the engine holds another weight version than the settings say.
+	// OtherVersion means that the engine holds a weight version that differs from the settings.
 	OtherVersion Reason = "other-version"
-	// NothingHeld means that the engine holds nothing and its role names a model.
+	// NothingHeld means that the engine holds no model and its role is the name of one.
 	NothingHeld Reason = "nothing-held"
 	// AnswerLost means that the answer to the order was lost.
 	AnswerLost Reason = "answer-lost"
-	// Inherited means that an earlier holder of the lease gave the order.
+	// Inherited means that a previous lease holder sent the order.
 	Inherited Reason = "inherited"
-	// InProgress means that the engine works on the order.
+	// InProgress means that the engine is carrying out the order.
 	InProgress Reason = "in-progress"
 )
--- a/internal/fleet/orders/progress.go
+++ b/internal/fleet/orders/progress.go
@@ -1,23 +1,23 @@
 package orders
 
-// Progress says how far an engine is with an order.
+// Progress is the state of an order at its engine.
 type Progress string
 
 const (
-	// Running means that the engine works on the order.
+	// Running means that the engine is carrying out the order.
 	Running Progress = "running"
-	// Done means that the order is carried out.
+	// Done means that the order was carried out.
 	Done Progress = "done"
-	// Failed means that the order can't be carried out and changed nothing.
+	// Failed means that the order could not be carried out and changed nothing.
 	Failed Progress = "failed"
 )
 
-// Answer is what an engine says of one order.
+// Answer is an engine's answer about one order.
 type Answer struct {
-	// ID names the order.
+	// ID identifies the order.
 	ID string `json:"id"`
-	// State says how far the engine is.
+	// State is the progress of the order.
 	State Progress `json:"state"`
-	// Message is a sentence for people, for Failed.
+	// Message is a human-readable explanation, for Failed.
 	Message string `json:"message,omitempty"`
 }
--- a/internal/fleet/orders/servers_test.go
+++ b/internal/fleet/orders/servers_test.go
@@ -2,7 +2,7 @@
 
 import "hornbeamwood/internal/fleet/membership"
 
-func serversOf(g *giver) []*membership.Server {
+func serversOf(g *host) []*membership.Server {
 	v := g.table.View()
 	var all []*membership.Server
 	for s := range v.All() {
--- a/internal/fleet/orders/world_test.go
+++ b/internal/fleet/orders/simulation_test.go
@@ -18,7 +18,7 @@
 	loadTime  = 2 * time.Second
 )
 
-// engine is a fake that carries out each id once and loads for loadTime, longer while more than two load.
+// engine is a fake that carries out each order ID once. A load takes loadTime, and longer while more than two engines load.
 type engine struct {
 	a       announcement.Announcement
 	checks  bool
@@ -28,57 +28,57 @@
 	left    map[string]time.Duration
 }
 
-// giver is a controller with its adapter: it holds or wants the lease and sends what is planned.
-type giver struct {
-	name    string
-	c       Controller
-	table   membership.Table
-	term    lease.Term
-	frozen  time.Duration
-	due     time.Duration
-	unsent  []Instruction
-	plan    Plan
-	rate    float64
-	renewed uint64
+// host is a controller with its adapter: it acquires the lease and sends the planned orders.
+type host struct {
+	name           string
+	c              Controller
+	table          membership.Table
+	term           lease.Term
+	suspendedUntil time.Duration
+	due            time.Duration
+	unsent         []Instruction
+	plan           Plan
+	rate           float64
+	renewed        uint64
 }
 
-// event is something that happens later.
+// event is a scheduled action.
 type event struct {
 	at time.Duration
-	// on is frozen with its giver; nil is not.
-	on *giver
+	// on is the host whose suspension delays the event; nil for none.
+	on *host
 	do func()
 }
 
-// world runs engines, two givers and one copy of the leases in virtual time.
-type world struct {
-	r        *rand.Rand
-	now      time.Duration
-	leases   state.Section
-	logAhead time.Duration
-	engines  []*engine
-	givers   []*giver
-	settings *rules.Snapshot
-	events   []event
-	calm     bool
-	fault    string
-	tally    tally
+// simulation simulates engines, two hosts and one copy of the leases in virtual time.
+type simulation struct {
+	r         *rand.Rand
+	now       time.Duration
+	leases    state.Section
+	logAhead  time.Duration
+	engines   []*engine
+	hosts     []*host
+	settings  *rules.Snapshot
+	events    []event
+	faultless bool
+	fault     string
+	counts    counts
 }
 
-// tally counts what happened.
-type tally struct {
-	loads, refused, repeated, terms, freezes int
+// counts counts the events that occurred.
+type counts struct {
+	loads, refused, repeated, terms, suspensions int
 }
 
-func newWorld(seed uint64) *world {
-	w := &world{r: rand.New(rand.NewPCG(seed, 9)), leases: lease.New()}
+func newSimulation(seed uint64) *simulation {
+	w := &simulation{r: rand.New(rand.NewPCG(seed, 9)), leases: lease.New()}
 	w.set("v1")
 	for i := range 6 {
 		w.engines = append(w.engines, newEngine(i))
 	}
 	for i := range 2 {
-		g := &giver{name: fmt.Sprintf("entry-%d", i), c: New(Config{}), table: membership.New(membership.Config{}), rate: 1 + (w.r.Float64()-0.5)*0.02}
-		w.givers = append(w.givers, g)
+		g := &host{name: fmt.Sprintf("entry-%d", i), c: New(Config{}), table: membership.New(membership.Config{}), rate: 1 + (w.r.Float64()-0.5)*0.02}
+		w.hosts = append(w.hosts, g)
 	}
 	return w
 }
@@ -106,17 +106,17 @@
 	e.left = map[string]time.Duration{}
 }
 
-// order takes an order as docs/interfaces/backend.md says.
-func (w *world) order(e *engine, o Order) Outcome {
+// order handles an order as specified in docs/interfaces/backend.md.
+func (w *simulation) order(e *engine, o Order) Outcome {
 	out := Outcome{Engine: e.a.Identity, ID: o.ID, Result: Answered}
 	if e.checks && o.Fencing < e.fencing {
-		w.tally.refused++
+		w.counts.refused++
 		out.Result = Fenced
 		return out
 	}
 	e.fencing = max(e.fencing, o.Fencing)
 	if p, ok := e.states[o.ID]; ok {
-		w.tally.repeated++
+		w.counts.repeated++
 		out.State = p
 		return out
 	}
@@ -126,7 +126,7 @@
 	if _, has := versions(e.a, o.Model, o.WeightVersion); has {
 		w.fault = fmt.Sprintf("at %v %s loads %s again", w.now, e.a.Identity, o.WeightVersion)
 	}
-	w.tally.loads++
+	w.counts.loads++
 	e.states[o.ID] = Running
 	e.loading[o.ID] = o
 	e.left[o.ID] = loadTime
@@ -142,15 +142,15 @@
 	return out
 }
 
-// work lets the engine load for one step; now and then a load fails.
-func (w *world) work(e *engine, step time.Duration, all int) {
+// work advances the engine's loads by one step; some loads fail.
+func (w *simulation) work(e *engine, step time.Duration, all int) {
 	for id, o := range e.loading {
 		e.left[id] -= step * 2 / time.Duration(max(2, all))
 		if e.left[id] > 0 {
 			continue
 		}
 		delete(e.loading, id)
-		if !w.calm && w.r.IntN(12) == 0 {
+		if !w.faultless && w.r.IntN(12) == 0 {
 			e.states[id] = Failed
 			continue
 		}
@@ -161,19 +161,19 @@
 }
 
 // set changes the settings.
-func (w *world) set(version string) {
+func (w *simulation) set(version string) {
 	w.settings = &rules.Snapshot{
 		Fleet:  rules.Fleet{WeightLoads: 2},
 		Models: map[string]rules.Model{"m": {Name: "m", WeightVersion: version}},
 	}
 }
 
-func (w *world) run(length time.Duration) {
+func (w *simulation) run(length time.Duration) {
 	const step = 50 * time.Millisecond
 	for end := w.now + length; w.now < end && w.fault == ""; w.now += step {
-		w.happen()
-		w.upset()
-		for _, g := range w.givers {
+		w.runEvents()
+		w.injectFault()
+		for _, g := range w.hosts {
 			w.tick(g)
 		}
 		loads := 0
@@ -192,27 +192,27 @@
 	}
 }
 
-func (w *world) announce(e *engine) {
+func (w *simulation) announce(e *engine) {
 	e.a.Sequence++
 	a := e.a
-	for _, g := range w.givers {
+	for _, g := range w.hosts {
 		w.after(g, w.r.IntN(100), func() { g.table.Announce(w.clock(g), a) })
 	}
 }
 
-func (w *world) clock(g *giver) time.Time {
+func (w *simulation) clock(g *host) time.Time {
 	return time.Unix(1000, 0).Add(time.Duration(float64(w.now) * g.rate))
 }
 
-func (w *world) after(on *giver, millis int, do func()) {
+func (w *simulation) after(on *host, millis int, do func()) {
 	w.events = append(w.events, event{at: w.now + time.Duration(millis)*time.Millisecond, on: on, do: do})
 }
 
-func (w *world) happen() {
+func (w *simulation) runEvents() {
 	due := w.events
 	w.events = nil
 	for _, e := range due {
-		if e.at > w.now || (e.on != nil && e.on.frozen > w.now) {
+		if e.at > w.now || (e.on != nil && e.on.suspendedUntil > w.now) {
 			w.events = append(w.events, e)
 			continue
 		}
@@ -220,16 +220,16 @@
 	}
 }
 
-// upset freezes a giver, restarts an engine, moves the log's clock or changes the settings.
-func (w *world) upset() {
-	if w.calm {
+// injectFault suspends a host, restarts an engine, advances the log's clock or changes the settings.
+func (w *simulation) injectFault() {
+	if w.faultless {
 		return
 	}
 	switch w.r.IntN(600) {
 	case 0, 1:
-		g := w.givers[w.r.IntN(2)]
-		g.frozen = w.now + time.Duration(w.r.IntN(40000))*time.Millisecond
-		w.tally.freezes++
+		g := w.hosts[w.r.IntN(2)]
+		g.suspendedUntil = w.now + time.Duration(w.r.IntN(40000))*time.Millisecond
+		w.counts.suspensions++
 	case 2:
 		e := w.engines[w.r.IntN(len(w.engines))]
 		e.a.Incarnation++
@@ -243,7 +243,7 @@
 	}
 }
 
-func (w *world) command(c lease.Command) lease.Result {
+func (w *simulation) command(c lease.Command) lease.Result {
 	b, _ := codec.Marshal(c)
 	at := time.Unix(5000, 0).Add(w.now + w.logAhead)
 	r, _ := codec.Unmarshal[lease.Result](w.leases.Apply(at, b))
--- a/internal/fleet/orders/target.go
+++ b/internal/fleet/orders/target.go
@@ -6,7 +6,7 @@
 	"encoding/hex"
 )
 
-// target is what an order brings about at one incarnation of an engine.
+// target is the change that an order makes at one incarnation of an engine.
 type target struct {
 	engine      string
 	incarnation uint64
@@ -29,7 +29,7 @@
 	}
 }
 
-// id returns the id of an attempt; two controllers that want the same of an engine name it the same, so that the engine does it once.
+// id returns the order ID of an attempt. Two controllers with the same target use the same ID, so that the engine carries it out once.
 func (t target) id(attempt int) string {
 	var b []byte
 	for _, s := range []string{t.engine, string(t.kind), t.model, t.version, t.adapter, t.role} {
