--- a/internal/cache/directory/config.go
+++ b/internal/cache/directory/config.go
@@ -13,26 +13,26 @@
 	DefaultForget       = 10 * time.Minute
 )
 
-// maxBatches is the number of batches behind a gap that are kept for each engine.
+// maxBatches is the number of batches after a gap that are buffered for each engine.
 const maxBatches = 64
 
 // Config holds the limits of a Directory; zero fields take the defaults.
 type Config struct {
 	// Start is the local time at which the process started.
 	Start time.Time
-	// Pieces is the largest number of locations; what does not fit is not remembered.
+	// Pieces is the largest number of locations; further ones are not stored.
 	Pieces int
 	// Servers is the largest number of engines and stores.
 	Servers int
 	// Listing is the largest number of this node's keys in one engine's listing.
 	Listing int
-	// Tombstone is how long a freed generation is remembered, so that a late message can't bring it back.
+	// Tombstone is how long a freed generation is kept, so that a late message can't restore it.
 	Tombstone time.Duration
-	// GapPatience is how long a gap may last before a listing is asked for; batches that took two ways close most gaps.
+	// GapPatience is how long a gap may last before a listing is requested; most gaps are only reordered batches and close by themselves.
 	GapPatience time.Duration
-	// ListingPause is the least time between two requests for a listing of one engine.
+	// ListingPause is the minimum time between two requests for a listing of one engine.
 	ListingPause time.Duration
-	// Forget is the silence after which an engine or store is forgotten.
+	// Forget is how long after its last contact an engine or store is removed.
 	Forget time.Duration
 }
 
--- a/internal/cache/directory/content_faults_test.go
+++ b/internal/cache/directory/content_faults_test.go
@@ -8,48 +8,48 @@
 	"hornbeamwood/internal/cache/events"
 )
 
-// post sends the message to both holders, each on its own way: late, twice or not at all.
-func (w *cacheWorld) post(k block.Key, m Message) {
-	for _, e := range w.ring.Both(k, m) {
+// post sends the message to both holders; each copy may be delayed, duplicated or lost independently.
+func (w *cacheSimulation) post(k block.Key, m Message) {
+	for _, e := range w.ring.ToHolders(k, m) {
 		w.send(int(e.To[0]-'0'), e.Message)
 	}
 }
 
-func (w *cacheWorld) send(to int, m Message) {
+func (w *cacheSimulation) send(to int, m Message) {
 	for range []int{0, 1, 1, 1, 1, 1, 1, 2}[w.r.IntN(8)] {
 		delay := time.Duration(w.r.IntN(100)) * time.Millisecond
 		if w.r.IntN(6) == 0 {
 			delay = time.Duration(w.r.IntN(8000)) * time.Millisecond
 		}
-		w.wire = append(w.wire, parcel{at: w.now.Add(delay), to: to, m: m})
+		w.inFlight = append(w.inFlight, delivery{at: w.now.Add(delay), to: to, m: m})
 	}
 }
 
-func (w *cacheWorld) deliver() {
-	due := w.wire
-	w.wire = nil
+func (w *cacheSimulation) deliver() {
+	due := w.inFlight
+	w.inFlight = nil
 	for _, p := range due {
 		if p.at.After(w.now) {
-			w.wire = append(w.wire, p)
+			w.inFlight = append(w.inFlight, p)
 			continue
 		}
 		e := Serve(w.holders[p.to], w.now, p.m).Effect
 		if e.ListingWanted {
 			w.wanted[p.m.Update.Engine] = true
 		}
-		w.remember(p, e)
+		w.recordFreed(p, e)
 	}
 }
 
-func (w *cacheWorld) remember(p parcel, e Effect) {
+func (w *cacheSimulation) recordFreed(p delivery, e Effect) {
 	c := p.m.Store
 	if c != nil && c.To == Freed && e.Outcome == Applied {
-		w.told[p.to][c.Store+c.Key.String()] = c.Generation
+		w.reportedFreed[p.to][c.Store+c.Key.String()] = c.Generation
 	}
 }
 
-// export writes a piece that an engine holds: step by step, or cut off half-way.
-func (w *cacheWorld) export() {
+// export writes a piece that an engine holds, in transitions; some writes are aborted.
+func (w *cacheSimulation) export() {
 	e, s := w.engines[w.r.IntN(2)], w.stores[w.r.IntN(2)]
 	for _, k := range ordered(s.uploads) {
 		if w.r.IntN(2) == 0 {
@@ -69,14 +69,14 @@
 	}
 }
 
-func (w *cacheWorld) pick(keys []block.Key) (block.Key, bool) {
+func (w *cacheSimulation) pick(keys []block.Key) (block.Key, bool) {
 	if len(keys) == 0 {
 		return block.Key{}, false
 	}
 	return keys[w.r.IntN(len(keys))], true
 }
 
-func (w *cacheWorld) continueExport(s *fakeStore, u *upload) {
+func (w *cacheSimulation) continueExport(s *fakeStore, u *upload) {
 	if w.r.IntN(6) == 0 {
 		delete(s.uploads, u.key)
 		return
@@ -90,39 +90,39 @@
 	}
 }
 
-func (w *cacheWorld) tell() {
-	w.spread(w.engines[w.r.IntN(2)].report())
+func (w *cacheSimulation) sendReport() {
+	w.distribute(w.engines[w.r.IntN(2)].report())
 }
 
-func (w *cacheWorld) list() {
+func (w *cacheSimulation) sendListings() {
 	for _, e := range w.engines {
 		if !w.wanted[e.identity] {
 			continue
 		}
 		delete(w.wanted, e.identity)
-		w.spread(e.report())
+		w.distribute(e.report())
 		for _, r := range e.listing() {
-			w.spread(r)
+			w.distribute(r)
 		}
 	}
 }
 
-func (w *cacheWorld) spread(r events.Report) {
-	for _, m := range w.ring.Spread(r) {
+func (w *cacheSimulation) distribute(r events.Report) {
+	for _, m := range w.ring.Distribute(r) {
 		w.send(int(m.To[0]-'0'), m.Message)
 	}
 }
 
-// free tells the holders that a sealed piece is to go.
-func (w *cacheWorld) free() {
+// free sends the holders the Freeing change of a sealed piece.
+func (w *cacheSimulation) free() {
 	s := w.stores[w.r.IntN(2)]
 	if k, ok := w.pick(ordered(s.objects)); ok {
 		w.post(k, Message{Store: w.change(s.identity, k, Freeing, s.objects[k].generation)})
 	}
 }
 
-// deleteFreed deletes what a holder says has no reader left; no reader that it pinned may be reading then.
-func (w *cacheWorld) deleteFreed() {
+// deleteFreed deletes the pieces that a holder returns as deletable and checks that no reader with a pin of that holder is reading them.
+func (w *cacheSimulation) deleteFreed() {
 	h := w.r.IntN(2)
 	for _, d := range w.holders[h].Deletable(w.now) {
 		w.checkPins(h, d)
@@ -131,18 +131,18 @@
 	}
 }
 
-// checkPins looks for a reader whose pin the holder granted and that still reads.
-func (w *cacheWorld) checkPins(h int, d Deletion) {
+// checkPins fails if a reader is still reading with a pin that the holder granted.
+func (w *cacheSimulation) checkPins(h int, d Deletion) {
 	for _, q := range w.runs {
 		same := q.pin.Store == d.Store && q.pin.Key == d.Key && q.pin.Generation == d.Generation
 		if q.reading != nil && same && q.holder == h && w.now.Before(q.until) {
-			w.fault = fmt.Sprintf("holder %d lets a piece be deleted that it pinned for a reader", h)
+			w.fault = fmt.Sprintf("holder %d allows the deletion of a piece that it pinned for a reader", h)
 		}
 	}
 }
 
-// upset lets something go wrong.
-func (w *cacheWorld) upset() {
+// injectFault injects a random fault.
+func (w *cacheSimulation) injectFault() {
 	e, s := w.engines[w.r.IntN(2)], w.stores[w.r.IntN(2)]
 	switch w.r.IntN(12) {
 	case 0:
@@ -162,22 +162,22 @@
 	}
 }
 
-// checkLookup holds the answer against what the holder was told and what the stores ever sealed.
-func (w *cacheWorld) checkLookup(h int, k block.Key, found Location) {
+// checkLookup compares the answer with the deletions reported to the holder and with the generations that the stores ever sealed.
+func (w *cacheSimulation) checkLookup(h int, k block.Key, found Location) {
 	for _, at := range found.Stores {
-		if at.Generation <= w.told[h][at.Store+k.String()] {
-			w.fault = fmt.Sprintf("holder %d names generation %d of a piece in %s that it was told is freed", h, at.Generation, at.Store)
+		if at.Generation <= w.reportedFreed[h][at.Store+k.String()] {
+			w.fault = fmt.Sprintf("holder %d returns generation %d of a piece in %s that was reported to it as freed", h, at.Generation, at.Store)
 		}
 		s := w.store(at.Store)
 		sealed := s.objects[k].generation == at.Generation || s.everFreed[k] >= at.Generation
 		if !sealed {
-			w.fault = fmt.Sprintf("holder %d names generation %d in %s, which was never sealed", h, at.Generation, at.Store)
+			w.fault = fmt.Sprintf("holder %d returns generation %d in %s, which was never sealed", h, at.Generation, at.Store)
 		}
 	}
 }
 
-// check counts the locations anew and compares with the count that is kept.
-func (w *cacheWorld) check() {
+// check audits the location lists and counts of all holders.
+func (w *cacheSimulation) check() {
 	for h, d := range w.holders {
 		if fault := d.(*directory).audit(); fault != "" {
 			w.fault = fmt.Sprintf("holder %d: %s", h, fault)
@@ -185,7 +185,7 @@
 	}
 }
 
-// audit returns what is wrong with the lists of locations, empty when nothing is.
+// audit returns the first fault of the location lists, or the empty string.
 func (d *directory) audit() string {
 	total := 0
 	for _, s := range d.shards {
@@ -197,7 +197,7 @@
 			for ; i != 0; i = s.slab.at(i).next {
 				l := location{peer: s.slab.at(i).peer, epoch: s.slab.at(i).epoch, state: s.slab.at(i).state}
 				if seen[l] {
-					return fmt.Sprintf("piece %x stands twice with %+v", k, l)
+					return fmt.Sprintf("piece %x has the location %+v twice", k, l)
 				}
 				seen[l] = true
 				total++
@@ -205,7 +205,7 @@
 		}
 	}
 	if total != int(d.count.Load()) {
-		return fmt.Sprintf("%d locations are counted and %d are there", d.count.Load(), total)
+		return fmt.Sprintf("the count is %d, but there are %d locations", d.count.Load(), total)
 	}
 	return ""
 }
--- a/internal/cache/directory/content_test.go
+++ b/internal/cache/directory/content_test.go
@@ -16,53 +16,53 @@
 	"hornbeamwood/internal/cache/block"
 )
 
-// histories is raised for long runs.
+// histories is the number of random histories; long runs raise it.
 var histories = flag.Int("histories", 150, "random histories of the cache")
 
-// Pieces are written, read, evicted and freed at once: a store is full or dies
-// half-way through an export, a freed key is written again, an import races a
-// deletion, weights are swapped while requests run, an engine comes back under
-// its identity with an empty cache, and events are late, doubled and lost. If
-// any of these let one wrong byte into a prompt's cache, the caller would read
-// an answer to something that was never asked.
+// Pieces are written, read, evicted and freed concurrently: a store is full or
+// crashes during an export, a freed key is written again, an import races with
+// a deletion, weights are replaced while requests run, an engine returns under
+// its identity with an empty cache, and events are delayed, duplicated and lost.
+// If any of these put one wrong byte into a prompt's cache, the caller would
+// get an answer to a prompt that was never sent.
 func TestEveryByteReadIsThePromptsOwn(t *testing.T) {
 	p := gopter.DefaultTestParametersWithSeed(6)
 	p.MinSuccessfulTests = *histories
 	all := gopter.NewProperties(p)
-	var sum tally
+	var sum counts
 	all.Property("pieces read are whole, sealed, and of the request's version", prop.ForAllNoShrink(func(seed uint64) string {
-		w := newCacheWorld(seed)
+		w := newCacheSimulation(seed)
 		for range 600 {
 			w.step()
 			if w.fault != "" {
 				return w.fault
 			}
 		}
-		sum.add(w.tally)
+		sum.add(w.counts)
 		return ""
 	}, gen.UInt64()))
 	all.TestingRun(t)
 	t.Logf("%+v", sum)
-	if sum.fromEngine == 0 || sum.imported == 0 || sum.missed == 0 || sum.carelessWrong == 0 {
-		t.Error("the histories leave out a case, so they prove too little")
+	if sum.fromEngine == 0 || sum.imported == 0 || sum.missed == 0 || sum.uncheckedWrong == 0 {
+		t.Error("the histories do not cover all cases")
 	}
 }
 
-// tally counts what the histories brought about.
-type tally struct {
-	pieces, fromEngine, imported, missed, recomputed, carelessWrong int
+// counts counts the events in the histories.
+type counts struct {
+	pieces, fromEngine, imported, missed, recomputed, uncheckedWrong int
 }
 
-func (t *tally) add(o tally) {
+func (t *counts) add(o counts) {
 	t.pieces += o.pieces
 	t.fromEngine += o.fromEngine
 	t.imported += o.imported
 	t.missed += o.missed
 	t.recomputed += o.recomputed
-	t.carelessWrong += o.carelessWrong
+	t.uncheckedWrong += o.uncheckedWrong
 }
 
-// run is one request that goes on while other things happen.
+// run is one running request.
 type run struct {
 	scope   block.Scope
 	prompt  []uint32
@@ -71,39 +71,39 @@
 	engine  *fakeEngine
 	reading *download
 	pin     Pin
-	// holder granted the pin, which counts until then.
+	// holder granted the pin, which expires at until.
 	holder int
 	until  time.Time
 }
 
-// parcel is a message to one holder that is on its way.
-type parcel struct {
+// delivery is a message in flight to one holder.
+type delivery struct {
 	at time.Time
 	to int
 	m  Message
 }
 
-// cacheWorld is two holders, two engines and two stores under a random history.
-type cacheWorld struct {
-	r       *rand.Rand
-	now     time.Time
-	ring    Ring
-	holders []Directory
-	engines []*fakeEngine
-	stores  []*fakeStore
-	version int
-	runs    []*run
-	wire    []parcel
-	wanted  map[string]bool
-	// told holds the highest generation of each piece that a holder was told is freed.
-	told   []map[string]uint64
-	reader uint64
-	fault  string
-	tally  tally
+// cacheSimulation simulates two holders, two engines and two stores with a random history.
+type cacheSimulation struct {
+	r        *rand.Rand
+	now      time.Time
+	ring     Ring
+	holders  []Directory
+	engines  []*fakeEngine
+	stores   []*fakeStore
+	version  int
+	runs     []*run
+	inFlight []delivery
+	wanted   map[string]bool
+	// reportedFreed holds for each holder the highest generation of each piece that was reported to it as freed.
+	reportedFreed []map[string]uint64
+	reader        uint64
+	fault         string
+	counts        counts
 }
 
-func newCacheWorld(seed uint64) *cacheWorld {
-	w := &cacheWorld{
+func newCacheSimulation(seed uint64) *cacheSimulation {
+	w := &cacheSimulation{
 		r:       rand.New(rand.NewPCG(seed, 6)),
 		now:     time.Unix(5000, 0),
 		ring:    NewRing([]string{"0", "1"}),
@@ -113,29 +113,29 @@
 	}
 	for range 2 {
 		w.holders = append(w.holders, New(Config{Start: w.now, Tombstone: time.Hour}))
-		w.told = append(w.told, map[string]uint64{})
+		w.reportedFreed = append(w.reportedFreed, map[string]uint64{})
 	}
 	return w
 }
 
-// content is what a piece must hold; it is made without the code that makes keys.
+// content returns the expected bytes of a piece; it does not use the code that computes keys.
 func content(s block.Scope, prompt []uint32) []byte {
 	d := sha256.Sum256(fmt.Appendf(nil, "%q %q %q %v", s.Workspace, s.Model, s.WeightVersion, prompt))
 	return bytes.Repeat(d[:], 4)
 }
 
-func (w *cacheWorld) step() {
+func (w *cacheSimulation) step() {
 	w.now = w.now.Add(time.Duration(w.r.IntN(200)) * time.Millisecond)
 	w.deliver()
 	actions := []func(){
 		w.begin, w.begin, w.advance, w.advance, w.advance, w.advance, w.export, w.export, w.export, w.export, w.export, w.export,
-		w.tell, w.tell, w.list, w.free, w.deleteFreed, w.upset,
+		w.sendReport, w.sendReport, w.sendListings, w.free, w.deleteFreed, w.injectFault,
 	}
 	actions[w.r.IntN(len(actions))]()
 	w.check()
 }
 
-func (w *cacheWorld) begin() {
+func (w *cacheSimulation) begin() {
 	if len(w.runs) > 4 {
 		return
 	}
@@ -149,8 +149,8 @@
 	w.runs = append(w.runs, &run{scope: s, prompt: prompt, keys: s.Tokens(prompt), engine: w.engines[w.r.IntN(2)]})
 }
 
-// advance lets one run get its next piece: from memory, by an import, or computed.
-func (w *cacheWorld) advance() {
+// advance gets the next piece of one run from memory, by an import, or by computing it.
+func (w *cacheSimulation) advance() {
 	if len(w.runs) == 0 {
 		return
 	}
@@ -166,34 +166,34 @@
 	}
 }
 
-func (w *cacheWorld) getPiece(q *run) {
+func (w *cacheSimulation) getPiece(q *run) {
 	k := q.keys[q.at]
 	h := w.r.IntN(2)
 	found := w.holders[h].Lookup([]block.Key{k})[0]
 	w.checkLookup(h, k, found)
 	for _, s := range w.stores {
-		if got := s.careless(k); got != nil && !bytes.Equal(got, w.want(q)) {
-			w.tally.carelessWrong++
+		if got := s.readUnchecked(k); got != nil && !bytes.Equal(got, w.want(q)) {
+			w.counts.uncheckedWrong++
 		}
 	}
 	if found.heldBy(q.engine.identity) {
 		if data, ok := q.engine.memory[k]; ok {
-			w.tally.fromEngine++
+			w.counts.fromEngine++
 			w.use(q, data)
 			return
 		}
-		w.tally.missed++
+		w.counts.missed++
 	}
 	for _, at := range found.Stores {
 		if w.beginImport(q, h, k, at) {
 			return
 		}
 	}
-	w.tally.recomputed++
+	w.counts.recomputed++
 	w.use(q, w.want(q))
 }
 
-func (w *cacheWorld) beginImport(q *run, h int, k block.Key, at Stored) bool {
+func (w *cacheSimulation) beginImport(q *run, h int, k block.Key, at Stored) bool {
 	w.reader++
 	pin := Pin{Store: at.Store, Key: k, Generation: at.Generation, Reader: w.reader, DeadlineMillis: 5000}
 	if w.holders[h].Pin(w.now, pin).Outcome != Applied {
@@ -201,7 +201,7 @@
 	}
 	d, ok := w.store(at.Store).read(k, at.Generation)
 	if !ok {
-		w.tally.missed++
+		w.counts.missed++
 		w.holders[h].Unpin(w.now, pin)
 		w.post(k, Message{Store: w.change(at.Store, k, Freed, at.Generation)})
 		return false
@@ -211,26 +211,26 @@
 	return true
 }
 
-func (w *cacheWorld) endImport(q *run) {
+func (w *cacheSimulation) endImport(q *run) {
 	data, whole := q.reading.end(w.r)
 	pin := q.pin
 	w.post(pin.Key, Message{Unpin: &pin})
 	q.reading = nil
 	if !whole {
-		w.tally.recomputed++
+		w.counts.recomputed++
 		data = w.want(q)
 	} else {
-		w.tally.imported++
+		w.counts.imported++
 	}
 	w.use(q, data)
 }
 
-func (w *cacheWorld) want(q *run) []byte {
+func (w *cacheSimulation) want(q *run) []byte {
 	return content(q.scope, q.prompt[:(q.at+1)*q.scope.PieceTokens])
 }
 
-func (w *cacheWorld) use(q *run, data []byte) {
-	w.tally.pieces++
+func (w *cacheSimulation) use(q *run, data []byte) {
+	w.counts.pieces++
 	if !bytes.Equal(data, w.want(q)) {
 		w.fault = fmt.Sprintf("piece %d of %v in %+v got other bytes", q.at, q.prompt, q.scope)
 	}
@@ -238,7 +238,7 @@
 	q.at++
 }
 
-func (w *cacheWorld) store(identity string) *fakeStore {
+func (w *cacheSimulation) store(identity string) *fakeStore {
 	for _, s := range w.stores {
 		if s.identity == identity {
 			return s
@@ -247,7 +247,7 @@
 	return nil
 }
 
-func (w *cacheWorld) change(store string, k block.Key, to State, generation uint64) *StoreChange {
+func (w *cacheSimulation) change(store string, k block.Key, to State, generation uint64) *StoreChange {
 	return &StoreChange{
 		Store:       store,
 		Incarnation: w.store(store).incarnation,
--- a/internal/cache/directory/directory_bench_test.go
+++ b/internal/cache/directory/directory_bench_test.go
@@ -19,7 +19,7 @@
 	return sha256.Sum256(b[:])
 }
 
-// fill puts n pieces into the directory, each held by one engine and sealed in one store.
+// fill adds n pieces to the directory, each held by one engine and sealed in one store.
 func fill(d Directory, now time.Time, n int) {
 	const batch = 1000
 	for from := 0; from < n; from += batch {
@@ -41,7 +41,7 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkMemory reports the bytes for each piece that is held by one engine and one store.
+// BenchmarkMemory reports the memory for each piece that is held by one engine and one store.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprintf("pieces=%d", n), func(b *testing.B) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// BenchmarkUpdate reports the time to take in one engine event.
+// BenchmarkUpdate reports the time to apply one engine event.
 func BenchmarkUpdate(b *testing.B) {
 	const batch = 64
 	d, now := New(Config{Pieces: 4 << 20}), time.Unix(0, 0)
@@ -130,7 +130,7 @@
 	update, lookup, reply, parts := 0, 0, 0, 0
 	for b.Loop() {
 		update, lookup, reply, parts = 0, 0, 0, 0
-		for _, e := range r.Spread(report) {
+		for _, e := range r.Distribute(report) {
 			update += size(b, e.Message)
 		}
 		for _, p := range r.Query(keys, func(string) bool { return false }).Parts() {
--- a/internal/cache/directory/spread.go
+++ b/internal/cache/directory/distribute.go
@@ -5,13 +5,13 @@
 	"hornbeamwood/internal/cache/events"
 )
 
-// Spread returns the messages that pass an engine's report on to the nodes of the cell.
+// Distribute returns the messages that distribute an engine's report to the nodes of the cell.
 //
-// Every node gets the range of numbers and only the changes of its own keys,
-// so that each finds a gap by itself.
-func (r Ring) Spread(report events.Report) []Envelope {
+// Each node gets the full range of event numbers, but only the changes of its
+// own keys, so that it can detect gaps independently.
+func (r Ring) Distribute(report events.Report) []Envelope {
 	if report.Listing != nil {
-		return r.spreadListing(report)
+		return r.distributeListing(report)
 	}
 	all := make([]Envelope, len(r.nodes))
 	for i, n := range r.nodes {
@@ -32,7 +32,7 @@
 	return all
 }
 
-func (r Ring) spreadListing(report events.Report) []Envelope {
+func (r Ring) distributeListing(report events.Report) []Envelope {
 	l := report.Listing
 	all := make([]Envelope, len(r.nodes))
 	for i, n := range r.nodes {
@@ -53,7 +53,7 @@
 	return all
 }
 
-// each calls f with each holder of a key once.
+// each calls f once with each holder of a key.
 func (r Ring) each(k block.Key, f func(node int)) {
 	first, second := r.Holders(k)
 	if first < 0 {
@@ -65,8 +65,8 @@
 	}
 }
 
-// Both returns the message once for each holder of a key, for Store, Pin and Unpin messages.
-func (r Ring) Both(k block.Key, m Message) []Envelope {
+// ToHolders returns the message addressed to each holder of a key, for Store, Pin and Unpin messages.
+func (r Ring) ToHolders(k block.Key, m Message) []Envelope {
 	var all []Envelope
 	r.each(k, func(n int) { all = append(all, Envelope{To: r.nodes[n], Message: m}) })
 	return all
--- a/internal/cache/directory/effect.go
+++ b/internal/cache/directory/effect.go
@@ -1,29 +1,29 @@
 package directory
 
-// Outcome says what a message did to the directory.
+// Outcome is the effect of a message on the directory.
 type Outcome string
 
 const (
-	// Applied means that the directory holds what the message says.
+	// Applied means that the message was applied.
 	Applied Outcome = "applied"
-	// Held means that the message waits behind a gap.
+	// Held means that the message is buffered until missing events or parts arrive.
 	Held Outcome = "held"
-	// Known means that the message said nothing new.
+	// Known means that the message had no new information.
 	Known Outcome = "known"
-	// Outdated means that something newer is known.
+	// Outdated means that the directory has newer information.
 	Outdated Outcome = "outdated"
-	// Refused means that a limit or the piece's state forbids it.
+	// Refused means that a limit or the piece's state does not allow it.
 	Refused Outcome = "refused"
 )
 
-// Effect is the typed verdict on one message.
+// Effect is the result of one message.
 type Effect struct {
-	// Outcome says what the message did.
+	// Outcome is the effect of the message.
 	Outcome Outcome `cbor:"o"`
-	// ListingWanted asks for a listing of the engine.
+	// ListingWanted requests a listing from the engine.
 	ListingWanted bool `cbor:"l,omitempty"`
-	// Restarted says that the message came from a newer incarnation and voided what was known.
+	// Restarted is true if the message came from a newer incarnation and invalidated the known locations.
 	Restarted bool `cbor:"r,omitempty"`
-	// Gap says that nothing is believed of the engine at the moment.
+	// Gap is true if the engine's locations are currently not used because events are missing.
 	Gap bool `cbor:"g,omitempty"`
 }
--- a/internal/cache/directory/engine.go
+++ b/internal/cache/directory/engine.go
@@ -9,9 +9,9 @@
 
 // Update implements Directory.
 //
-// Batches are applied in the order of their numbers only. Applied as they
-// come, an insertion that is late would bring back a piece whose eviction
-// came first, and requests would be sent to an engine that has to recompute.
+// Batches are applied only in the order of their numbers. Otherwise a late
+// insertion would restore a piece whose eviction arrived first, and requests
+// would be sent to an engine that has to recompute it.
 func (d *directory) Update(now time.Time, u Update) Effect {
 	p := d.peers.add(u.Engine, d.millis(now))
 	if p == nil {
@@ -24,17 +24,17 @@
 	}
 	p.engine = true
 	restarted := p.restart(u.Incarnation)
-	outcome := d.take(p, u)
-	p.settle(now)
+	outcome := d.applyOrBuffer(p, u)
+	p.updateConsistency(now)
 	return Effect{
 		Outcome:       outcome,
 		Restarted:     restarted,
-		Gap:           !p.believed.Load(),
-		ListingWanted: d.wanted(p, now),
+		Gap:           !p.consistent.Load(),
+		ListingWanted: d.wantsListing(p, now),
 	}
 }
 
-// restart voids what was known when the incarnation is newer and returns whether something was known.
+// restart invalidates the known locations if the incarnation is newer, and reports whether an older incarnation was known.
 func (p *peer) restart(incarnation uint64) bool {
 	if incarnation <= p.incarnation {
 		return false
@@ -44,22 +44,22 @@
 	return known
 }
 
-// take applies the batch, or holds it back when events before it are missing.
-func (d *directory) take(p *peer, u Update) Outcome {
+// applyOrBuffer applies the batch, or buffers it if earlier events are missing.
+func (d *directory) applyOrBuffer(p *peer, u Update) Outcome {
 	if u.First > p.applied+1 {
-		p.hold(u)
+		p.buffer(u)
 		return Held
 	}
 	if u.Count > 0 && u.next() <= p.applied+1 {
 		return Known
 	}
 	d.apply(p, u)
-	d.drain(p)
+	d.applyBuffered(p)
 	return Applied
 }
 
-// hold keeps the batch in order; the oldest goes when there are too many, and the listing that the gap needs is newer than it.
-func (p *peer) hold(u Update) {
+// buffer stores the batch in order. If there are too many, the oldest one is dropped; the listing that closes the gap will be newer.
+func (p *peer) buffer(u Update) {
 	i, found := slices.BinarySearchFunc(p.batches, u.First, func(b Update, first uint64) int {
 		switch {
 		case b.First < first:
@@ -81,8 +81,8 @@
 	}
 }
 
-// drain applies the batches that follow on what was applied.
-func (d *directory) drain(p *peer) {
+// applyBuffered applies the buffered batches that follow without a gap.
+func (d *directory) applyBuffered(p *peer) {
 	for len(p.batches) > 0 && p.batches[0].First <= p.applied+1 {
 		d.apply(p, p.batches[0])
 		p.batches = p.batches[1:]
@@ -110,34 +110,34 @@
 	s := d.shard(k)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.find(short(k), of(p, epoch, held)) != nil {
+	if s.find(prefix(k), matchPeer(p, epoch, held)) != nil {
 		return
 	}
-	s.put(short(k), location{peer: p.index, epoch: epoch, state: held})
+	s.put(prefix(k), location{peer: p.index, epoch: epoch, state: held})
 }
 
 func (d *directory) evict(p *peer, k block.Key) {
 	s := d.shard(k)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drop(short(k), func(l *location) bool { return l.peer == p.index && l.state == held })
+	s.drop(prefix(k), func(l *location) bool { return l.peer == p.index && l.state == held })
 }
 
-func of(p *peer, epoch uint16, states ...State) func(l *location) bool {
+func matchPeer(p *peer, epoch uint16, states ...State) func(l *location) bool {
 	return func(l *location) bool {
 		return l.peer == p.index && l.epoch == epoch && slices.Contains(states, l.state)
 	}
 }
 
-// wanted returns whether to ask for a listing now.
-func (d *directory) wanted(p *peer, now time.Time) bool {
-	if p.believed.Load() || now.Sub(p.gapSince) < d.config.GapPatience {
+// wantsListing reports whether to request a listing now.
+func (d *directory) wantsListing(p *peer, now time.Time) bool {
+	if p.consistent.Load() || now.Sub(p.gapSince) < d.config.GapPatience {
 		return false
 	}
-	if now.Sub(p.asked) < d.config.ListingPause {
+	if now.Sub(p.listingRequested) < d.config.ListingPause {
 		return false
 	}
-	p.asked = now
+	p.listingRequested = now
 	return true
 }
 
@@ -155,20 +155,20 @@
 	p.engine = true
 	restarted := p.restart(l.Incarnation)
 	outcome := d.collect(p, l)
-	p.settle(now)
-	return Effect{Outcome: outcome, Restarted: restarted, Gap: !p.believed.Load()}
+	p.updateConsistency(now)
+	return Effect{Outcome: outcome, Restarted: restarted, Gap: !p.consistent.Load()}
 }
 
-// collect adds the part and replaces what is known once all parts are there.
+// collect adds the part, and replaces the engine's locations once all parts are there.
 func (d *directory) collect(p *peer, l ListingPart) Outcome {
-	if l.Sequence < p.applied || (l.Sequence == p.applied && !p.lost) {
+	if l.Sequence < p.applied || (l.Sequence == p.applied && !p.needsListing) {
 		return Known
 	}
 	if l.Sequence < p.listing.sequence {
 		return Outdated
 	}
 	if l.Sequence > p.listing.sequence || p.listing.parts == nil {
-		p.listing = assembly{sequence: l.Sequence, parts: map[int][]block.Key{}}
+		p.listing = partialListing{sequence: l.Sequence, parts: map[int][]block.Key{}}
 	}
 	a := &p.listing
 	if _, ok := a.parts[l.Part]; ok {
@@ -186,18 +186,18 @@
 	return Applied
 }
 
-// replace puts a whole listing in the place of what was known, then the events after it.
+// replace replaces the engine's locations by a complete listing and then applies the events after it.
 func (d *directory) replace(p *peer) {
 	a := p.listing
 	p.epoch.Add(1)
-	p.listing = assembly{}
+	p.listing = partialListing{}
 	p.applied = a.sequence
-	p.lost = false
+	p.needsListing = false
 	for _, keys := range a.parts {
 		for _, k := range keys {
 			d.insert(p, k)
 		}
 	}
 	p.batches = slices.DeleteFunc(p.batches, func(u Update) bool { return u.next() <= p.applied+1 })
-	d.drain(p)
+	d.applyBuffered(p)
 }
--- a/internal/cache/directory/events_test.go
+++ b/internal/cache/directory/events_test.go
@@ -16,7 +16,7 @@
 
 var testKeys = block.Scope{PieceTokens: 1}.Tokens([]uint32{1, 2, 3, 4, 5, 6, 7, 8})
 
-// naiveMemory applies events in their order and knows nothing of messages.
+// naiveMemory applies events in order and ignores how they were batched.
 type naiveMemory map[block.Key]bool
 
 func (n naiveMemory) apply(all []events.Event) {
@@ -36,9 +36,10 @@
 	return all
 }
 
-// Batches of an engine's events arrive in any order and twice. An eviction
-// that arrives before its insertion must win, and while one batch is missing
-// nothing may be believed; or requests go to an engine that has nothing.
+// Batches of an engine's events arrive in any order and twice. An eviction that
+// arrives before its insertion must win, and while a batch is missing none of
+// the engine's locations may be used. Otherwise requests are sent to an engine
+// that does not have the pieces.
 func TestEventsInAnyOrder(t *testing.T) {
 	p := gopter.DefaultTestParametersWithSeed(61)
 	p.MinSuccessfulTests = 500
@@ -56,7 +57,7 @@
 		arrived := make([]bool, len(history))
 		for _, i := range append(r.Perm(len(batches)), r.Perm(len(batches))...) {
 			b := batches[i]
-			for _, m := range NewRing([]string{"only"}).Spread(b) {
+			for _, m := range NewRing([]string{"only"}).Distribute(b) {
 				d.Update(now, *m.Message.Update)
 			}
 			for j := range b.Events {
@@ -71,7 +72,7 @@
 	all.TestingRun(t)
 }
 
-// compare holds the lookup against the naive memory, which is empty while an event before the last one is missing.
+// compare compares the lookup with the naive memory, which is empty while an event before the last one is missing.
 func compare(d Directory, history []events.Event, arrived []bool) string {
 	first, last := 0, 0
 	for i, a := range arrived {
@@ -94,9 +95,9 @@
 	return ""
 }
 
-// A batch is lost for good, or the engine restarts under the same identity
-// with an empty cache. Until a listing comes the pieces are not believed;
-// afterwards the listing and the events after it are.
+// A batch is lost permanently, or the engine restarts under the same identity
+// with an empty cache. Its locations must not be used until a listing arrives;
+// after that, the listing and the events that follow it are used.
 func TestListingClosesAGap(t *testing.T) {
 	d, now := New(Config{}), time.Unix(0, 0)
 	update := func(incarnation, first uint64, inserted bool, k block.Key) Effect {
@@ -141,6 +142,6 @@
 		t.Errorf("got %+v", e)
 	}
 	holds(7)
-	d.Lose(now)
+	d.InvalidateEngines(now)
 	holds()
 }
--- a/internal/cache/directory/fake_engine_test.go
+++ b/internal/cache/directory/fake_engine_test.go
@@ -5,7 +5,7 @@
 	"hornbeamwood/internal/cache/events"
 )
 
-// fakeEngine holds pieces in limited memory and tells of them in numbered events.
+// fakeEngine holds pieces in memory and reports them in numbered events.
 type fakeEngine struct {
 	identity    string
 	incarnation uint64
@@ -26,7 +26,7 @@
 	e.queued = append(e.queued, events.Event{Kind: events.Inserted, Key: k})
 }
 
-// evict drops the piece that comes after a random key.
+// evict drops a piece chosen by a random key.
 func (e *fakeEngine) evict(after block.Key) {
 	keys := ordered(e.memory)
 	if len(keys) == 0 {
@@ -37,7 +37,7 @@
 	e.queued = append(e.queued, events.Event{Kind: events.Evicted, Key: k})
 }
 
-// restart comes back under the same identity with an empty cache.
+// restart starts a new incarnation under the same identity with an empty cache.
 func (e *fakeEngine) restart() {
 	e.incarnation++
 	e.sequence = 0
--- a/internal/cache/directory/fake_store_test.go
+++ b/internal/cache/directory/fake_store_test.go
@@ -15,27 +15,27 @@
 	data       []byte
 }
 
-// upload is a write that has begun.
+// upload is a write in progress.
 type upload struct {
 	key  block.Key
 	data []byte
 	sent int
 }
 
-// ordered returns the keys of a map in their order, so that a seed gives one history.
+// ordered returns the sorted keys of a map, so that a seed always gives the same history.
 func ordered[V any](m map[block.Key]V) []block.Key {
 	return slices.SortedFunc(maps.Keys(m), func(a, b block.Key) int { return slices.Compare(a[:], b[:]) })
 }
 
-// fakeStore follows the object protocol of docs/interfaces/cache.md.
+// fakeStore implements the object protocol of docs/interfaces/cache.md.
 type fakeStore struct {
 	identity    string
 	incarnation uint64
 	generation  uint64
-	room        int
+	capacity    int
 	objects     map[block.Key]object
 	uploads     map[block.Key]*upload
-	// everFreed remembers generations that are gone, for the checks.
+	// everFreed holds the highest deleted generation of each piece, for the checks.
 	everFreed map[block.Key]uint64
 }
 
@@ -43,16 +43,16 @@
 	return &fakeStore{
 		identity:    identity,
 		incarnation: 1,
-		room:        6,
+		capacity:    6,
 		objects:     map[block.Key]object{},
 		uploads:     map[block.Key]*upload{},
 		everFreed:   map[block.Key]uint64{},
 	}
 }
 
-// begin starts a write; it returns false when the piece is there or there is no room.
+// begin starts a write; it returns false if the piece exists or the store is full.
 func (s *fakeStore) begin(k block.Key, data []byte) (*upload, bool) {
-	if _, ok := s.objects[k]; ok || s.uploads[k] != nil || len(s.objects)+len(s.uploads) >= s.room {
+	if _, ok := s.objects[k]; ok || s.uploads[k] != nil || len(s.objects)+len(s.uploads) >= s.capacity {
 		return nil, false
 	}
 	u := &upload{key: k, data: data}
@@ -60,7 +60,7 @@
 	return u, true
 }
 
-// finish makes the write visible when it is whole, and gives it a new generation.
+// finish makes a complete write visible under a new generation.
 func (s *fakeStore) finish(u *upload) (object, bool) {
 	if s.uploads[u.key] != u {
 		return object{}, false
@@ -75,7 +75,7 @@
 	return o, true
 }
 
-// remove deletes one generation; zero stands for any, when the store drops pieces on its own.
+// remove deletes one generation; zero means any, for evictions by the store itself.
 func (s *fakeStore) remove(k block.Key, generation uint64) {
 	o, ok := s.objects[k]
 	if !ok || (generation != 0 && o.generation != generation) {
@@ -85,7 +85,7 @@
 	s.everFreed[k] = max(s.everFreed[k], o.generation)
 }
 
-// restart empties the store and cuts its connections; generations go on.
+// restart empties the store and aborts its uploads; generations continue to increase.
 func (s *fakeStore) restart() {
 	for k := range s.objects {
 		s.remove(k, 0)
@@ -95,14 +95,14 @@
 	s.generation += 1000
 }
 
-// download is a read that has begun.
+// download is a read in progress.
 type download struct {
 	store  *fakeStore
 	key    block.Key
 	object object
 }
 
-// read begins a read of one generation and returns false for any other.
+// read starts a read of one generation, and returns false if the store has another one or none.
 func (s *fakeStore) read(k block.Key, generation uint64) (*download, bool) {
 	o, ok := s.objects[k]
 	if !ok || o.generation != generation {
@@ -111,7 +111,7 @@
 	return &download{store: s, key: k, object: o}, true
 }
 
-// end returns the bytes; a piece deleted meanwhile comes whole or breaks off.
+// end returns the bytes and whether they are complete; a read of a piece deleted meanwhile completes or fails.
 func (d *download) end(r *rand.Rand) ([]byte, bool) {
 	now, ok := d.store.objects[d.key]
 	if ok && now.generation == d.object.generation {
@@ -120,8 +120,8 @@
 	return d.object.data, r.IntN(2) == 0
 }
 
-// careless returns what a reader gets that asks for the key only and takes what is there, half-written pieces included.
-func (s *fakeStore) careless(k block.Key) []byte {
+// readUnchecked returns the bytes that a reader without generation check would get, including partly written pieces.
+func (s *fakeStore) readUnchecked(k block.Key) []byte {
 	if o, ok := s.objects[k]; ok {
 		return o.data
 	}
--- a/internal/cache/directory/forget_test.go
+++ b/internal/cache/directory/forget_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// Engines come and go under new names for weeks. Their names must not fill
-// the directory, and a new engine must not be taken for the one whose place
-// it got: requests would be sent to it for pieces that it never had.
+// Engines start under new names and disappear for weeks. Their names must not
+// fill the directory, and a new engine must not inherit the locations of the
+// engine whose index it reuses, or it would get requests for pieces that it
+// never had.
 func TestForgottenEnginesLeaveRoom(t *testing.T) {
 	now := time.Unix(0, 0)
 	d := New(Config{Start: now, Servers: 4})
@@ -34,7 +35,7 @@
 			d.Sweep(now)
 		}
 		if all := d.Deletable(now); len(all) != 0 {
-			t.Fatalf("a forgotten store has deletions: %v", all)
+			t.Fatalf("a removed store has deletions: %v", all)
 		}
 	}
 	if pieces, locations := d.Size(); pieces != 0 || locations != 0 {
--- a/internal/cache/directory/location.go
+++ b/internal/cache/directory/location.go
@@ -1,8 +1,8 @@
 package directory
 
-// location is one place of one piece; it holds no pointer, so that the garbage collector passes over millions of them.
+// location is one location of one piece. It has no pointers, so that the garbage collector doesn't scan millions of them.
 type location struct {
-	// number is the generation, or the deadline of a Writing one in milliseconds since the start.
+	// number is the generation, or for a Writing one the deadline in milliseconds since the start.
 	number uint64
 	next   uint32
 	// bytes is the piece's size, or for a Freed one the time of the deletion in seconds since the start.
@@ -15,14 +15,14 @@
 
 const chunkSize = 1 << 10
 
-// slab holds locations in chunks, so that growth copies nothing.
+// slab allocates locations in chunks, so that it grows without copying.
 type slab struct {
 	chunks [][]location
 	free   uint32
 	used   uint32
 }
 
-// at returns the location of an index from 1.
+// at returns the location at an index; indexes start at 1.
 func (s *slab) at(i uint32) *location {
 	i--
 	return &s.chunks[i/chunkSize][i%chunkSize]
--- a/internal/cache/directory/locations.go
+++ b/internal/cache/directory/locations.go
@@ -3,7 +3,7 @@
 // Locations holds one Location for each key that was looked up, in the order of the keys.
 type Locations []Location
 
-// Location tells where one piece is, as far as is known.
+// Location lists the known locations of one piece.
 type Location struct {
 	_ struct{} `cbor:",toarray"`
 	// Engines are the identities of engines that hold the piece in memory.
@@ -17,15 +17,15 @@
 	_ struct{} `cbor:",toarray"`
 	// Store is the store's identity.
 	Store string
-	// Tier is the part of the store.
+	// Tier is the storage tier of the piece.
 	Tier Tier
-	// Generation goes with every read; the store refuses any other.
+	// Generation must be included in every read; the store refuses any other.
 	Generation uint64
 	// Bytes is the size of the piece.
 	Bytes int64
 }
 
-// EnginePrefix returns the number of leading pieces that the engine of an identity holds.
+// EnginePrefix returns the number of leading pieces that the engine with the given identity holds.
 func (l Locations) EnginePrefix(identity string) int {
 	for i := range l {
 		if !l[i].heldBy(identity) {
--- a/internal/cache/directory/message.go
+++ b/internal/cache/directory/message.go
@@ -16,9 +16,9 @@
 	Batch []Message `cbor:"b,omitempty"`
 }
 
-// Lookup asks for the locations of keys.
+// Lookup requests the locations of keys.
 type Lookup struct {
-	// Keys are the pieces.
+	// Keys are the keys of the pieces.
 	Keys []block.Key `cbor:"k"`
 }
 
@@ -32,10 +32,10 @@
 	Batch []Reply `cbor:"b,omitempty"`
 }
 
-// Envelope is a Message with the node that it goes to.
+// Envelope is a Message with its destination node.
 type Envelope struct {
 	// To is the node's identity.
 	To string
-	// Message is what the adapter sends.
+	// Message is the message to send.
 	Message Message
 }
--- a/internal/cache/directory/peer.go
+++ b/internal/cache/directory/peer.go
@@ -8,30 +8,30 @@
 	"hornbeamwood/internal/cache/block"
 )
 
-// peer is what the directory knows of one engine or store as a whole.
+// peer is the state of one engine or store.
 type peer struct {
 	identity string
 	index    uint16
-	// epoch is raised when everything that was known of the peer is void; locations of other epochs count no more.
+	// epoch is incremented to invalidate all locations of the peer; locations of other epochs are stale.
 	epoch atomic.Uint32
-	// believed is false while events are missing.
-	believed atomic.Bool
-	// touched is when the peer was last heard of, in milliseconds since the start.
-	touched atomic.Uint64
+	// consistent is false while the peer's locations must not be used because events are missing.
+	consistent atomic.Bool
+	// lastSeen is when the peer was last seen, in milliseconds since the start.
+	lastSeen atomic.Uint64
 
-	mu          sync.Mutex
-	engine      bool
-	incarnation uint64
-	applied     uint64
-	lost        bool
-	batches     []Update
-	gapSince    time.Time
-	asked       time.Time
-	listing     assembly
+	mu               sync.Mutex
+	engine           bool
+	incarnation      uint64
+	applied          uint64
+	needsListing     bool
+	batches          []Update
+	gapSince         time.Time
+	listingRequested time.Time
+	listing          partialListing
 }
 
-// assembly collects the parts of one listing.
-type assembly struct {
+// partialListing collects the parts of one listing.
+type partialListing struct {
 	sequence uint64
 	parts    map[int][]block.Key
 	keys     int
@@ -41,24 +41,24 @@
 	return uint16(p.epoch.Load())
 }
 
-// reset voids everything that was known of the peer.
+// reset invalidates all locations of the peer.
 func (p *peer) reset(incarnation uint64) {
 	p.epoch.Add(1)
 	p.incarnation = incarnation
 	p.applied = 0
-	p.lost = false
+	p.needsListing = false
 	p.batches = nil
 	p.gapSince = time.Time{}
-	p.listing = assembly{}
+	p.listing = partialListing{}
 }
 
-// settle sets whether the peer is believed.
-func (p *peer) settle(now time.Time) {
-	believed := !p.lost && len(p.batches) == 0
-	if believed {
+// updateConsistency updates consistent and the start of the gap.
+func (p *peer) updateConsistency(now time.Time) {
+	consistent := !p.needsListing && len(p.batches) == 0
+	if consistent {
 		p.gapSince = time.Time{}
 	} else if p.gapSince.IsZero() {
 		p.gapSince = now
 	}
-	p.believed.Store(believed)
+	p.consistent.Store(consistent)
 }
--- a/internal/cache/directory/peers.go
+++ b/internal/cache/directory/peers.go
@@ -8,37 +8,37 @@
 
 // peers maps identities to peers.
 //
-// The index of a forgotten peer is used again with a higher epoch, so that
-// locations of the forgotten one can't name the new one.
+// The index of a removed peer is reused with a higher epoch, so that stale
+// locations of the removed peer don't refer to the new one.
 type peers struct {
-	mu    sync.RWMutex
-	named map[string]*peer
-	free  []uint16
-	all   atomic.Pointer[[]*peer]
-	limit int
+	mu         sync.RWMutex
+	byIdentity map[string]*peer
+	free       []uint16
+	all        atomic.Pointer[[]*peer]
+	limit      int
 }
 
 func newPeers(limit int) *peers {
-	p := &peers{named: map[string]*peer{}, limit: limit}
+	p := &peers{byIdentity: map[string]*peer{}, limit: limit}
 	p.all.Store(&[]*peer{})
 	return p
 }
 
-// get returns the peer of an identity and nil when it is not known.
+// get returns the peer with the given identity, or nil.
 func (p *peers) get(identity string) *peer {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
-	return p.named[identity]
+	return p.byIdentity[identity]
 }
 
-// add returns the peer of an identity, a new one where it is not known, and nil when there are too many.
+// add returns the peer with the given identity. It creates an unknown peer, and returns nil if there are too many.
 func (p *peers) add(identity string, millis uint64) *peer {
 	known := p.get(identity)
 	if known == nil {
 		known = p.create(identity)
 	}
 	if known != nil {
-		known.touched.Store(millis)
+		known.lastSeen.Store(millis)
 	}
 	return known
 }
@@ -46,14 +46,14 @@
 func (p *peers) create(identity string) *peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if known, ok := p.named[identity]; ok {
+	if known, ok := p.byIdentity[identity]; ok {
 		return known
 	}
-	if len(p.named) >= p.limit {
+	if len(p.byIdentity) >= p.limit {
 		return nil
 	}
 	n := &peer{identity: identity}
-	n.believed.Store(true)
+	n.consistent.Store(true)
 	all := slices.Clone(*p.all.Load())
 	if last := len(p.free) - 1; last >= 0 {
 		n.index = p.free[last]
@@ -65,21 +65,21 @@
 		all = append(all, n)
 	}
 	p.all.Store(&all)
-	p.named[identity] = n
+	p.byIdentity[identity] = n
 	return n
 }
 
-// forget removes the peers that were not heard of since the given time and returns their indexes.
+// forget removes the peers that were last seen before the given time and returns their indexes.
 func (p *peers) forget(before uint64) []uint16 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var gone []uint16
-	for identity, n := range p.named {
-		if n.touched.Load() >= before {
+	for identity, n := range p.byIdentity {
+		if n.lastSeen.Load() >= before {
 			continue
 		}
 		n.epoch.Add(1)
-		delete(p.named, identity)
+		delete(p.byIdentity, identity)
 		p.free = append(p.free, n.index)
 		gone = append(gone, n.index)
 	}
--- a/internal/cache/directory/pin.go
+++ b/internal/cache/directory/pin.go
@@ -8,23 +8,23 @@
 	"hornbeamwood/internal/cache/block"
 )
 
-// Pin keeps a sealed piece while one reader reads it.
+// Pin protects a sealed piece from deletion while one reader reads it.
 type Pin struct {
 	// Store is the store's identity.
 	Store string `cbor:"s"`
-	// Key and Generation name the piece.
+	// Key and Generation identify the piece.
 	Key        block.Key `cbor:"k"`
 	Generation uint64    `cbor:"g"`
-	// Reader is a number that names the reader's attempt.
+	// Reader is the ID of the reader's attempt.
 	Reader uint64 `cbor:"r"`
-	// DeadlineMillis is how long the pin counts at most; a reader that dies leaves none for ever.
+	// DeadlineMillis is the maximum lifetime of the pin, so that the pin of a crashed reader expires.
 	DeadlineMillis int64 `cbor:"d"`
 }
 
-// maxPin caps a pin's deadline.
-const maxPin = 2 * time.Minute
+// maxPinTime caps the lifetime of a pin.
+const maxPinTime = 2 * time.Minute
 
-type pinned struct {
+type pinKey struct {
 	key  block.Key
 	peer uint16
 }
@@ -32,39 +32,39 @@
 type pin struct {
 	reader     uint64
 	generation uint64
-	until      time.Time
+	deadline   time.Time
 }
 
 type pins struct {
-	mu   sync.Mutex
-	held map[pinned][]pin
+	mu    sync.Mutex
+	byKey map[pinKey][]pin
 }
 
-func (p *pins) add(k pinned, n pin) {
+func (p *pins) add(k pinKey, n pin) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.held[k] = append(without(p.held[k], n.reader), n)
+	p.byKey[k] = append(without(p.byKey[k], n.reader), n)
 }
 
-func (p *pins) remove(k pinned, reader uint64) {
+func (p *pins) remove(k pinKey, reader uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.keep(k, without(p.held[k], reader))
+	p.keep(k, without(p.byKey[k], reader))
 }
 
-func (p *pins) keep(k pinned, left []pin) {
+func (p *pins) keep(k pinKey, left []pin) {
 	if len(left) == 0 {
-		delete(p.held, k)
+		delete(p.byKey, k)
 		return
 	}
-	p.held[k] = left
+	p.byKey[k] = left
 }
 
-// pinned returns whether a pin on the generation still counts.
-func (p *pins) pinned(now time.Time, k pinned, generation uint64) bool {
+// pinned reports whether the generation has a pin that has not expired.
+func (p *pins) pinned(now time.Time, k pinKey, generation uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	left := slices.DeleteFunc(p.held[k], func(n pin) bool { return !n.until.After(now) })
+	left := slices.DeleteFunc(p.byKey[k], func(n pin) bool { return !n.deadline.After(now) })
 	p.keep(k, left)
 	return slices.ContainsFunc(left, func(n pin) bool { return n.generation == generation })
 }
@@ -77,15 +77,15 @@
 func (p *pins) expire(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for k, all := range p.held {
-		p.keep(k, slices.DeleteFunc(all, func(n pin) bool { return !n.until.After(now) }))
+	for k, all := range p.byKey {
+		p.keep(k, slices.DeleteFunc(all, func(n pin) bool { return !n.deadline.After(now) }))
 	}
 }
 
 // Pin implements Directory.
 //
-// The state is checked under the shard's lock that free takes as well: a pin
-// that was granted after the piece began to be freed would protect nothing.
+// The state is checked under the shard lock, which Store holds as well. A pin
+// granted after the piece has entered Freeing would not protect it.
 func (d *directory) Pin(now time.Time, n Pin) Effect {
 	p := d.peers.get(n.Store)
 	if p == nil {
@@ -94,15 +94,15 @@
 	s := d.shard(n.Key)
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	l := s.find(short(n.Key), of(p, p.currentEpoch(), Sealed))
+	l := s.find(prefix(n.Key), matchPeer(p, p.currentEpoch(), Sealed))
 	if l == nil || l.number != n.Generation {
 		return Effect{Outcome: Refused}
 	}
-	life := min(max(0, time.Duration(n.DeadlineMillis)*time.Millisecond), maxPin)
-	d.pins.add(pinned{key: n.Key, peer: p.index}, pin{
+	life := min(max(0, time.Duration(n.DeadlineMillis)*time.Millisecond), maxPinTime)
+	d.pins.add(pinKey{key: n.Key, peer: p.index}, pin{
 		reader:     n.Reader,
 		generation: n.Generation,
-		until:      now.Add(life),
+		deadline:   now.Add(life),
 	})
 	return Effect{Outcome: Applied}
 }
@@ -113,6 +113,6 @@
 	if p == nil {
 		return Effect{Outcome: Known}
 	}
-	d.pins.remove(pinned{key: n.Key, peer: p.index}, n.Reader)
+	d.pins.remove(pinKey{key: n.Key, peer: p.index}, n.Reader)
 	return Effect{Outcome: Applied}
 }
--- a/internal/cache/directory/query.go
+++ b/internal/cache/directory/query.go
@@ -2,22 +2,22 @@
 
 import "hornbeamwood/internal/cache/block"
 
-// Query is a lookup of one prompt's keys, spread over their holders.
+// Query is a lookup of one prompt's keys, split by holder.
 type Query struct {
 	keys  []block.Key
 	parts []Part
 }
 
-// Part is the share of a Query that one node answers.
+// Part is the part of a Query for one node.
 type Part struct {
 	// To is the node's identity.
 	To string
 	// Lookup holds the keys.
-	Lookup Lookup
-	places []int
+	Lookup  Lookup
+	indexes []int
 }
 
-// Query returns the lookup of keys; a node of which skip says true is passed over for the second holder.
+// Query returns the lookup of keys. If skip returns true for the first holder of a key, the second one is used.
 func (r Ring) Query(keys []block.Key, skip func(node string) bool) Query {
 	q := Query{keys: keys}
 	at := map[int]int{}
@@ -33,7 +33,7 @@
 			q.parts = append(q.parts, Part{To: r.nodes[n]})
 		}
 		q.parts[p].Lookup.Keys = append(q.parts[p].Lookup.Keys, k)
-		q.parts[p].places = append(q.parts[p].places, i)
+		q.parts[p].indexes = append(q.parts[p].indexes, i)
 	}
 	return q
 }
@@ -48,19 +48,19 @@
 	return -1, false
 }
 
-// Parts returns one Part for each node that has to be asked.
+// Parts returns one Part for each node to be queried.
 func (q Query) Parts() []Part {
 	return q.parts
 }
 
-// Join returns the locations of all keys from the answers to Parts, in the same order; a missing or short answer leaves its keys without locations.
+// Join merges the answers to Parts, given in the same order, into the locations of all keys; the keys of a missing or short answer get no locations.
 func (q Query) Join(answers []Locations) Locations {
 	all := make(Locations, len(q.keys))
 	for i, p := range q.parts {
-		if i >= len(answers) || len(answers[i]) != len(p.places) {
+		if i >= len(answers) || len(answers[i]) != len(p.indexes) {
 			continue
 		}
-		for j, at := range p.places {
+		for j, at := range p.indexes {
 			all[at] = answers[i][j]
 		}
 	}
--- a/internal/cache/directory/ring.go
+++ b/internal/cache/directory/ring.go
@@ -9,9 +9,9 @@
 	"hornbeamwood/internal/cache/block"
 )
 
-// Ring tells which nodes of a cell hold a key, by rendezvous hashing; it is never changed after it was built.
+// Ring maps keys to the nodes of a cell by rendezvous hashing; it is immutable.
 //
-// When a node comes or goes only the keys move that it holds.
+// If a node is added or removed, only the keys that it holds move.
 type Ring struct {
 	nodes []string
 	seeds []uint64
@@ -32,7 +32,7 @@
 	return r.nodes
 }
 
-// Holders returns the indexes in Nodes of the two holders of a key; they are equal with one node and -1 without nodes.
+// Holders returns the indexes in Nodes of the two holders of a key. They are equal if there is one node, and -1 if there is none.
 func (r Ring) Holders(k block.Key) (first, second int) {
 	first, second = -1, -1
 	var best, next uint64
@@ -53,7 +53,7 @@
 	return first, second
 }
 
-// mix spreads the bits of x evenly; keys are digests, so that nobody can choose them.
+// mix distributes the bits of x evenly. Keys are digests, so a client can't choose them to collide.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/internal/cache/directory/ring_test.go
+++ b/internal/cache/directory/ring_test.go
@@ -8,8 +8,8 @@
 	"hornbeamwood/internal/cache/block"
 )
 
-// A node of the cell is lost. Its keys must still be found at their second
-// holder, and no other key may move.
+// A node of the cell is lost. Its keys must be found at their second holders,
+// and no other key may move.
 func TestSecondHolderAnswers(t *testing.T) {
 	nodes := []string{"a", "b", "c", "d"}
 	r, less := NewRing(nodes), NewRing(nodes[:3])
@@ -18,17 +18,17 @@
 		directories[n] = New(Config{})
 	}
 	var keys []block.Key
-	var seals []Keyed
+	var seals []KeyedMessage
 	for i := range 400 {
 		k := benchKey(i)
 		keys = append(keys, k)
 		c := StoreChange{Store: "store-1", Incarnation: 1, Key: k, To: Sealed, Generation: uint64(i + 1), Bytes: 7}
-		seals = append(seals, Keyed{Key: k, Message: Message{Store: &c}})
+		seals = append(seals, KeyedMessage{Key: k, Message: Message{Store: &c}})
 	}
 	now := time.Unix(0, 0)
-	for _, b := range r.Bundles(seals) {
+	for _, b := range r.NodeBatches(seals) {
 		reply := Serve(directories[b.To], now, b.Message)
-		for i := range b.Places {
+		for i := range b.Indexes {
 			if reply.Batch[i].Effect.Outcome != Applied {
 				t.Fatalf("%s: got %+v", b.To, reply.Batch[i])
 			}
@@ -38,7 +38,7 @@
 	var answers []Locations
 	for _, p := range q.Parts() {
 		if p.To == "d" {
-			t.Fatal("the lost node is asked")
+			t.Fatal("the lost node is queried")
 		}
 		answers = append(answers, Serve(directories[p.To], now, Message{Lookup: &p.Lookup}).Locations)
 	}
--- a/internal/cache/directory/serve.go
+++ b/internal/cache/directory/serve.go
@@ -5,7 +5,7 @@
 // MaxLookup is the largest number of keys in one Lookup.
 const MaxLookup = 1024
 
-// Serve carries out a message that came from another node, or from this one, and returns the reply.
+// Serve applies a message from another node or from this one and returns the reply.
 func Serve(d Directory, now time.Time, m Message) Reply {
 	switch {
 	case m.Update != nil:
@@ -26,7 +26,7 @@
 	return Reply{Effect: Effect{Outcome: Refused}}
 }
 
-// serveBatch refuses a batch within a batch, which could be nested without end.
+// serveBatch serves each message of a batch. It refuses nested batches, whose depth would be unlimited.
 func serveBatch(d Directory, now time.Time, all []Message) Reply {
 	r := Reply{Batch: make([]Reply, len(all))}
 	for i, m := range all {
--- a/internal/cache/directory/shard.go
+++ b/internal/cache/directory/shard.go
@@ -9,28 +9,28 @@
 
 const shardCount = 64
 
-// shortKey is half a key: two keys that share it can only mislead a hint, since reads name the whole key.
-type shortKey [16]byte
+// keyPrefix is the first half of a key. A collision only makes a hint wrong, since reads use the whole key.
+type keyPrefix [16]byte
 
-func short(k block.Key) shortKey {
-	return shortKey(k[:16])
+func prefix(k block.Key) keyPrefix {
+	return keyPrefix(k[:16])
 }
 
 // shard holds some of the pieces.
 type shard struct {
 	mu    sync.RWMutex
-	heads map[shortKey]uint32
+	heads map[keyPrefix]uint32
 	slab  slab
 	count *atomic.Int64
 	limit int64
 }
 
 func newShard(count *atomic.Int64, limit int) *shard {
-	return &shard{heads: map[shortKey]uint32{}, count: count, limit: int64(limit)}
+	return &shard{heads: map[keyPrefix]uint32{}, count: count, limit: int64(limit)}
 }
 
-// find returns the piece's first location that matches and that is current.
-func (s *shard) find(k shortKey, match func(l *location) bool) *location {
+// find returns the piece's first location that matches, or nil.
+func (s *shard) find(k keyPrefix, match func(l *location) bool) *location {
 	for i := s.heads[k]; i != 0; i = s.slab.at(i).next {
 		if l := s.slab.at(i); match(l) {
 			return l
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// put adds a location and returns false when the directory is full.
-func (s *shard) put(k shortKey, l location) bool {
+// put adds a location and returns false if the directory is full.
+func (s *shard) put(k keyPrefix, l location) bool {
 	if s.count.Add(1) > s.limit {
 		s.count.Add(-1)
 		return false
@@ -50,8 +50,8 @@
 	return true
 }
 
-// drop removes the piece's locations that match.
-func (s *shard) drop(k shortKey, match func(l *location) bool) {
+// drop removes the piece's matching locations.
+func (s *shard) drop(k keyPrefix, match func(l *location) bool) {
 	head, ok := s.heads[k]
 	if !ok {
 		return
@@ -66,7 +66,7 @@
 	}
 }
 
-// filter returns the list from head on without the locations that match.
+// filter removes the matching locations from the list that starts at head and returns its new head.
 func (s *shard) filter(head uint32, match func(l *location) bool) uint32 {
 	first, last := uint32(0), uint32(0)
 	for i := head; i != 0; {
--- a/internal/cache/directory/store.go
+++ b/internal/cache/directory/store.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// defaultWrite is how long an export may take when its change names no deadline.
-const defaultWrite = 30 * time.Second
+// defaultWriteTimeout is how long an export may take if its change has no deadline.
+const defaultWriteTimeout = 30 * time.Second
 
 // Store implements Directory.
 //
-// Messages about one piece may come late and crossed. A generation only moves
-// forward through its states and a higher one replaces a lower one, so that
-// every order of the same messages ends in the same state; a seal that
-// arrives after the deletion finds the generation freed.
+// Messages about one piece may be delayed and reordered. A generation only
+// advances through its states and a higher one replaces a lower one, so that
+// every order of the same messages ends in the same state. A seal that arrives
+// after the deletion finds the generation freed.
 func (d *directory) Store(now time.Time, c StoreChange) Effect {
 	p := d.peers.add(c.Store, d.millis(now))
 	if p == nil {
@@ -29,37 +29,37 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := Effect{Outcome: Refused, Restarted: restarted}
-	if step, ok := steps[c.To]; ok {
-		e.Outcome = step(d, s, p, now, c)
+	if transition, ok := transitions[c.To]; ok {
+		e.Outcome = transition(d, s, p, now, c)
 	}
 	return e
 }
 
-// steps holds what each state of a StoreChange does.
-var steps = map[State]func(d *directory, s *shard, p *peer, now time.Time, c StoreChange) Outcome{
-	Writing: (*directory).write,
-	Sealed:  (*directory).seal,
-	Freeing: (*directory).free,
-	Freed:   (*directory).gone,
+// transitions maps the target state of a StoreChange to its transition.
+var transitions = map[State]func(d *directory, s *shard, p *peer, now time.Time, c StoreChange) Outcome{
+	Writing: (*directory).markWriting,
+	Sealed:  (*directory).markSealed,
+	Freeing: (*directory).markFreeing,
+	Freed:   (*directory).markFreed,
 }
 
-// write marks a piece as being exported, so that no second engine exports it meanwhile.
-func (d *directory) write(s *shard, p *peer, now time.Time, c StoreChange) Outcome {
-	k, epoch := short(c.Key), p.currentEpoch()
+// markWriting marks a piece as being exported, so that no second engine exports it at the same time.
+func (d *directory) markWriting(s *shard, p *peer, now time.Time, c StoreChange) Outcome {
+	k, epoch := prefix(c.Key), p.currentEpoch()
 	if c.Failed {
-		s.drop(k, of(p, epoch, Writing))
+		s.drop(k, matchPeer(p, epoch, Writing))
 		return Applied
 	}
-	if s.find(k, of(p, epoch, Sealed, Freeing)) != nil {
+	if s.find(k, matchPeer(p, epoch, Sealed, Freeing)) != nil {
 		return Known
 	}
-	if l := s.find(k, of(p, epoch, Writing)); l != nil && l.number > d.millis(now) {
+	if l := s.find(k, matchPeer(p, epoch, Writing)); l != nil && l.number > d.millis(now) {
 		return Known
 	}
-	s.drop(k, of(p, epoch, Writing))
+	s.drop(k, matchPeer(p, epoch, Writing))
 	deadline := time.Duration(c.DeadlineMillis) * time.Millisecond
 	if deadline <= 0 {
-		deadline = defaultWrite
+		deadline = defaultWriteTimeout
 	}
 	ok := s.put(k, location{
 		peer:   p.index,
@@ -73,13 +73,13 @@
 	return Applied
 }
 
-func (d *directory) seal(s *shard, p *peer, _ time.Time, c StoreChange) Outcome {
+func (d *directory) markSealed(s *shard, p *peer, _ time.Time, c StoreChange) Outcome {
 	if c.Generation == 0 || c.Bytes <= 0 || c.Bytes > math.MaxUint32 {
 		return Refused
 	}
-	k, epoch := short(c.Key), p.currentEpoch()
-	s.drop(k, of(p, epoch, Writing))
-	l := s.find(k, of(p, epoch, Sealed, Freeing, Freed))
+	k, epoch := prefix(c.Key), p.currentEpoch()
+	s.drop(k, matchPeer(p, epoch, Writing))
+	l := s.find(k, matchPeer(p, epoch, Sealed, Freeing, Freed))
 	if l != nil && l.number > c.Generation {
 		return Outdated
 	}
@@ -101,9 +101,9 @@
 	return replaceWith(s, k, l, n)
 }
 
-// free stops new readers; pins that stand keep the piece until they end.
-func (d *directory) free(s *shard, p *peer, _ time.Time, c StoreChange) Outcome {
-	l := s.find(short(c.Key), of(p, p.currentEpoch(), Sealed, Freeing, Freed))
+// markFreeing marks the piece as closed for new readers; existing pins protect it until they end.
+func (d *directory) markFreeing(s *shard, p *peer, _ time.Time, c StoreChange) Outcome {
+	l := s.find(prefix(c.Key), matchPeer(p, p.currentEpoch(), Sealed, Freeing, Freed))
 	if l == nil || l.number != c.Generation {
 		return Outdated
 	}
@@ -111,24 +111,24 @@
 		return Known
 	}
 	l.state = Freeing
-	d.freed.add(pinned{key: c.Key, peer: p.index}, Deletion{Store: p.identity, Key: c.Key, Generation: c.Generation})
+	d.deletions.add(pinKey{key: c.Key, peer: p.index}, Deletion{Store: p.identity, Key: c.Key, Generation: c.Generation})
 	return Applied
 }
 
-// gone keeps a tombstone of the generation, also when its seal has not arrived yet.
-func (d *directory) gone(s *shard, p *peer, now time.Time, c StoreChange) Outcome {
+// markFreed stores a tombstone of the generation, even if its seal has not arrived yet.
+func (d *directory) markFreed(s *shard, p *peer, now time.Time, c StoreChange) Outcome {
 	if c.Generation == 0 {
 		return Refused
 	}
-	k, epoch := short(c.Key), p.currentEpoch()
-	l := s.find(k, of(p, epoch, Sealed, Freeing, Freed))
+	k, epoch := prefix(c.Key), p.currentEpoch()
+	l := s.find(k, matchPeer(p, epoch, Sealed, Freeing, Freed))
 	if l != nil && l.number > c.Generation {
 		return Outdated
 	}
 	if l != nil && l.state == Freed && l.number == c.Generation {
 		return Known
 	}
-	d.freed.remove(pinned{key: c.Key, peer: p.index}, c.Generation)
+	d.deletions.remove(pinKey{key: c.Key, peer: p.index}, c.Generation)
 	n := location{
 		peer:   p.index,
 		epoch:  epoch,
@@ -139,7 +139,7 @@
 	return replaceWith(s, k, l, n)
 }
 
-func replaceWith(s *shard, k shortKey, l *location, n location) Outcome {
+func replaceWith(s *shard, k keyPrefix, l *location, n location) Outcome {
 	if l != nil {
 		n.next = l.next
 		*l = n
--- a/internal/cache/directory/sweep.go
+++ b/internal/cache/directory/sweep.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// sweepShards is the number of shards in one sweep; all of them at once would take a core for a tenth of a second with a million pieces.
+// sweepShards is the number of shards in one sweep; sweeping all of them at once would use a core for 100 ms with a million pieces.
 const sweepShards = 4
 
 // Sweep implements Directory.
 func (d *directory) Sweep(now time.Time) {
 	d.forget(now)
 	peers := *d.peers.all.Load()
-	void := d.void(peers, now)
+	stale := d.isStale(peers, now)
 	from := int(d.swept.Add(sweepShards))
 	for i := range sweepShards {
-		d.shards[(from+i)%shardCount].sweep(void)
+		d.shards[(from+i)%shardCount].sweep(stale)
 	}
 	d.pins.expire(now)
 }
 
-// forget removes engines and stores that have gone; identities that never come back would fill the directory otherwise.
+// forget removes engines and stores that are gone; identities that never return would otherwise fill the directory.
 func (d *directory) forget(now time.Time) {
 	forget := uint64(d.config.Forget.Milliseconds())
 	millis := d.millis(now)
@@ -25,12 +25,12 @@
 		return
 	}
 	for _, i := range d.peers.forget(millis - forget) {
-		d.freed.forget(i)
+		d.deletions.forget(i)
 	}
 }
 
-// void returns a function that tells which locations count no more.
-func (d *directory) void(peers []*peer, now time.Time) func(l *location) bool {
+// isStale returns a function that reports whether a location is stale.
+func (d *directory) isStale(peers []*peer, now time.Time) func(l *location) bool {
 	millis := d.millis(now)
 	tombstone := uint64(d.config.Tombstone / time.Second)
 	return func(l *location) bool {
@@ -49,10 +49,10 @@
 	}
 }
 
-func (s *shard) sweep(void func(l *location) bool) {
+func (s *shard) sweep(stale func(l *location) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for k := range s.heads {
-		s.drop(k, void)
+		s.drop(k, stale)
 	}
 }
--- a/internal/cache/directory/tier.go
+++ b/internal/cache/directory/tier.go
@@ -1,6 +1,6 @@
 package directory
 
-// Tier is the part of a store that holds a piece.
+// Tier is the storage tier of a store that holds a piece.
 type Tier uint8
 
 const (
@@ -10,7 +10,7 @@
 	Disk
 )
 
-// String returns the name of t as it stands in the store protocol.
+// String returns the name of t in the store protocol.
 func (t Tier) String() string {
 	if t == Disk {
 		return "disk"
@@ -18,7 +18,7 @@
 	return "memory"
 }
 
-// ParseTier returns the tier of a name and false for an unknown one.
+// ParseTier returns the tier with the given name, and false for an unknown name.
 func ParseTier(name string) (Tier, bool) {
 	switch name {
 	case "memory":
--- a/internal/cache/directory/update.go
+++ b/internal/cache/directory/update.go
@@ -2,7 +2,7 @@
 
 import "hornbeamwood/internal/cache/block"
 
-// Update passes a batch of an engine's events on to one node: the whole range of numbers, and the changes of those keys that the node holds.
+// Update is a batch of an engine's events for one node: the full range of event numbers, and the changes of the keys that the node holds.
 type Update struct {
 	// Engine is the engine's identity.
 	Engine string `cbor:"e"`
@@ -10,20 +10,20 @@
 	Incarnation uint64 `cbor:"i"`
 	// First is the number of the batch's first event.
 	First uint64 `cbor:"f"`
-	// Count is the number of events in the batch, those of other nodes included.
+	// Count is the number of events in the batch, including those of other nodes' keys.
 	Count uint64 `cbor:"n"`
-	// Changes are in the order of their numbers.
+	// Changes are ordered by event number.
 	Changes []Change `cbor:"c,omitempty"`
 }
 
 // Change is one event of an Update.
 type Change struct {
 	_ struct{} `cbor:",toarray"`
-	// Offset is the event's number less First.
+	// Offset is the event's number minus First.
 	Offset uint64
-	// Evicted says that the engine lost the piece; it holds it otherwise.
+	// Evicted is true if the engine evicted the piece, and false if it inserted it.
 	Evicted bool
-	// Key names the piece.
+	// Key is the key of the piece.
 	Key block.Key
 }
 
@@ -32,7 +32,7 @@
 	return u.First + u.Count
 }
 
-// ListingPart passes a part of an engine's listing on to one node, with those keys that the node holds.
+// ListingPart is a part of an engine's listing for one node, with the keys that the node holds.
 type ListingPart struct {
 	// Engine is the engine's identity.
 	Engine string `cbor:"e"`
@@ -40,9 +40,9 @@
 	Incarnation uint64 `cbor:"i"`
 	// Sequence is the number of the last event that the listing includes.
 	Sequence uint64 `cbor:"s"`
-	// Part and Parts number the parts from 1.
+	// Part is the number of this part, from 1, and Parts is the number of parts.
 	Part  int `cbor:"p"`
 	Parts int `cbor:"q"`
-	// Keys are the pieces.
+	// Keys are the keys of the pieces.
 	Keys []block.Key `cbor:"k,omitempty"`
 }
--- a/internal/cache/quic/cache.go
+++ b/internal/cache/quic/cache.go
@@ -50,7 +50,7 @@
 type cache struct {
 	Config
 	ring    directory.Ring
-	wants   directory.Wants
+	wants   directory.ListingRequests
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 	outbox  outbox.Outbox[directory.Message]
@@ -64,7 +64,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	k := &cache{
 		Config: c,
-		wants:  directory.NewWants(),
+		wants:  directory.NewListingRequests(),
 		cancel: cancel,
 		failed: make(map[string]time.Time),
 	}
@@ -133,7 +133,7 @@
 
 // Report implements Cache.
 func (k *cache) Report(now time.Time, r events.Report) bool {
-	for _, e := range k.ring.Spread(r) {
+	for _, e := range k.ring.Distribute(r) {
 		k.post(now, e)
 	}
 	return k.wants.Take(r.Identity)
@@ -141,9 +141,9 @@
 
 // Change implements Cache.
 func (k *cache) Change(ctx context.Context, all ...directory.StoreChange) {
-	keyed := make([]directory.Keyed, len(all))
+	keyed := make([]directory.KeyedMessage, len(all))
 	for i := range all {
-		keyed[i] = directory.Keyed{Key: all[i].Key, Message: directory.Message{Store: &all[i]}}
+		keyed[i] = directory.KeyedMessage{Key: all[i].Key, Message: directory.Message{Store: &all[i]}}
 	}
 	k.each(ctx, keyed)
 }
@@ -153,9 +153,9 @@
 // Both holders of a key may free its piece, each when its own pins are gone. A
 // pin counts when every holder that answers has granted it and at least one did.
 func (k *cache) Pin(ctx context.Context, all []directory.Pin) []bool {
-	keyed := make([]directory.Keyed, len(all))
+	keyed := make([]directory.KeyedMessage, len(all))
 	for i := range all {
-		keyed[i] = directory.Keyed{Key: all[i].Key, Message: directory.Message{Pin: &all[i]}}
+		keyed[i] = directory.KeyedMessage{Key: all[i].Key, Message: directory.Message{Pin: &all[i]}}
 	}
 	granted := make([]bool, len(all))
 	for i, replies := range k.each(ctx, keyed) {
@@ -168,28 +168,28 @@
 
 // Unpin implements Cache.
 func (k *cache) Unpin(ctx context.Context, all []directory.Pin) {
-	keyed := make([]directory.Keyed, len(all))
+	keyed := make([]directory.KeyedMessage, len(all))
 	for i := range all {
-		keyed[i] = directory.Keyed{Key: all[i].Key, Message: directory.Message{Unpin: &all[i]}}
+		keyed[i] = directory.KeyedMessage{Key: all[i].Key, Message: directory.Message{Unpin: &all[i]}}
 	}
 	k.each(ctx, keyed)
 }
 
 // each sends each message to the holders of its key, one exchange with each
 // node, and returns the replies that came, by message.
-func (k *cache) each(ctx context.Context, all []directory.Keyed) [][]directory.Reply {
+func (k *cache) each(ctx context.Context, all []directory.KeyedMessage) [][]directory.Reply {
 	replies := make([][]directory.Reply, len(all))
 	var mu sync.Mutex
 	var asked sync.WaitGroup
-	for _, b := range k.ring.Bundles(all) {
+	for _, b := range k.ring.NodeBatches(all) {
 		asked.Go(func() {
 			r, err := k.exchange(ctx, b)
-			if err != nil || len(r.Batch) != len(b.Places) {
+			if err != nil || len(r.Batch) != len(b.Indexes) {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			for i, at := range b.Places {
+			for i, at := range b.Indexes {
 				replies[at] = append(replies[at], r.Batch[i])
 			}
 		})
@@ -198,7 +198,7 @@
 	return replies
 }
 
-func (k *cache) exchange(ctx context.Context, b directory.Bundle) (directory.Reply, error) {
+func (k *cache) exchange(ctx context.Context, b directory.NodeBatch) (directory.Reply, error) {
 	if b.To == k.Self {
 		return directory.Serve(k.Directory, k.Now(), b.Message), nil
 	}
@@ -226,10 +226,10 @@
 		return
 	}
 	if m.Update != nil {
-		k.wants.Note(m.Update.Engine)
+		k.wants.Add(m.Update.Engine)
 	}
 	if m.Listing != nil {
-		k.wants.Note(m.Listing.Engine)
+		k.wants.Add(m.Listing.Engine)
 	}
 }
 
@@ -243,7 +243,7 @@
 		case <-t.C:
 		}
 		k.Each(func(identity string, incarnation uint64) {
-			k.Directory.Restarted(k.Now(), identity, incarnation)
+			k.Directory.ObserveIncarnation(k.Now(), identity, incarnation)
 		})
 		k.Directory.Sweep(k.Now())
 		for _, d := range k.Directory.Deletable(k.Now()) {
