--- a/internal/fleet/membership/delay_estimator_test.go
+++ b/internal/fleet/membership/delay_estimator_test.go
@@ -50,7 +50,7 @@
 }
 
 // The same pause with several entries, which share their bounds of the server's
-// start. If gossip renewed old bounds for ever, none of the entries would send
+// start. If gossip renewed old bounds forever, none of the entries would send
 // requests to the server again.
 func TestPausedServerComesBackEverywhere(t *testing.T) {
 	for seed := range uint64(4) {
--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -57,9 +57,9 @@
 	if c.Self == "" || c.Table == nil || c.Random == nil {
 		return nil, fmt.Errorf("membership: gossip needs an identity, a table and a random source")
 	}
-	c.Push = orDefault(c.Push, DefaultPush)
-	c.Pull = orDefault(c.Pull, DefaultPull)
-	c.Await = orDefault(c.Await, DefaultAwait)
+	c.PushInterval = orDefault(c.PushInterval, DefaultPushInterval)
+	c.PullInterval = orDefault(c.PullInterval, DefaultPullInterval)
+	c.PullTimeout = orDefault(c.PullTimeout, DefaultPullTimeout)
 	return &gossip{
 		config: c,
 		work:   newWork(c.Start),
@@ -116,14 +116,14 @@
 		out = g.push(now)
 	}
 	if !now.Before(g.pullDue) {
-		g.pullDue = now.Add(g.config.Pull / g.pullSpeedup())
+		g.pullDue = now.Add(g.config.PullInterval / g.pullSpeedup())
 		out = append(out, g.pull(now))
 	}
 	return out
 }
 
 func (g *gossip) pushTime() time.Duration {
-	return max(g.config.Push, time.Duration(len(g.peers))*pushPerPeer)
+	return max(g.config.PushInterval, time.Duration(len(g.peers))*pushPerPeer)
 }
 
 // pullSpeedup returns the factor by which pulls are sped up while some peer's clock has no bound.
@@ -181,7 +181,7 @@
 	g.next++
 	g.round++
 	for r, x := range g.pulls {
-		if now.Sub(x.sent) > g.config.Await {
+		if now.Sub(x.sent) > g.config.PullTimeout {
 			delete(g.pulls, r)
 		}
 	}
--- a/internal/fleet/membership/gossip_config.go
+++ b/internal/fleet/membership/gossip_config.go
@@ -7,9 +7,9 @@
 
 // Defaults of GossipConfig.
 const (
-	DefaultPush  = 250 * time.Millisecond
-	DefaultPull  = time.Second
-	DefaultAwait = 3 * time.Second
+	DefaultPushInterval = 250 * time.Millisecond
+	DefaultPullInterval = time.Second
+	DefaultPullTimeout  = 3 * time.Second
 )
 
 // pushPerPeer is the minimum push interval for each peer in the cell. It limits an entry to 40 push messages per second regardless of the size of its cell.
@@ -25,12 +25,12 @@
 	Incarnation uint32
 	// Table receives the announcements.
 	Table Table
-	// Push is the minimum interval between pushes to all peers; zero means DefaultPush. The interval is longer in cells of more than ten entries.
-	Push time.Duration
-	// Pull is the interval between pulls, each from the next peer; zero means DefaultPull.
-	Pull time.Duration
-	// Await is the timeout of a pull; zero means DefaultAwait.
-	Await time.Duration
+	// PushInterval is the minimum interval between pushes to all peers; zero means DefaultPushInterval. The interval is longer in cells of more than ten entries.
+	PushInterval time.Duration
+	// PullInterval is the interval between pulls, each from the next peer; zero means DefaultPullInterval.
+	PullInterval time.Duration
+	// PullTimeout is the timeout of a pull; zero means DefaultPullTimeout.
+	PullTimeout time.Duration
 	// Random shuffles the order of the peers.
 	Random *rand.Rand
 }
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -62,7 +62,7 @@
 		return time.Time{}, false
 	}
 	delete(g.pulls, round)
-	if now.Sub(p.sent) > g.config.Await {
+	if now.Sub(p.sent) > g.config.PullTimeout {
 		return time.Time{}, false
 	}
 	if c := g.clocks[from]; c != nil {
@@ -99,7 +99,7 @@
 		}
 	}
 	if dated {
-		g.work.addPeerWork(made.Add(-g.config.Push/2), p.Work)
+		g.work.addPeerWork(made.Add(-g.config.PushInterval/2), p.Work)
 	}
 }
 
--- a/internal/fleet/membership/server.go
+++ b/internal/fleet/membership/server.go
@@ -49,7 +49,7 @@
 //
 // The age is checked here, before each dispatch, and not by a timer. A leaving
 // server may reach only entries that this entry is partitioned from, and its
-// last ready announcement would otherwise remain valid here for ever. The same
+// last ready announcement would otherwise remain valid here forever. The same
 // check makes the server eligible again after its next announcement.
 func (s *Server) Eligible(now time.Time, n Need) Reason {
 	a := &s.announcement
--- a/internal/fleet/membership/work.go
+++ b/internal/fleet/membership/work.go
@@ -12,7 +12,7 @@
 	// Sent counts one request with the given number of prefill tokens, sent at now to the server with the given key.
 	Sent(now time.Time, server Key, tokens int64)
 	// Pending returns the work that the server's load report, measured at the given time, does not include.
-	Pending(now time.Time, server Key, taken time.Time) Pending
+	Pending(now time.Time, server Key, measured time.Time) Pending
 }
 
 // workCounts counts the work sent to one server.
@@ -77,7 +77,7 @@
 }
 
 // Pending implements Work.
-func (w *work) Pending(now time.Time, server Key, taken time.Time) Pending {
+func (w *work) Pending(now time.Time, server Key, measured time.Time) Pending {
 	s := w.shard(server.prefix())
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +86,7 @@
 		return Pending{}
 	}
 	var p Pending
-	from, to := w.step(taken), w.step(now)
+	from, to := w.step(measured), w.step(now)
 	p.Requests, p.Tokens = t.own.since(from, to)
 	p.PeerRequests, p.PeerTokens = t.peers.since(from, to)
 	return p
--- a/internal/fleet/orders/candidate.go
+++ b/internal/fleet/orders/candidate.go
@@ -69,8 +69,8 @@
 	for _, s := range servers {
 		for m, x := range counts {
 			held, wanted := versions(s.Announcement(), m, in.Settings.Models[m].WeightVersion)
-			x.engines += countIf(held)
-			x.served += countIf(wanted)
+			x.engines += boolToInt(held)
+			x.served += boolToInt(wanted)
 		}
 	}
 	for _, j := range c.jobs {
@@ -81,7 +81,7 @@
 	return counts
 }
 
-func countIf(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/internal/fleet/orders/controller.go
+++ b/internal/fleet/orders/controller.go
@@ -172,7 +172,7 @@
 			c.engineRestarted(k, j, s.Announcement().Incarnation)
 		case s != nil && j.confirmedBy(s):
 			c.finish(k, j)
-		case j.step == done && now.Sub(j.contact) > c.config.Confirm:
+		case j.step == done && now.Sub(j.contact) > c.config.ConfirmTimeout:
 			c.fail(now, k, j)
 		case j.step == planned && (s == nil || unavailable(now, s) || !wanted(in, j.Order)):
 			c.drop(k)
@@ -224,7 +224,7 @@
 // fail ends the job; its target may be retried under another ID after the backoff.
 func (c *controller) fail(now time.Time, engine string, j *job) {
 	t := targetOf(j.Outstanding)
-	c.retries[t] = retry{attempt: c.retries[t].attempt + 1, after: now.Add(c.config.Pause)}
+	c.retries[t] = retry{attempt: c.retries[t].attempt + 1, after: now.Add(c.config.Backoff)}
 	c.drop(engine)
 }
 
--- a/internal/fleet/orders/controller_config.go
+++ b/internal/fleet/orders/controller_config.go
@@ -4,11 +4,11 @@
 
 // Defaults of Config.
 const (
-	DefaultFlight    = 5 * time.Second
-	DefaultLoadLimit = time.Minute
-	DefaultPause     = 5 * time.Second
-	DefaultRecheck   = 500 * time.Millisecond
-	DefaultConfirm   = 10 * time.Second
+	DefaultFlight         = 5 * time.Second
+	DefaultLoadLimit      = time.Minute
+	DefaultBackoff        = 5 * time.Second
+	DefaultRecheck        = 500 * time.Millisecond
+	DefaultConfirmTimeout = 10 * time.Second
 )
 
 // Config holds the timeouts of a Controller; zero fields take the defaults.
@@ -17,20 +17,20 @@
 	Flight time.Duration
 	// LoadLimit is how long after the last contact an order counts as ended; it is far longer than a load.
 	LoadLimit time.Duration
-	// Pause is the backoff before a failed order is retried.
-	Pause time.Duration
+	// Backoff is the backoff before a failed order is retried.
+	Backoff time.Duration
 	// Recheck is the interval between reads of one order's state.
 	Recheck time.Duration
-	// Confirm is the time limit for a completed order to appear in the engine's announcement.
-	Confirm time.Duration
+	// ConfirmTimeout is the time limit for a completed order to appear in the engine's announcement.
+	ConfirmTimeout time.Duration
 }
 
 func (c Config) withDefaults() Config {
 	c.Flight = orDefault(c.Flight, DefaultFlight)
 	c.LoadLimit = orDefault(c.LoadLimit, DefaultLoadLimit)
-	c.Pause = orDefault(c.Pause, DefaultPause)
+	c.Backoff = orDefault(c.Backoff, DefaultBackoff)
 	c.Recheck = orDefault(c.Recheck, DefaultRecheck)
-	c.Confirm = orDefault(c.Confirm, DefaultConfirm)
+	c.ConfirmTimeout = orDefault(c.ConfirmTimeout, DefaultConfirmTimeout)
 	return c
 }
 
