--- a/internal/cache/directory/config.go
+++ b/internal/cache/directory/config.go
@@ -4,13 +4,13 @@
 
 // Defaults of Config.
 const (
-	DefaultPieces       = 2 << 20
-	DefaultServers      = 1024
-	DefaultListing      = 256 << 10
-	DefaultTombstone    = 2 * time.Minute
-	DefaultGapPatience  = 500 * time.Millisecond
-	DefaultListingPause = 2 * time.Second
-	DefaultForget       = 10 * time.Minute
+	DefaultPieces          = 2 << 20
+	DefaultServers         = 1024
+	DefaultListing         = 256 << 10
+	DefaultTombstone       = 2 * time.Minute
+	DefaultGapTimeout      = 500 * time.Millisecond
+	DefaultListingInterval = 2 * time.Second
+	DefaultForget          = 10 * time.Minute
 )
 
 // maxBatches is the number of batches after a gap that are buffered for each engine.
@@ -28,10 +28,10 @@
 	Listing int
 	// Tombstone is how long a freed generation is kept, so that a late message can't restore it.
 	Tombstone time.Duration
-	// GapPatience is how long a gap may last before a listing is requested; most gaps are only reordered batches and close by themselves.
-	GapPatience time.Duration
-	// ListingPause is the minimum time between two requests for a listing of one engine.
-	ListingPause time.Duration
+	// GapTimeout is how long a gap may last before a listing is requested; most gaps are only reordered batches and close by themselves.
+	GapTimeout time.Duration
+	// ListingInterval is the minimum time between two requests for a listing of one engine.
+	ListingInterval time.Duration
 	// Forget is how long after its last contact an engine or store is removed.
 	Forget time.Duration
 }
@@ -41,9 +41,9 @@
 	c.Servers = orDefault(c.Servers, DefaultServers)
 	c.Listing = orDefault(c.Listing, DefaultListing)
 	c.Tombstone = orDefault(c.Tombstone, DefaultTombstone)
-	c.GapPatience = orDefault(c.GapPatience, DefaultGapPatience)
+	c.GapTimeout = orDefault(c.GapTimeout, DefaultGapTimeout)
 	c.Forget = orDefault(c.Forget, DefaultForget)
-	c.ListingPause = orDefault(c.ListingPause, DefaultListingPause)
+	c.ListingInterval = orDefault(c.ListingInterval, DefaultListingInterval)
 	return c
 }
 
--- a/internal/cache/directory/engine.go
+++ b/internal/cache/directory/engine.go
@@ -131,10 +131,10 @@
 
 // wantsListing reports whether to request a listing now.
 func (d *directory) wantsListing(p *peer, now time.Time) bool {
-	if p.consistent.Load() || now.Sub(p.gapSince) < d.config.GapPatience {
+	if p.consistent.Load() || now.Sub(p.gapSince) < d.config.GapTimeout {
 		return false
 	}
-	if now.Sub(p.listingRequested) < d.config.ListingPause {
+	if now.Sub(p.listingRequested) < d.config.ListingInterval {
 		return false
 	}
 	p.listingRequested = now
--- a/internal/cache/directory/events_test.go
+++ b/internal/cache/directory/events_test.go
@@ -121,7 +121,7 @@
 		t.Errorf("got %+v", e)
 	}
 	holds()
-	now = now.Add(DefaultListingPause)
+	now = now.Add(DefaultListingInterval)
 	if e := update(1, 4, false, testKeys[1]); !e.ListingWanted {
 		t.Errorf("got %+v", e)
 	}
