--- a/internal/cache/block/chain.go
+++ b/internal/cache/block/chain.go
@@ -5,7 +5,7 @@
 	"encoding/binary"
 )
 
-// chain computes the keys of one prompt in order and reuses one buffer.
+// chain computes the keys of one prompt in order, using a single buffer.
 type chain struct {
 	buffer []byte
 	head   int
--- a/internal/cache/block/key.go
+++ b/internal/cache/block/key.go
@@ -8,7 +8,7 @@
 // Size is the number of bytes in a Key.
 const Size = 32
 
-// Key names one piece of KV cache.
+// Key identifies one piece of KV cache.
 type Key [Size]byte
 
 // String returns the key as 64 lower-case hex digits.
@@ -16,19 +16,19 @@
 	return hex.EncodeToString(k[:])
 }
 
-// Parse returns the key that 64 lower-case hex digits stand for.
+// Parse decodes a key from 64 lower-case hex digits.
 func Parse(s string) (Key, error) {
 	var k Key
 	err := k.UnmarshalText([]byte(s))
 	return k, err
 }
 
-// MarshalText returns the key as hex digits.
+// MarshalText encodes the key as hex digits.
 func (k Key) MarshalText() ([]byte, error) {
 	return hex.AppendEncode(make([]byte, 0, 2*Size), k[:]), nil
 }
 
-// UnmarshalText sets the key from hex digits; upper case is refused, since two spellings of one key would be two objects in a store.
+// UnmarshalText decodes the key from hex digits. Upper case is refused, since two spellings of one key would be two objects in a store.
 func (k *Key) UnmarshalText(text []byte) error {
 	if len(text) != 2*Size {
 		return fmt.Errorf("block: a key has %d hex digits, not %d", 2*Size, len(text))
@@ -44,12 +44,12 @@
 	return nil
 }
 
-// MarshalBinary returns the key's bytes, as they stand in CBOR messages.
+// MarshalBinary returns the key's bytes, as used in CBOR messages.
 func (k Key) MarshalBinary() ([]byte, error) {
 	return k[:], nil
 }
 
-// UnmarshalBinary sets the key from its bytes.
+// UnmarshalBinary decodes the key from its bytes.
 func (k *Key) UnmarshalBinary(b []byte) error {
 	if len(b) != Size {
 		return fmt.Errorf("block: a key has %d bytes, not %d", Size, len(b))
--- a/internal/cache/block/key_test.go
+++ b/internal/cache/block/key_test.go
@@ -12,10 +12,10 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// An entry of another version that computes other keys finds none of the
-// pieces that were stored before, and every prompt is computed again.
+// If a new version of the entry computed different keys, it would find none of
+// the stored pieces, and every prompt would be recomputed.
 func TestKeysStayTheSame(t *testing.T) {
 	s := Scope{Workspace: "certilote", Model: "drafter", WeightVersion: "v7", PieceTokens: 2}
 	var b bytes.Buffer
@@ -41,9 +41,9 @@
 	}
 }
 
-// Two workspaces choose names, models and prompts so that one's fields run
-// into the other's. With a key that only joins the fields, one customer's
-// prompt would be answered from the other's cache.
+// Two workspaces choose names, models and prompts whose concatenations are
+// equal. If the key only joined the fields, one customer's prompt would be
+// answered from the other's cache.
 func TestScopesNeverShareKeys(t *testing.T) {
 	p := gopter.DefaultTestParametersWithSeed(5)
 	p.MinSuccessfulTests = 2000
@@ -58,11 +58,11 @@
 			PieceTokens:   v[4].(int),
 		}
 	})
-	all.Property("equal keys mean equal scopes", prop.ForAll(func(a, b Scope, text string) bool {
+	all.Property("equal keys imply equal scopes", prop.ForAll(func(a, b Scope, text string) bool {
 		prompt := []byte(text + "12345678")
 		return (a == b) == (a.Text(prompt)[0] == b.Text(prompt)[0])
 	}, scope, scope, gen.AlphaString()))
-	all.Property("a piece's key tells all pieces before it", prop.ForAll(func(s Scope, prompt []uint32, at int) bool {
+	all.Property("a piece's key depends on all pieces before it", prop.ForAll(func(s Scope, prompt []uint32, at int) bool {
 		if len(prompt) == 0 {
 			return true
 		}
--- a/internal/cache/block/scope.go
+++ b/internal/cache/block/scope.go
@@ -5,17 +5,17 @@
 	"encoding/binary"
 )
 
-// Domains keep the digests of different things apart, whatever their bytes are.
+// Domains separate the digests of different kinds of data, whatever their bytes are.
 const (
 	scopeDomain  = "hornbeamwood scope 1"
 	tokensDomain = "hornbeamwood tokens 1"
 	textDomain   = "hornbeamwood text 1"
 )
 
-// BytesPerToken is the number of text bytes that count as one token where the prompt is text.
+// BytesPerToken is the number of bytes that count as one token in a text prompt.
 const BytesPerToken = 4
 
-// Scope is what two prompts must share before they may share cache.
+// Scope holds the properties that two prompts must have in common to share cached pieces.
 type Scope struct {
 	// Workspace is the workspace's name.
 	Workspace string
@@ -29,7 +29,7 @@
 	PieceTokens int
 }
 
-// Root returns the parent of the first piece of every prompt in the scope.
+// Root returns the parent key of the first piece of every prompt in the scope.
 func (s Scope) Root() Key {
 	b := appendString(nil, scopeDomain)
 	b = appendString(b, s.Workspace)
@@ -40,7 +40,7 @@
 	return sha256.Sum256(b)
 }
 
-// Tokens returns the keys of the full pieces of a prompt that is given as token ids.
+// Tokens returns the keys of the full pieces of a prompt given as token IDs.
 func (s Scope) Tokens(prompt []uint32) []Key {
 	if s.PieceTokens <= 0 {
 		return nil
@@ -54,7 +54,7 @@
 	return keys
 }
 
-// Text returns the keys of the full pieces of a prompt that is given as text, cut after each PieceTokens times BytesPerToken bytes.
+// Text returns the keys of the full pieces of a text prompt, each of PieceTokens times BytesPerToken bytes.
 func (s Scope) Text(prompt []byte) []Key {
 	size := s.PieceTokens * BytesPerToken
 	if size <= 0 {
@@ -69,7 +69,7 @@
 	return keys
 }
 
-// appendString appends the length of s and s, so that no two lists of strings have one encoding.
+// appendString appends the length of s and s, so that different lists of strings have different encodings.
 func appendString(b []byte, s string) []byte {
 	b = binary.BigEndian.AppendUint64(b, uint64(len(s)))
 	return append(b, s...)
--- a/internal/cache/engine/doc.go
+++ b/internal/cache/engine/doc.go
@@ -1,3 +1,3 @@
-// Package engine tells model engines to write pieces of their KV cache to
-// stores, as docs/interfaces/cache.md says.
+// Package engine requests model engines to export pieces of their KV cache to
+// stores, as specified in docs/interfaces/cache.md.
 package engine
--- a/internal/cache/engine/exports.go
+++ b/internal/cache/engine/exports.go
@@ -13,21 +13,21 @@
 const (
 	// maxPieces is the largest number of pieces in one request.
 	maxPieces = 64
-	// settleTime is how long the stores are asked after an export whose answer was lost.
-	settleTime = 5 * time.Second
+	// queryTimeout limits the queries to the stores after an export whose answer was lost.
+	queryTimeout = 5 * time.Second
 )
 
-// Heads asks stores what they hold.
+// Heads looks up pieces in stores.
 type Heads interface {
-	// Head returns the sealed piece of a key and false when the store has none.
+	// Head returns the sealed piece with the given key, and false if the store has none.
 	Head(ctx context.Context, address string, k block.Key) (store.Piece, bool, error)
 }
 
-// Config is what an exporter needs.
+// Config holds the dependencies of an export client.
 type Config struct {
 	// Engine sends exports to engines.
 	Engine backend.Engine
-	// Heads settles exports whose answer was lost.
+	// Heads determines the result of exports whose answer was lost.
 	Heads Heads
 }
 
@@ -35,7 +35,7 @@
 	Config
 }
 
-// NewExports returns a client for exports of any length.
+// NewExports returns a client for exports with any number of pieces.
 func NewExports(c Config) completion.Exports {
 	return &exports{Config: c}
 }
@@ -45,27 +45,27 @@
 	all := make([]completion.ExportResult, 0, len(e.Pieces))
 	for from := 0; from < len(e.Pieces); from += maxPieces {
 		part := e.Pieces[from:min(from+maxPieces, len(e.Pieces))]
-		all = append(all, x.part(ctx, address, e, part)...)
+		all = append(all, x.exportPart(ctx, address, e, part)...)
 	}
 	return all, nil
 }
 
-// part exports up to maxPieces pieces. An answer that is lost leaves it
-// unknown which of them were written, so each store is asked.
-func (x *exports) part(ctx context.Context, address string, e completion.Export, pieces []completion.ExportPiece) []completion.ExportResult {
+// exportPart exports up to maxPieces pieces. If the answer is lost, it is unknown which
+// of them were written, so it queries each store.
+func (x *exports) exportPart(ctx context.Context, address string, e completion.Export, pieces []completion.ExportPiece) []completion.ExportResult {
 	wire := backend.Export{WeightVersion: e.WeightVersion, DeadlineMillis: e.Deadline.Milliseconds()}
 	for _, p := range pieces {
 		wire.Pieces = append(wire.Pieces, backend.ExportPiece{Key: p.Key, Store: p.Address, Tier: p.Tier.String()})
 	}
 	a, err := x.Engine.Export(ctx, address, wire)
 	if err != nil {
-		return x.ask(pieces)
+		return x.queryStores(pieces)
 	}
 	return match(pieces, a.Results)
 }
 
-func (x *exports) ask(pieces []completion.ExportPiece) []completion.ExportResult {
-	ctx, cancel := context.WithTimeout(context.Background(), settleTime)
+func (x *exports) queryStores(pieces []completion.ExportPiece) []completion.ExportResult {
+	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 	defer cancel()
 	all := make([]completion.ExportResult, len(pieces))
 	for i, p := range pieces {
@@ -77,19 +77,19 @@
 	return all
 }
 
-// match returns the result of each piece, whatever the order of the answer.
+// match returns the results in the order of the pieces, whatever the order of the answer.
 func match(pieces []completion.ExportPiece, results []backend.ExportResult) []completion.ExportResult {
 	type target struct {
 		key   block.Key
 		store string
 	}
-	by := make(map[target]backend.ExportResult, len(results))
+	byTarget := make(map[target]backend.ExportResult, len(results))
 	for _, r := range results {
-		by[target{r.Key, r.Store}] = r
+		byTarget[target{r.Key, r.Store}] = r
 	}
 	all := make([]completion.ExportResult, len(pieces))
 	for i, p := range pieces {
-		r := by[target{p.Key, p.Address}]
+		r := byTarget[target{p.Key, p.Address}]
 		if r.State == backend.ExportSealed || r.State == backend.ExportPresent {
 			all[i] = completion.ExportResult{Sealed: true, Generation: r.Generation, Bytes: r.Bytes}
 		}
--- a/internal/cache/events/doc.go
+++ b/internal/cache/events/doc.go
@@ -1,4 +1,4 @@
-// Package events holds what engines tell of their cache: batches of numbered
+// Package events defines the cache reports of engines: batches of numbered
 // events, and listings that close a gap.
 //
 // The wire form is JSON over HTTP POST /fleet/cache-events at any entry;
--- a/internal/cache/events/event.go
+++ b/internal/cache/events/event.go
@@ -2,20 +2,20 @@
 
 import "hornbeamwood/internal/cache/block"
 
-// Kind says what happened to a piece in an engine's memory.
+// Kind is the kind of an Event.
 type Kind string
 
 const (
-	// Inserted means that the engine holds the piece now.
+	// Inserted means that the engine now holds the piece.
 	Inserted Kind = "inserted"
-	// Evicted means that the engine does not hold the piece any more.
+	// Evicted means that the engine no longer holds the piece.
 	Evicted Kind = "evicted"
 )
 
-// Event is one change of an engine's memory.
+// Event is one change of a piece in an engine's memory.
 type Event struct {
-	// Kind says what happened.
+	// Kind is the change.
 	Kind Kind `json:"kind"`
-	// Key names the piece.
+	// Key is the key of the piece.
 	Key block.Key `json:"key"`
 }
--- a/internal/cache/events/report.go
+++ b/internal/cache/events/report.go
@@ -12,11 +12,11 @@
 	MaxEvents = 1024
 	MaxKeys   = 4096
 	MaxParts  = 1024
-	// MaxBody is the largest body in bytes.
+	// MaxBody is the largest body of a request in bytes.
 	MaxBody = 512 << 10
 )
 
-// Report is what an engine sends: a batch of events or a part of a listing.
+// Report is a message of an engine: a batch of events or a part of a listing.
 type Report struct {
 	// Identity is the engine's identity.
 	Identity string `json:"identity"`
@@ -24,7 +24,7 @@
 	Incarnation uint64 `json:"incarnation"`
 	// First is the number of the first event; events of one incarnation are numbered from 1 without gaps.
 	First uint64 `json:"first,omitempty"`
-	// Events are the events, numbered on from First; none is a sign of life that names the next number.
+	// Events are the events, numbered consecutively from First. An empty batch is a heartbeat that carries the next number.
 	Events []Event `json:"events,omitempty"`
 	// Listing is set instead of Events.
 	Listing *Listing `json:"listing,omitempty"`
@@ -32,17 +32,17 @@
 
 // Listing is one part of the list of all pieces that an engine holds.
 type Listing struct {
-	// Sequence is the number of the last event that the list includes.
+	// Sequence is the number of the last event that the listing includes.
 	Sequence uint64 `json:"sequence"`
 	// Part is the number of this part, from 1.
 	Part int `json:"part"`
 	// Parts is the number of parts.
 	Parts int `json:"parts"`
-	// Keys are the pieces.
+	// Keys are the keys of the pieces.
 	Keys []block.Key `json:"keys"`
 }
 
-// Check returns an error that names the first field that is missing or out of bounds.
+// Check validates the report and returns an error that names the first field that is missing or out of bounds.
 func (r Report) Check() error {
 	if r.Identity == "" || len(r.Identity) > 64 {
 		return fmt.Errorf("identity must have 1 to 64 characters")
