--- a/internal/cache/quic/cache.go
+++ b/internal/cache/quic/cache.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// callTimeout bounds one call to another entry.
+	// callTimeout limits one call to another entry.
 	callTimeout = 300 * time.Millisecond
-	// failedPause is how long an entry that did not answer is not asked for locations.
-	failedPause = 2 * time.Second
-	// sweepInterval is how often memory is freed and pieces are deleted.
+	// retryDelay is how long lookups skip an entry after a failed call.
+	retryDelay = 2 * time.Second
+	// sweepInterval is the time between two sweeps, which free memory and delete pieces.
 	sweepInterval = time.Second
-	// outboxLength bounds what waits for one entry; a lost batch shows there as a gap.
+	// outboxLength limits the messages queued for one entry; a dropped batch appears there as a gap.
 	outboxLength = 1024
 )
 
@@ -31,17 +31,17 @@
 	Roles: []keys.Role{keys.Entry},
 }
 
-// Cache is the directory of the whole cell as one entry sees it.
+// Cache gives one entry access to the directory of the whole cell.
 type Cache interface {
-	// Lookup returns the locations of the keys in their order; what an entry that does not answer holds is left out.
+	// Lookup returns the locations of the keys in their order; locations held by an entry that does not answer are left out.
 	Lookup(ctx context.Context, keys []block.Key) directory.Locations
-	// Report passes an engine's report on to the holders of its keys and returns whether a listing is wanted.
+	// Report distributes an engine's report to the holders of its keys and reports whether a listing is wanted.
 	Report(now time.Time, r events.Report) bool
-	// Change tells the holders of the keys about steps in the life of their pieces in stores.
+	// Change sends state changes of pieces in stores to the holders of their keys.
 	Change(ctx context.Context, all ...directory.StoreChange)
-	// Pin keeps sealed pieces from being freed and returns for each whether that was granted.
+	// Pin protects sealed pieces from deletion and returns for each whether the pin was granted.
 	Pin(ctx context.Context, all []directory.Pin) []bool
-	// Unpin takes pins back.
+	// Unpin removes pins.
 	Unpin(ctx context.Context, all []directory.Pin)
 	// Close ends the goroutines.
 	Close()
@@ -49,24 +49,24 @@
 
 type cache struct {
 	Config
-	ring    directory.Ring
-	wants   directory.ListingRequests
-	cancel  context.CancelFunc
-	running sync.WaitGroup
-	outbox  outbox.Outbox[directory.Message]
+	ring            directory.Ring
+	listingRequests directory.ListingRequests
+	cancel          context.CancelFunc
+	running         sync.WaitGroup
+	outbox          outbox.Outbox[directory.Message]
 
 	mu     sync.Mutex
 	failed map[string]time.Time
 }
 
-// New registers the receiver and starts to serve this entry's share; it is called before the node serves.
+// New registers the handler and starts the background tasks of this entry's share; it must be called before the node serves.
 func New(c Config) Cache {
 	ctx, cancel := context.WithCancel(context.Background())
 	k := &cache{
-		Config: c,
-		wants:  directory.NewListingRequests(),
-		cancel: cancel,
-		failed: make(map[string]time.Time),
+		Config:          c,
+		listingRequests: directory.NewListingRequests(),
+		cancel:          cancel,
+		failed:          make(map[string]time.Time),
 	}
 	k.outbox = outbox.New(outbox.Config[directory.Message]{Length: outboxLength, Send: k.send})
 	nodes := append(slices.Collect(maps.Keys(c.Addresses)), c.Self)
@@ -75,7 +75,7 @@
 		return directory.Serve(c.Directory, c.Now(), m), nil
 	})
 	k.running.Go(func() { k.sweep(ctx) })
-	k.running.Go(func() { k.relearn(ctx) })
+	k.running.Go(func() { k.rebuild(ctx) })
 	return k
 }
 
@@ -91,30 +91,30 @@
 	if len(all) == 0 {
 		return nil
 	}
-	q := k.ring.Query(all, k.down)
+	q := k.ring.Query(all, k.failedRecently)
 	parts := q.Parts()
 	answers := make([]directory.Locations, len(parts))
-	var asked sync.WaitGroup
+	var calls sync.WaitGroup
 	for i, p := range parts {
 		if p.To == k.Self {
 			answers[i] = k.Directory.Lookup(p.Lookup.Keys)
 			continue
 		}
-		asked.Go(func() {
+		calls.Go(func() {
 			r, _ := k.call(ctx, p.To, directory.Message{Lookup: &p.Lookup})
 			answers[i] = r.Locations
 		})
 	}
-	asked.Wait()
+	calls.Wait()
 	return q.Join(answers)
 }
 
-// down says whether an entry failed to answer a moment ago; its second holder is asked instead.
-func (k *cache) down(node string) bool {
+// failedRecently reports whether a recent call to an entry failed; the second holder is queried instead.
+func (k *cache) failedRecently(node string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	t, ok := k.failed[node]
-	return ok && k.Now().Sub(t) < failedPause
+	return ok && k.Now().Sub(t) < retryDelay
 }
 
 func (k *cache) call(ctx context.Context, node string, m directory.Message) (directory.Reply, error) {
@@ -136,7 +136,7 @@
 	for _, e := range k.ring.Distribute(r) {
 		k.post(now, e)
 	}
-	return k.wants.Take(r.Identity)
+	return k.listingRequests.Take(r.Identity)
 }
 
 // Change implements Cache.
@@ -145,20 +145,20 @@
 	for i := range all {
 		keyed[i] = directory.KeyedMessage{Key: all[i].Key, Message: directory.Message{Store: &all[i]}}
 	}
-	k.each(ctx, keyed)
+	k.sendToHolders(ctx, keyed)
 }
 
 // Pin implements Cache.
 //
-// Both holders of a key may free its piece, each when its own pins are gone. A
-// pin counts when every holder that answers has granted it and at least one did.
+// Either holder of a key may delete its piece once its own pins are gone. So a
+// pin is granted only if at least one holder answers and all that answer grant it.
 func (k *cache) Pin(ctx context.Context, all []directory.Pin) []bool {
 	keyed := make([]directory.KeyedMessage, len(all))
 	for i := range all {
 		keyed[i] = directory.KeyedMessage{Key: all[i].Key, Message: directory.Message{Pin: &all[i]}}
 	}
 	granted := make([]bool, len(all))
-	for i, replies := range k.each(ctx, keyed) {
+	for i, replies := range k.sendToHolders(ctx, keyed) {
 		granted[i] = len(replies) > 0 && !slices.ContainsFunc(replies, func(r directory.Reply) bool {
 			return r.Effect.Outcome != directory.Applied
 		})
@@ -172,17 +172,17 @@
 	for i := range all {
 		keyed[i] = directory.KeyedMessage{Key: all[i].Key, Message: directory.Message{Unpin: &all[i]}}
 	}
-	k.each(ctx, keyed)
+	k.sendToHolders(ctx, keyed)
 }
 
-// each sends each message to the holders of its key, one exchange with each
-// node, and returns the replies that came, by message.
-func (k *cache) each(ctx context.Context, all []directory.KeyedMessage) [][]directory.Reply {
+// sendToHolders sends each message to the holders of its key with one call to each node,
+// and returns the received replies by message.
+func (k *cache) sendToHolders(ctx context.Context, all []directory.KeyedMessage) [][]directory.Reply {
 	replies := make([][]directory.Reply, len(all))
 	var mu sync.Mutex
-	var asked sync.WaitGroup
+	var calls sync.WaitGroup
 	for _, b := range k.ring.NodeBatches(all) {
-		asked.Go(func() {
+		calls.Go(func() {
 			r, err := k.exchange(ctx, b)
 			if err != nil || len(r.Batch) != len(b.Indexes) {
 				return
@@ -194,7 +194,7 @@
 			}
 		})
 	}
-	asked.Wait()
+	calls.Wait()
 	return replies
 }
 
@@ -205,10 +205,10 @@
 	return k.call(ctx, b.To, b.Message)
 }
 
-// post carries out a message here or queues it for its entry.
+// post applies a message locally or queues it for its entry.
 func (k *cache) post(now time.Time, e directory.Envelope) {
 	if e.To == k.Self {
-		k.note(e.Message, directory.Serve(k.Directory, now, e.Message))
+		k.recordListingRequest(e.Message, directory.Serve(k.Directory, now, e.Message))
 		return
 	}
 	k.outbox.Post(e.To, e.Message)
@@ -216,20 +216,20 @@
 
 func (k *cache) send(ctx context.Context, node string, m directory.Message) {
 	if r, err := k.call(ctx, node, m); err == nil {
-		k.note(m, r)
+		k.recordListingRequest(m, r)
 	}
 }
 
-// note remembers that a holder wants a listing until the engine is told.
-func (k *cache) note(m directory.Message, r directory.Reply) {
+// recordListingRequest records that a holder listingRequests a listing until the request is passed to the engine.
+func (k *cache) recordListingRequest(m directory.Message, r directory.Reply) {
 	if !r.Effect.ListingWanted {
 		return
 	}
 	if m.Update != nil {
-		k.wants.Add(m.Update.Engine)
+		k.listingRequests.Add(m.Update.Engine)
 	}
 	if m.Listing != nil {
-		k.wants.Add(m.Listing.Engine)
+		k.listingRequests.Add(m.Listing.Engine)
 	}
 }
 
@@ -252,7 +252,7 @@
 	}
 }
 
-// remove deletes a piece whose pins are gone; until the store confirms it the piece stays in Deletable.
+// remove deletes a piece without pins; the piece stays in Deletable until the store confirms the deletion.
 func (k *cache) remove(ctx context.Context, d directory.Deletion) {
 	if err := k.Deleter.Delete(ctx, d); err != nil {
 		return
--- a/internal/cache/quic/config.go
+++ b/internal/cache/quic/config.go
@@ -7,19 +7,19 @@
 	"hornbeamwood/internal/node/rpc"
 )
 
-// Config is what a Cache needs.
+// Config holds the dependencies of a Cache.
 type Config struct {
-	// Node sends and receives.
+	// Node sends and receives the messages.
 	Node rpc.Node
 	// Self is this entry's name.
 	Self string
 	// Addresses maps the names of the other entries of the cell to their addresses.
 	Addresses map[string]string
-	// Directory holds this entry's share.
+	// Directory holds this entry's share of the keys.
 	Directory directory.Directory
 	// Deleter deletes pieces at their stores.
 	Deleter Deleter
-	// Lister lists what stores hold.
+	// Lister lists the pieces of stores.
 	Lister Lister
 	// Stores returns the stores that are ready.
 	Stores func() []StoreVM
--- a/internal/cache/quic/deleter.go
+++ b/internal/cache/quic/deleter.go
@@ -8,6 +8,6 @@
 
 // Deleter deletes a piece at its store.
 type Deleter interface {
-	// Delete returns nil when that generation of the piece is gone.
+	// Delete returns nil if that generation of the piece no longer exists.
 	Delete(ctx context.Context, d directory.Deletion) error
 }
--- a/internal/cache/quic/doc.go
+++ b/internal/cache/quic/doc.go
@@ -1,3 +1,3 @@
-// Package quic spreads the cache directory over the entries of a cell: each
-// holds a share of the keys and asks the others for theirs.
+// Package quic distributes the cache directory over the entries of a cell: each
+// entry holds a share of the keys and queries the others for the rest.
 package quic
--- a/internal/cache/quic/relearn.go
+++ b/internal/cache/quic/rebuild.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// relearnInterval is the time between two looks for stores that were not listed yet.
-	relearnInterval = 2 * time.Second
-	// listTimeout bounds one page of a listing.
+	// rebuildInterval is the time between two checks for stores that were not listed yet.
+	rebuildInterval = 2 * time.Second
+	// listTimeout limits the request for one page of a listing.
 	listTimeout = 5 * time.Second
 )
 
-// StoreVM is a store as it announces itself.
+// StoreVM identifies a store by its announcement.
 type StoreVM struct {
-	// Identity names the store.
+	// Identity is the store's identity.
 	Identity string
-	// Incarnation grows with each of its starts.
+	// Incarnation increases with each start of the store.
 	Incarnation uint64
 	// Address is its IP and port.
 	Address string
 }
 
-// Lister lists what stores hold.
+// Lister lists the pieces of stores.
 type Lister interface {
-	// List returns the pieces after a key; the zero key begins at the start.
+	// List returns the page of pieces after a key; the zero key returns the first page.
 	List(ctx context.Context, address string, after block.Key) (store.Page, error)
 }
 
-// relearn lists each store once in the life of this process and of the store.
+// rebuild lists each incarnation of a store once in the lifetime of this process.
 //
-// A directory is soft state. An entry that restarts holds nothing, and after a
-// rolling restart of all entries nobody would know what the stores still hold:
-// every prompt that comes back would be computed again.
-func (k *cache) relearn(ctx context.Context) {
+// The directory is soft state. An entry starts with an empty one, and after a
+// rolling restart of all entries none would know which pieces the stores still
+// hold: every returning prompt would be recomputed.
+func (k *cache) rebuild(ctx context.Context) {
 	listed := make(map[string]uint64)
-	t := time.NewTicker(relearnInterval)
+	t := time.NewTicker(rebuildInterval)
 	defer t.Stop()
 	for {
 		for _, s := range k.Stores() {
@@ -55,7 +55,7 @@
 	}
 }
 
-// list takes in the pieces of one store whose keys this entry holds, and returns whether it got to the end.
+// list adds the pieces of one store whose keys this entry holds, and reports whether the listing was completed.
 func (k *cache) list(ctx context.Context, s StoreVM) bool {
 	var after block.Key
 	for {
@@ -64,7 +64,7 @@
 			return false
 		}
 		for _, piece := range p.Pieces {
-			k.found(s, piece)
+			k.addPiece(s, piece)
 		}
 		if p.Last {
 			return true
@@ -79,7 +79,7 @@
 	return k.Lister.List(ctx, s.Address, after)
 }
 
-func (k *cache) found(s StoreVM, p store.Piece) {
+func (k *cache) addPiece(s StoreVM, p store.Piece) {
 	first, second := k.ring.Holders(p.Key)
 	nodes := k.ring.Nodes()
 	if nodes[first] != k.Self && nodes[second] != k.Self {
--- a/internal/cache/quic/relearn_test.go
+++ b/internal/cache/quic/rebuild_test.go
@@ -11,7 +11,7 @@
 	"hornbeamwood/internal/cache/store"
 )
 
-// fakeStore lists one piece a page and fails the second page once.
+// fakeStore lists one piece per page and fails the second page once.
 type fakeStore struct {
 	pieces []store.Piece
 	failed bool
@@ -32,9 +32,9 @@
 	return store.Page{Pieces: f.pieces[at : at+1], Next: f.pieces[at].Key, Last: at == len(f.pieces)-1}, nil
 }
 
-// An entry restarts and its share of the directory is empty. Prompts that come
-// back would be computed again although a store has them; so the entry asks the
-// stores what they hold, again when a listing breaks off.
+// An entry restarts with an empty share of the directory. Returning prompts would
+// be recomputed although a store holds their pieces, so the entry lists the
+// stores, and lists a store again if its listing was interrupted.
 func TestRestartedEntryLearnsWhatStoresHold(t *testing.T) {
 	keys := block.Scope{Workspace: "gate", Model: "draft", WeightVersion: "v1", PieceTokens: 1}.Tokens([]uint32{1, 2, 3})
 	f := &fakeStore{}
@@ -45,10 +45,10 @@
 	k := &cache{Config: Config{Self: "entry-1", Directory: d, Lister: f, Now: time.Now}, ring: directory.NewRing([]string{"entry-1"})}
 	s := StoreVM{Identity: "store-1", Incarnation: 7, Address: "10.0.0.1:80"}
 	if k.list(t.Context(), s) {
-		t.Fatal("a listing that broke off counts as whole")
+		t.Fatal("an interrupted listing counts as complete")
 	}
 	if !k.list(t.Context(), s) {
-		t.Fatal("the listing did not end")
+		t.Fatal("the listing was not completed")
 	}
 	for i, l := range d.Lookup(keys) {
 		if len(l.Stores) != 1 || l.Stores[0].Generation != uint64(i+1) {
