--- a/internal/cache/store/client.go
+++ b/internal/cache/store/client.go
@@ -13,20 +13,20 @@
 	"hornbeamwood/internal/cache/directory"
 )
 
-// maxAnswer is the largest JSON answer that is read, in bytes.
+// maxAnswer is the maximum number of bytes read of a JSON answer.
 const maxAnswer = 1 << 20
 
 const tierHeader = "Hornbeamwood-Tier"
 
-// Client asks store VMs by their addresses.
+// Client sends requests to store VMs, which are identified by address.
 type Client interface {
-	// Head returns the sealed piece of a key and false when the store has none.
+	// Head returns the sealed piece with the given key, and false if the store has none.
 	Head(ctx context.Context, address string, k block.Key) (Piece, bool, error)
-	// Delete deletes one generation of a piece and returns nil when that generation is gone, also when it was gone before.
+	// Delete deletes one generation of a piece. It returns nil if that generation no longer exists, also if it did not exist before.
 	Delete(ctx context.Context, address string, k block.Key, generation uint64) error
-	// List returns the pieces after a key; the zero key begins at the start.
+	// List returns the page of pieces after a key; the zero key returns the first page.
 	List(ctx context.Context, address string, after block.Key) (Page, error)
-	// Usage returns the store's room and link state.
+	// Usage returns the store's capacity and link state.
 	Usage(ctx context.Context, address string) (Usage, error)
 }
 
@@ -70,8 +70,8 @@
 
 // Delete implements Client.
 //
-// The condition keeps a deletion that is late from taking a piece that was
-// written anew under the same key.
+// The If-Match condition prevents a late deletion from removing a piece that was
+// rewritten under the same key.
 func (c *client) Delete(ctx context.Context, address string, k block.Key, generation uint64) error {
 	w, err := c.do(ctx, http.MethodDelete, address, "/pieces/"+k.String(), Tag(generation))
 	if err != nil {
@@ -133,7 +133,7 @@
 		return v, fmt.Errorf("store: %w", err)
 	}
 	if err := json.Unmarshal(b, &v); err != nil {
-		return v, fmt.Errorf("store: the answer can't be read: %w", err)
+		return v, fmt.Errorf("store: decode answer: %w", err)
 	}
 	return v, nil
 }
--- a/internal/cache/store/client_test.go
+++ b/internal/cache/store/client_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// A store behind a broken proxy answers with pages and tags that make no
-// sense. Taken over they would become reads of generation zero.
+// A store behind a broken proxy returns invalid pages and tags. If they were
+// accepted, they would cause reads of generation zero.
 func TestAnswersThatMakeNoSense(t *testing.T) {
 	for _, body := range []string{
 		`[]`, `{"pieces":[{"key":"00"}]}`,
--- a/internal/cache/store/doc.go
+++ b/internal/cache/store/doc.go
@@ -1,6 +1,6 @@
-// Package store speaks the HTTP object protocol of store VMs, for what an
-// entry itself must do: look up, list and delete pieces and read the usage.
+// Package store is a client of the HTTP object protocol of store VMs for the
+// operations of an entry: look up, list and delete pieces and read the usage.
 //
-// Engines write and read the pieces; docs/interfaces/cache.md lists the
+// Engines write and read the pieces; docs/interfaces/cache.md specifies the
 // protocol.
 package store
--- a/internal/cache/store/page.go
+++ b/internal/cache/store/page.go
@@ -10,13 +10,13 @@
 // maxPage is the largest number of pieces in one page of a listing.
 const maxPage = 1000
 
-// Page is a part of the list of a store's sealed pieces, in the order of their keys.
+// Page is one page of the list of a store's sealed pieces, ordered by key.
 type Page struct {
 	// Pieces are the pieces.
 	Pieces []Piece
-	// Next is the key after which the next page begins; Last says that there is none.
+	// Next is the key after which the next page begins; it is zero if Last is set.
 	Next block.Key
-	// Last says that this is the last page.
+	// Last is true for the last page.
 	Last bool
 }
 
@@ -34,7 +34,7 @@
 
 func (p wirePage) page() (Page, error) {
 	if len(p.Pieces) > maxPage {
-		return Page{}, fmt.Errorf("store: a page of %d pieces", len(p.Pieces))
+		return Page{}, fmt.Errorf("store: a page of %d pieces exceeds the limit", len(p.Pieces))
 	}
 	out := Page{Last: p.Next == nil, Pieces: make([]Piece, len(p.Pieces))}
 	if p.Next != nil {
--- a/internal/cache/store/piece.go
+++ b/internal/cache/store/piece.go
@@ -7,12 +7,12 @@
 
 // Piece is one sealed piece of a store.
 type Piece struct {
-	// Key names the piece.
+	// Key is the key of the piece.
 	Key block.Key
-	// Generation is the one that a read must name.
+	// Generation is the generation that a read must include.
 	Generation uint64
 	// Bytes is the size.
 	Bytes int64
-	// Tier is the part of the store.
+	// Tier is the storage tier of the piece.
 	Tier directory.Tier
 }
