--- a/internal/cache/directory/content_faults_test.go
+++ b/internal/cache/directory/content_faults_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// export writes a piece that an engine holds, in transitions; some writes are aborted.
+// export writes a piece that an engine holds, in steps; some writes are aborted.
 func (w *cacheSimulation) export() {
 	e, s := w.engines[w.r.IntN(2)], w.stores[w.r.IntN(2)]
 	for _, k := range ordered(s.uploads) {
--- a/internal/cache/quic/cache.go
+++ b/internal/cache/quic/cache.go
@@ -220,7 +220,7 @@
 	}
 }
 
-// recordListingRequest records that a holder listingRequests a listing until the request is passed to the engine.
+// recordListingRequest records that a holder wants a listing until the request is passed to the engine.
 func (k *cache) recordListingRequest(m directory.Message, r directory.Reply) {
 	if !r.Effect.ListingWanted {
 		return
