--- a/internal/entry/completion/attempt.go
+++ b/internal/entry/completion/attempt.go
@@ -14,48 +14,49 @@
 )
 
 const (
-	// silenceFactor and silenceFloor bound the wait for a first token by what was expected; a frozen
-	// server would otherwise hold the request until the caller's deadline.
-	silenceFactor = 4
-	silenceFloor  = 3 * time.Second
-	// pinTime is how long an import may take at most.
-	pinTime = time.Minute
+	// firstTokenFactor, a multiple of the expected time, and minFirstTokenTimeout set the timeout for the
+	// first token. Without it a suspended server would hold the request until the caller's deadline.
+	firstTokenFactor     = 4
+	minFirstTokenTimeout = 3 * time.Second
+	// pinDuration is the longest time that an import may take.
+	pinDuration = time.Minute
 )
 
-// attempt is one dispatch to one engine.
+// attempt is one dispatch of a job to one engine.
 type attempt struct {
-	id       string
-	server   *membership.Server
-	decision route.Decision
-	request  route.Request
-	view     view
-	load     load
-	sent     time.Time
-	expected time.Duration
-	pins     []directory.Pin
-	imports  []importPiece
-	stream   engine.Stream
-	cancel   context.CancelFunc
-	silence  *time.Timer
-	first    bool
+	id              string
+	server          *membership.Server
+	decision        route.Decision
+	request         route.Request
+	view            view
+	load            load
+	sent            time.Time
+	expected        time.Duration
+	pins            []directory.Pin
+	imports         []importPiece
+	stream          engine.Stream
+	cancel          context.CancelFunc
+	firstTokenTimer *time.Timer
+	released        bool
 }
 
-// start decides, admits, waits for the workspace's turn where servers are full, and dispatches once.
+// start chooses a server, applies admission control and dispatches once. Where
+// the servers are full, it first waits in the fair queue.
 //
 // It returns a nil attempt when nothing was dispatched.
 func (r *router) start(ctx context.Context, j *job) (*attempt, error) {
-	c := r.consider(j)
-	queueing, wait := r.lines.queueing(j, &c)
-	if err := r.admit(j, &c, queueing); err != nil {
+	c := r.evaluate(j)
+	queueTime, wait := r.queues.estimate(j, &c)
+	if err := r.admit(j, &c, queueTime); err != nil {
 		return nil, err
 	}
 	if wait {
-		sent, err := r.lines.wait(ctx, j, &c, queueing)
+		sent, err := r.queues.wait(ctx, j, &c, queueTime)
 		if err != nil {
 			return nil, err
 		}
 		defer sent()
-		c = r.consider(j)
+		c = r.evaluate(j)
 		if err := r.admit(j, &c, 0); err != nil {
 			return nil, err
 		}
@@ -73,10 +74,10 @@
 	return a, r.dispatch(ctx, j, a)
 }
 
-// dispatch sends the attempt to its engine. It fails only with a verdict.Error.
+// dispatch sends the attempt to its engine. Its error is always a verdict.Error.
 func (r *router) dispatch(ctx context.Context, j *job, a *attempt) error {
 	identity := a.server.Announcement().Identity
-	imports := r.imports(ctx, j, a)
+	imports := r.pinImports(ctx, j, a)
 	body, err := withTransfer(j, imports)
 	if err != nil {
 		r.unpin(ctx, a.pins)
@@ -84,15 +85,15 @@
 	}
 	a.load = r.loadOf(j, a)
 	a.imports = imports
-	r.meters.planned(a, imports)
+	r.metrics.planned(a, imports)
 	r.inFlight.add(a.load, 1)
 	r.Work.Sent(r.Now(), a.server.Key(), a.load.tokens)
-	r.sentOnLinks(a, imports)
+	r.recordLinkBytes(a, imports)
 	r.Guard.Started(r.Now(), j.fingerprint, identity)
 	a.sent = r.Now()
 	running, cancel := context.WithCancel(ctx)
 	a.cancel = cancel
-	a.silence = time.AfterFunc(r.patience(j, a), cancel)
+	a.firstTokenTimer = time.AfterFunc(r.firstTokenTimeout(j, a), cancel)
 	if err = r.recheck(j, a); err == nil {
 		a.stream, err = r.Engines.Run(running, a.server.Announcement().Address, engine.Request{
 			ID:            j.ID,
@@ -112,22 +113,23 @@
 	return err
 }
 
-// recheck asks again whether the server may get the request, right before it is sent.
+// recheck checks the server's eligibility again right before the request is sent.
 //
-// Between the choice and the first byte lie pins and perhaps a frozen process;
-// a server that has said meanwhile that it leaves would get work too late.
+// Pinning, or a suspended process, can delay the dispatch after the server was
+// chosen. Without this check, a server that has announced meanwhile that it is
+// leaving would still get the request.
 func (r *router) recheck(j *job, a *attempt) error {
 	v := r.Servers.View()
-	why := v.Recheck(r.Now(), a.server, j.need())
-	if why == membership.Eligible {
+	eligibility := v.Recheck(r.Now(), a.server, j.need())
+	if eligibility == membership.Eligible {
 		return nil
 	}
 	return verdict.New(verdict.NotRun, http.StatusServiceUnavailable, "server-left",
-		"the chosen model engine takes no new work any more").WithCause(errors.New(string(why)))
+		"the chosen model engine takes no new work any more").WithCause(errors.New(string(eligibility)))
 }
 
-// sentOnLinks tells the other entries of the bytes that the imports bring onto the stores' links.
-func (r *router) sentOnLinks(a *attempt, imports []importPiece) {
+// recordLinkBytes records the bytes that the imports add to the stores' links; other entries receive these counts.
+func (r *router) recordLinkBytes(a *attempt, imports []importPiece) {
 	for _, s := range a.view.stores {
 		bytes := int64(0)
 		for _, p := range imports {
@@ -141,21 +143,22 @@
 	}
 }
 
-// patience returns how long the first token is waited for: while another server
-// could answer, a few times what was expected, otherwise until the deadline.
+// firstTokenTimeout returns how long to wait for the first token. While another
+// server could answer, it is a multiple of the expected time; otherwise it
+// extends to the caller's deadline.
 //
-// An engine that computes a long prompt of another request says nothing for
-// seconds. Where there is no other, giving it up turns an answer that would have
-// been in time into a failure that leaves open whether the request has run.
-func (r *router) patience(j *job, a *attempt) time.Duration {
+// An engine that prefills a long prompt of another request sends nothing for
+// seconds. Where it is the only one, abandoning the attempt would turn an answer
+// that would have been in time into a failure with the verdict may-have-run.
+func (r *router) firstTokenTimeout(j *job, a *attempt) time.Duration {
 	if len(a.view.servers) < 2 {
-		return max(j.remaining(r.Now()), silenceFloor)
+		return max(j.remaining(r.Now()), minFirstTokenTimeout)
 	}
-	p := max(silenceFactor*a.decision.TTFT, silenceFloor)
-	return min(p, max(j.remaining(r.Now()), silenceFloor))
+	p := max(firstTokenFactor*a.decision.TTFT, minFirstTokenTimeout)
+	return min(p, max(j.remaining(r.Now()), minFirstTokenTimeout))
 }
 
-// loadOf returns what the attempt adds to its server until its first token.
+// loadOf returns the load that the attempt adds to its server until its first token.
 func (r *router) loadOf(j *job, a *attempt) load {
 	l := load{
 		server: a.server.Announcement().Identity,
@@ -170,13 +173,14 @@
 	return l
 }
 
-// begun takes the attempt out of the work in flight, once, and returns whether it was in.
-func (r *router) begun(ctx context.Context, a *attempt) bool {
-	if a.first {
+// releaseInFlight removes the attempt from the work in flight and releases its pins.
+// It reports whether this call removed it; further calls do nothing.
+func (r *router) releaseInFlight(ctx context.Context, a *attempt) bool {
+	if a.released {
 		return false
 	}
-	a.first = true
-	a.silence.Stop()
+	a.released = true
+	a.firstTokenTimer.Stop()
 	r.inFlight.add(a.load, -1)
 	r.unpin(ctx, a.pins)
 	return true
--- a/internal/entry/completion/config.go
+++ b/internal/entry/completion/config.go
@@ -19,15 +19,15 @@
 	"hornbeamwood/internal/policy/route"
 )
 
-// Cache is the directory of the cell.
+// Cache is the cell's cache directory.
 type Cache interface {
 	// Lookup returns the locations of the keys in their order.
 	Lookup(ctx context.Context, keys []block.Key) directory.Locations
-	// Change tells the holders of the keys about steps in the life of their pieces in stores.
+	// Change reports state changes of pieces in stores to the directory replicas that hold their keys.
 	Change(ctx context.Context, all ...directory.StoreChange)
-	// Pin keeps sealed pieces from being freed and returns for each whether that was granted.
+	// Pin protects sealed pieces from being freed and returns for each whether the pin was granted.
 	Pin(ctx context.Context, all []directory.Pin) []bool
-	// Unpin takes pins back.
+	// Unpin releases pins.
 	Unpin(ctx context.Context, all []directory.Pin)
 }
 
@@ -37,25 +37,25 @@
 	Run(ctx context.Context, address string, r engine.Request) (engine.Stream, error)
 }
 
-// Exports tells engines to write pieces to stores.
+// Exports requests engines to write pieces to stores.
 type Exports interface {
 	// Export returns the result for each piece, in order.
 	Export(ctx context.Context, address string, e Export) ([]ExportResult, error)
 }
 
-// Heads asks stores what they hold.
+// Heads queries stores for the pieces that they hold.
 type Heads interface {
 	// Head returns the sealed piece of a key and false when the store has none.
 	Head(ctx context.Context, address string, k block.Key) (store.Piece, bool, error)
 }
 
-// Servers are the backend servers as this entry knows them.
+// Servers provides the backend servers known to this entry.
 type Servers interface {
-	// View returns all servers as they are known now.
+	// View returns the current view of all servers.
 	View() membership.View
 }
 
-// Config is what a Router needs.
+// Config configures a Router.
 type Config struct {
 	// Servers, Work and Cache are the entry's soft state.
 	Servers Servers
@@ -64,25 +64,25 @@
 	// Engines and Exports talk to engines.
 	Engines Engines
 	Exports Exports
-	// Heads asks stores for pieces that could not be imported.
+	// Heads queries stores for pieces that could not be imported.
 	Heads Heads
-	// Strategy, Admission and Retry decide.
+	// Strategy, Admission and Retry are the policies for routing, admission and retries.
 	Strategy  route.Strategy
 	Admission admission.Policy
 	Retry     retry.Policy
-	// Returns learns which prompts come back.
+	// Returns estimates how likely a prompt is to be reused.
 	Returns placement.Returns
-	// Guard stops requests that crash their servers.
+	// Guard refuses requests that crash their servers.
 	Guard Guard
 	// Entries is the number of entries of the cell.
 	Entries int
-	// Metrics takes the counters; nil for none.
+	// Metrics is the set in which the counters are registered; nil for none.
 	Metrics *metrics.Set
-	// Logger takes the events.
+	// Logger receives the events.
 	Logger log.Interface
 	// Now returns the local time with its monotonic reading.
 	Now func() time.Time
-	// NewAttempt returns an id that is unique for ever.
+	// NewAttempt returns a globally unique attempt ID.
 	NewAttempt func() string
 	// Random is the source of all random choices.
 	Random *rand.Rand
--- a/internal/entry/completion/exporter.go
+++ b/internal/entry/completion/exporter.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// exportTime is how long one export may take.
-	exportTime = 30 * time.Second
-	// maxExports bounds the exports that run at once; what goes beyond is exported when the prompt comes again.
+	// exportTimeout bounds one export.
+	exportTimeout = 30 * time.Second
+	// maxExports bounds the concurrent exports. Further ones are dropped; the pieces are exported when the prompt is reused.
 	maxExports = 32
 )
 
-// Export asks one engine to write pieces to stores.
+// Export is a request to one engine to write pieces to stores.
 type Export struct {
-	// WeightVersion is the version that the pieces were computed with.
+	// WeightVersion is the weight version with which the pieces were computed.
 	WeightVersion string
-	// Deadline is how long the engine may take.
+	// Deadline is the time that the engine has for the export.
 	Deadline time.Duration
-	// Pieces says what goes where.
+	// Pieces lists the pieces with their destinations.
 	Pieces []ExportPiece
 }
 
 // ExportPiece is one piece of an Export.
 type ExportPiece struct {
-	// Key names the piece.
+	// Key identifies the piece.
 	Key block.Key
 	// Store is the store's identity.
 	Store string
@@ -42,24 +42,24 @@
 	Incarnation uint64
 	// Address is the store's IP and port.
 	Address string
-	// Tier is where the store should hold it.
+	// Tier is the tier in which the store should keep the piece.
 	Tier directory.Tier
 }
 
-// ExportResult is what became of one ExportPiece.
+// ExportResult is the result for one ExportPiece.
 type ExportResult struct {
-	// Sealed says that the store has the whole piece under Generation.
+	// Sealed is true when the store holds the complete piece under Generation.
 	Sealed bool
-	// Generation is the store's.
+	// Generation is the generation that the store assigned.
 	Generation uint64
 	// Bytes is the size of the piece.
 	Bytes int64
 }
 
-// exporter runs exports beside the requests that they follow.
+// exporter runs exports in the background after requests have ended.
 type exporter struct {
 	Config
-	meters  *meters
+	metrics *routerMetrics
 	slots   chan struct{}
 	running sync.WaitGroup
 
@@ -67,24 +67,24 @@
 	bytes map[string]int64
 }
 
-func newExporter(c Config, m *meters) *exporter {
-	return &exporter{Config: c, meters: m, slots: make(chan struct{}, maxExports), bytes: make(map[string]int64)}
+func newExporter(c Config, m *routerMetrics) *exporter {
+	return &exporter{Config: c, metrics: m, slots: make(chan struct{}, maxExports), bytes: make(map[string]int64)}
 }
 
 func (x *exporter) wait() {
 	x.running.Wait()
 }
 
-// begin plans the export of what an ended run left in its engine's memory and starts it.
-func (x *exporter) begin(r *router, j *job, a *attempt) {
-	document, ok := j.document()
+// start plans the export of the pieces that a completed run left in its engine's memory, and runs it in the background.
+func (x *exporter) start(r *router, j *job, a *attempt) {
+	document, ok := j.documentKey()
 	if !ok {
 		return
 	}
-	visit := r.visits.seen(document)
+	visit := r.visits.add(document)
 	x.Returns.Seen(j.Workspace, visit)
 	d := placement.Decide(x.input(j, a, visit))
-	e := x.export(j, a, d)
+	e := x.newExport(j, a, d)
 	event.ExportPlanned.Write(x.Logger, log.Fields{
 		"request": j.ID, "workspace": j.Workspace, "engine": a.server.Announcement().Identity,
 		"pieces": len(e.Pieces), "reason": string(d.Reason),
@@ -113,7 +113,7 @@
 	size := x.pieceBytes(j.Model.Name)
 	for i, k := range j.keys {
 		in.Pieces = append(in.Pieces, placement.Piece{
-			Key:    short(k),
+			Key:    keyPrefix(k),
 			Tokens: j.Model.PieceTokens,
 			Bytes:  size,
 			Stored: len(j.locations[i].Stores) > 0,
@@ -125,7 +125,7 @@
 	return in
 }
 
-// placementStore returns a store's room; announcements count it in pieces.
+// placementStore returns a store's free and total memory in bytes; announcements count both in pieces.
 func placementStore(s *membership.Server, size int64) placement.Store {
 	load, _ := s.Load()
 	return placement.Store{
@@ -137,8 +137,8 @@
 	}
 }
 
-func (x *exporter) export(j *job, a *attempt, d placement.Decision) Export {
-	e := Export{WeightVersion: j.Model.WeightVersion, Deadline: exportTime}
+func (x *exporter) newExport(j *job, a *attempt, d placement.Decision) Export {
+	e := Export{WeightVersion: j.Model.WeightVersion, Deadline: exportTimeout}
 	for _, p := range d.Exports {
 		s := a.view.stores[p.Store].Announcement()
 		e.Pieces = append(e.Pieces, ExportPiece{
@@ -160,7 +160,7 @@
 }
 
 func (x *exporter) run(j *job, a *attempt, e Export) {
-	ctx, cancel := context.WithTimeout(context.Background(), exportTime)
+	ctx, cancel := context.WithTimeout(context.Background(), exportTimeout)
 	defer cancel()
 	writing := make([]directory.StoreChange, len(e.Pieces))
 	for i, p := range e.Pieces {
@@ -171,21 +171,21 @@
 	if err != nil {
 		results = nil
 	}
-	ended, sealed := x.ended(j, e, results)
-	x.Cache.Change(context.WithoutCancel(ctx), ended...)
-	x.meters.exported.Add(sealed)
-	x.meters.exportLost.Add(len(e.Pieces) - sealed)
+	final, sealed := x.changes(j, e, results)
+	x.Cache.Change(context.WithoutCancel(ctx), final...)
+	x.metrics.exported.Add(sealed)
+	x.metrics.exportLost.Add(len(e.Pieces) - sealed)
 	event.ExportEnded.Write(x.Logger, log.Fields{"request": j.ID, "sealed": sealed, "pieces": len(e.Pieces)})
 }
 
-// ended returns what became of each piece, and how many the stores hold now.
-func (x *exporter) ended(j *job, e Export, results []ExportResult) (all []directory.StoreChange, sealed int) {
+// changes returns the final state change of each piece, and the number of sealed ones.
+func (x *exporter) changes(j *job, e Export, results []ExportResult) (all []directory.StoreChange, sealed int) {
 	for i, p := range e.Pieces {
 		c := p.change(directory.Writing)
 		c.Failed = true
 		if i < len(results) && results[i].Sealed {
 			sealed++
-			x.learn(j.Model.Name, results[i].Bytes)
+			x.setPieceBytes(j.Model.Name, results[i].Bytes)
 			c = p.change(directory.Sealed)
 			c.Generation, c.Bytes, c.Tier = results[i].Generation, results[i].Bytes, p.Tier
 		}
@@ -200,21 +200,21 @@
 		Incarnation:    p.Incarnation,
 		Key:            p.Key,
 		To:             to,
-		DeadlineMillis: exportTime.Milliseconds(),
+		DeadlineMillis: exportTimeout.Milliseconds(),
 	}
 }
 
-// unknownBytes stands for the size of a model's pieces until a store has told one;
-// it is small, so that the first export is made and tells.
-const unknownBytes = 1
+// initialPieceBytes is the assumed size of a model's pieces until an export has
+// reported one. It is small so that the first export is made and reports the size.
+const initialPieceBytes = 1
 
 func (x *exporter) pieceBytes(model string) int64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return max(x.bytes[model], unknownBytes)
+	return max(x.bytes[model], initialPieceBytes)
 }
 
-func (x *exporter) learn(model string, bytes int64) {
+func (x *exporter) setPieceBytes(model string, bytes int64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.bytes[model] = bytes
--- a/internal/entry/completion/fake_test.go
+++ b/internal/entry/completion/fixture_test.go
@@ -26,7 +26,7 @@
 	"hornbeamwood/internal/settings/rules"
 )
 
-// script is what a fake engine does with one attempt: events, then the error.
+// script is the behaviour of a fake engine for one attempt: events, then the error.
 type script struct {
 	refuse error
 	events []string
@@ -34,7 +34,7 @@
 	hold   chan struct{}
 }
 
-// fakeEngines runs scripts by the address of the engine.
+// fakeEngines runs the script of each engine by its address.
 type fakeEngines struct {
 	mu      sync.Mutex
 	scripts map[string]script
@@ -87,14 +87,14 @@
 func (s *fakeStream) Position() int { return s.position }
 func (s *fakeStream) Close()        {}
 
-// fakeCache knows the locations of some keys and grants all pins but those of refused keys.
+// fakeCache holds the locations of some keys and grants all pins except for refused keys.
 type fakeCache struct {
 	mu      sync.Mutex
 	found   map[block.Key]directory.Location
 	refused map[block.Key]bool
 	pinned  int
 	changes []directory.StoreChange
-	// pinning is called while pins are asked for.
+	// pinning is called while pins are requested.
 	pinning func()
 }
 
@@ -152,7 +152,7 @@
 	return all, nil
 }
 
-// fakeGuard lets everything run and remembers which servers were lost.
+// fakeGuard records which servers were lost and, without refused, lets every request run.
 type fakeGuard struct {
 	mu      sync.Mutex
 	refused error
@@ -171,8 +171,8 @@
 	}
 }
 
-// bench is a router over fakes with some engines and one store.
-type bench struct {
+// fixture is a router with fake dependencies, some engines and one store.
+type fixture struct {
 	router  Router
 	engines *fakeEngines
 	cache   *fakeCache
@@ -181,9 +181,9 @@
 	heads   fakeHeads
 }
 
-func newBench(t *testing.T, engines int, queued int64) *bench {
+func newFixture(t *testing.T, engines int, queued int64) *fixture {
 	t.Helper()
-	b := &bench{
+	b := &fixture{
 		engines: &fakeEngines{scripts: make(map[string]script)},
 		cache:   &fakeCache{found: make(map[block.Key]directory.Location), refused: make(map[block.Key]bool)},
 		guard:   &fakeGuard{},
@@ -216,7 +216,7 @@
 	return "10.0.0." + identity[len(identity)-1:] + ":80"
 }
 
-func (b *bench) announce(t *testing.T, now time.Time, identity string, k announcement.Kind, queued int64) {
+func (b *fixture) announce(t *testing.T, now time.Time, identity string, k announcement.Kind, queued int64) {
 	t.Helper()
 	a := announcement.Announcement{
 		Identity: identity, Incarnation: 1, Sequence: 1, Zone: "tunja", Address: address(identity), Kind: k, State: announcement.Ready,
@@ -235,7 +235,7 @@
 
 const pieceTokens = 16
 
-func newCall(prompt string, priority int) caller.Request {
+func newRequest(prompt string, priority int) caller.Request {
 	tokens := make([]uint32, len(prompt)/4)
 	for i := range tokens {
 		tokens[i] = uint32(prompt[4*i])
--- a/internal/entry/completion/guard.go
+++ b/internal/entry/completion/guard.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Fingerprint names requests that do the same to a backend server: one workspace, one model, one prompt.
+// Fingerprint identifies requests that have the same effect on a backend server: same workspace, model and prompt.
 type Fingerprint [sha256.Size]byte
 
 // FingerprintOf returns the fingerprint of a prompt.
@@ -20,16 +20,16 @@
 	return Fingerprint(h.Sum(nil))
 }
 
-// Guard stops requests that crash the servers that run them.
+// Guard refuses requests that crash the servers that run them.
 type Guard interface {
-	// Name notes whose request a fingerprint is, for the operators' list.
+	// Name records the workspace and model of a fingerprint for the list that operators see.
 	Name(f Fingerprint, workspace, model string)
 	// Check returns nil when the request may run and otherwise its final refusal.
 	Check(now time.Time, f Fingerprint) error
-	// Started notes that a server runs the request.
+	// Started records that a server runs the request.
 	Started(now time.Time, f Fingerprint, server string)
-	// Ended notes that the request has ended at a server, which was lost with it or not.
+	// Ended records that the request has ended at a server; lost says whether the server was lost with it.
 	Ended(ctx context.Context, now time.Time, f Fingerprint, server string, lost bool)
-	// Alone says whether a server runs a suspect request that must not share it.
+	// Alone reports whether a server runs a suspect request, which must not share the server with others.
 	Alone(now time.Time, server string) bool
 }
--- a/internal/entry/completion/imports.go
+++ b/internal/entry/completion/imports.go
@@ -9,7 +9,7 @@
 	"hornbeamwood/internal/policy/route"
 )
 
-// unpin takes pins back beside the request, which has its first token by now.
+// unpin releases pins in the background, because the request no longer depends on them.
 func (r *router) unpin(ctx context.Context, pins []directory.Pin) {
 	if len(pins) == 0 {
 		return
@@ -18,10 +18,10 @@
 	r.running.Go(func() { r.Cache.Unpin(ctx, pins) })
 }
 
-// imports pins the pieces that the plan imports; from the first one on that
-// can't be pinned the prompt is computed instead.
-func (r *router) imports(ctx context.Context, j *job, a *attempt) []importPiece {
-	wanted := r.wanted(j, a)
+// pinImports pins the pieces that the plan pinImports and returns those to import.
+// From the first piece that can't be pinned, the engine computes the prompt.
+func (r *router) pinImports(ctx context.Context, j *job, a *attempt) []importPiece {
+	wanted := r.plannedImports(j, a)
 	if len(wanted) == 0 {
 		return nil
 	}
@@ -41,8 +41,8 @@
 	return wanted
 }
 
-// wanted returns the pieces that the plan imports.
-func (r *router) wanted(j *job, a *attempt) []importPiece {
+// plannedImports returns the pieces that the plan imports.
+func (r *router) plannedImports(j *job, a *attempt) []importPiece {
 	var all []importPiece
 	for i, s := range a.decision.Plan {
 		if s.Source != route.Import {
@@ -73,13 +73,13 @@
 		Store:          p.store,
 		Key:            p.Key,
 		Generation:     p.Generation,
-		Reader:         reader(a.id),
-		DeadlineMillis: pinTime.Milliseconds(),
+		Reader:         readerID(a.id),
+		DeadlineMillis: pinDuration.Milliseconds(),
 	}
 }
 
-// reader returns the number that names an attempt among the readers of a piece.
-func reader(attempt string) uint64 {
+// readerID returns the number that identifies an attempt among the readers of a piece.
+func readerID(attempt string) uint64 {
 	var b [8]byte
 	copy(b[:], attempt)
 	return binary.BigEndian.Uint64(b[:])
--- a/internal/entry/completion/in_flight.go
+++ b/internal/entry/completion/in_flight.go
@@ -6,7 +6,7 @@
 	"hornbeamwood/internal/policy/route"
 )
 
-// inFlight is the work of this entry that has no first token yet, by backend server.
+// inFlight counts, for each backend server, the work of this entry that has no first token yet.
 type inFlight struct {
 	mu   sync.Mutex
 	work map[string]route.Work
@@ -16,7 +16,7 @@
 	return &inFlight{work: make(map[string]route.Work)}
 }
 
-// load is what one attempt adds until its first token.
+// load is the load that one attempt adds until its first token.
 type load struct {
 	server string
 	band   int
--- a/internal/entry/completion/job.go
+++ b/internal/entry/completion/job.go
@@ -9,7 +9,7 @@
 	"hornbeamwood/internal/entry/caller"
 )
 
-// job is one caller's request with what its attempts share.
+// job is one caller's request with the state that its attempts share.
 type job struct {
 	caller.Request
 	fingerprint Fingerprint
@@ -39,22 +39,23 @@
 	return q.Rules.Deadline - now.Sub(q.Received)
 }
 
-// document returns a number that tells the prompt's document, and false for a prompt without a whole piece.
+// documentKey returns a number that identifies the prompt's documentKey, and false for a prompt without a complete piece.
 //
-// The prompts of a workspace often share their first piece, its instructions.
-// Counted by that one, each new document would look like one that returns.
-func (q *job) document() (uint64, bool) {
+// The prompts of a workspace often share their first piece, which holds its
+// instructions. Identified by that piece, each new documentKey would count as a
+// reuse; the number therefore comes from the second piece if there is one.
+func (q *job) documentKey() (uint64, bool) {
 	if len(q.keys) == 0 {
 		return 0, false
 	}
-	return short(q.keys[min(1, len(q.keys)-1)]), true
+	return keyPrefix(q.keys[min(1, len(q.keys)-1)]), true
 }
 
-// exclude keeps later attempts from the server of a failed one.
+// exclude keeps later attempts away from the server of a failed one.
 func (q *job) exclude(a *attempt) {
 	q.excluded[a.server.Announcement().Identity] = true
 }
 
-func short(k block.Key) uint64 {
+func keyPrefix(k block.Key) uint64 {
 	return binary.BigEndian.Uint64(k[:])
 }
--- a/internal/entry/completion/log.go
+++ b/internal/entry/completion/log.go
@@ -57,10 +57,10 @@
 	})
 }
 
-// planLetters stand for the sources of pieces in a log line.
+// planLetters maps the sources of pieces to their letters in the log.
 var planLetters = map[route.Source]byte{route.InMemory: 'm', route.Import: 'i', route.Recompute: 'r'}
 
-// plan returns one letter a piece: m in memory, i import, r recompute.
+// plan returns one letter per piece: m for in memory, i for import, r for recompute.
 func plan(steps []route.Step) string {
 	var b strings.Builder
 	for _, s := range steps {
@@ -69,7 +69,7 @@
 	return b.String()
 }
 
-// estimate is one candidate in a log line.
+// estimate is one candidate in the log.
 type estimate struct {
 	Server string  `json:"server"`
 	TTFT   float64 `json:"ttft"`
--- a/internal/entry/completion/losses.go
+++ b/internal/entry/completion/losses.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// losses remembers when an attempt last failed as if its server were lost.
+// losses records when an attempt last failed in a way that suggests that its server is lost.
 type losses struct {
 	mu sync.Mutex
 	at map[string]time.Time
@@ -21,16 +21,17 @@
 	l.at[server] = now
 }
 
-// since says whether the server failed after it was last heard of.
+// lostAfter reports whether an attempt at the server failed after the server was last seen.
 //
-// Its last announcement counts for seconds after its VM is gone. Without this
-// each request of those seconds would try the lost server first, and all would
-// need a retry from a budget that is made for a few.
-func (l *losses) since(heard time.Time, server string) bool {
+// The last announcement of a server stays valid for seconds after its VM is
+// lost. Without this check, each request in these seconds would try the lost
+// server first, and all of them would need a retry from a budget that is sized
+// for a few.
+func (l *losses) lostAfter(lastSeen time.Time, server string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t, ok := l.at[server]
-	if ok && !t.After(heard) {
+	if ok && !t.After(lastSeen) {
 		delete(l.at, server)
 		return false
 	}
--- a/internal/entry/completion/meters.go
+++ b/internal/entry/completion/metrics.go
@@ -10,19 +10,19 @@
 	"hornbeamwood/internal/policy/route"
 )
 
-// meters count what the router does; docs/OPERATORS.md lists them.
-type meters struct {
+// routerMetrics are the metrics of the router; docs/OPERATORS.md lists them.
+type routerMetrics struct {
 	whole, refused, failed, retried   *metrics.Counter
 	inMemory, imported, recomputed    *metrics.Counter
 	importBytes, exported, exportLost *metrics.Counter
 	firstToken                        *metrics.Histogram
 }
 
-func newMeters(s *metrics.Set) *meters {
+func newRouterMetrics(s *metrics.Set) *routerMetrics {
 	if s == nil {
 		s = metrics.NewSet()
 	}
-	return &meters{
+	return &routerMetrics{
 		whole:       s.NewCounter(`hornbeamwood_completions_total{result="whole"}`),
 		refused:     s.NewCounter(`hornbeamwood_completions_total{result="refused"}`),
 		failed:      s.NewCounter(`hornbeamwood_completions_total{result="failed"}`),
@@ -37,8 +37,8 @@
 	}
 }
 
-// planned counts where the tokens of a dispatched prompt are to come from.
-func (m *meters) planned(a *attempt, imports []importPiece) {
+// planned counts the tokens of a dispatched prompt by their planned source.
+func (m *routerMetrics) planned(a *attempt, imports []importPiece) {
 	by := map[route.Source]*metrics.Counter{route.InMemory: m.inMemory, route.Import: m.imported, route.Recompute: m.recomputed}
 	for i, s := range a.decision.Plan {
 		by[s.Source].Add(a.request.Pieces[i].Tokens)
@@ -49,8 +49,8 @@
 	}
 }
 
-// ended counts how a request ended; io.EOF stands for a whole answer.
-func (m *meters) ended(cause error) {
+// ended counts a request by its result; io.EOF stands for a complete answer.
+func (m *routerMetrics) ended(cause error) {
 	switch {
 	case errors.Is(cause, io.EOF):
 		m.whole.Inc()
--- a/internal/entry/completion/random.go
+++ b/internal/entry/completion/random.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// lockedSource lets several goroutines draw from one source.
+// lockedSource makes a random source safe for concurrent use.
 type lockedSource struct {
 	mu     sync.Mutex
 	source *rand.Rand
--- a/internal/entry/completion/again.go
+++ b/internal/entry/completion/retry.go
@@ -9,22 +9,22 @@
 	"hornbeamwood/internal/policy/retry"
 )
 
-// Codes of failures that say nothing about the server's health.
+// Codes of failures that are no error reported by the server itself.
 const (
 	codeCancelled = "caller-gone"
 	codeSilent    = "engine-silent"
-	// codeUnreachable and codeLost are those of the engine client.
+	// codeUnreachable and codeLost are set by the engine client.
 	codeUnreachable = "engine-unreachable"
 	codeLost        = "stream-lost"
 )
 
-// again decides whether a failed attempt is followed by another one. It
-// returns a nil attempt when there is none, with the error for the caller.
-func (r *router) again(ctx context.Context, j *job, cause error) (*attempt, error) {
+// retryAttempt starts another attempt after a failed one if the retry policy
+// allows it. Otherwise it returns a nil attempt and the error for the caller.
+func (r *router) retryAttempt(ctx context.Context, j *job, cause error) (*attempt, error) {
 	if ctx.Err() != nil {
-		return nil, callerGone(cause).WithVerdict(verdict.Of(cause))
+		return nil, callerCancelled(cause).WithVerdict(verdict.Of(cause))
 	}
-	if j.attempts == 0 || final(cause) {
+	if j.attempts == 0 || callerFault(cause) {
 		return nil, cause
 	}
 	if err := r.Guard.Check(r.Now(), j.fingerprint); err != nil {
@@ -45,27 +45,28 @@
 	if !wait.For(ctx, d.Wait) {
 		return nil, cause
 	}
-	r.meters.retried.Inc()
+	r.metrics.retried.Inc()
 	a, err := r.start(ctx, j)
 	if err != nil && a == nil {
-		return nil, worse(cause, err)
+		return nil, withEarlierVerdict(cause, err)
 	}
 	return a, err
 }
 
-func callerGone(cause error) verdict.Error {
+func callerCancelled(cause error) verdict.Error {
 	return verdict.New(verdict.NotRun, http.StatusServiceUnavailable, codeCancelled, "the caller has gone").WithCause(cause)
 }
 
-// final says whether a failure is the caller's own, which another server would repeat.
-func final(cause error) bool {
+// callerFault reports whether the caller's request caused the failure, so that every server would fail alike.
+func callerFault(cause error) bool {
 	e, ok := verdict.As(cause)
 	return ok && e.Status == http.StatusBadRequest
 }
 
-// worse returns the refusal of a further attempt with the verdict of the
-// earlier ones: that the last one was refused does not undo what may have run.
-func worse(earlier, refusal error) error {
+// withEarlierVerdict returns the refusal of a further attempt with the verdict
+// of the earlier ones: the refusal does not undo what an earlier attempt may
+// have run.
+func withEarlierVerdict(earlier, refusal error) error {
 	e, ok := verdict.As(refusal)
 	if !ok || verdict.Of(earlier) == verdict.NotRun {
 		return refusal
--- a/internal/entry/completion/router.go
+++ b/internal/entry/completion/router.go
@@ -13,7 +13,7 @@
 // Router runs completions.
 type Router interface {
 	caller.Completer
-	// Close ends the work beside requests, exports among it, and returns when it has ended; it is called after the last request.
+	// Close stops the background work and waits for running exports; it is called after the last request.
 	Close()
 }
 
@@ -23,8 +23,8 @@
 	exporter *exporter
 	visits   *visits
 	losses   *losses
-	meters   *meters
-	lines    *lines
+	metrics  *routerMetrics
+	queues   *waitQueues
 	running  sync.WaitGroup
 	cancel   context.CancelFunc
 }
@@ -32,19 +32,19 @@
 // New returns a Router.
 func New(c Config) Router {
 	c.Random = rand.New(&lockedSource{source: c.Random})
-	m := newMeters(c.Metrics)
+	m := newRouterMetrics(c.Metrics)
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &router{
 		Config:   c,
 		cancel:   cancel,
-		meters:   m,
+		metrics:  m,
 		inFlight: newInFlight(),
 		exporter: newExporter(c, m),
 		visits:   newVisits(),
 		losses:   newLosses(),
 	}
-	r.lines = newLines(r)
-	r.running.Go(func() { r.lines.run(ctx) })
+	r.queues = newWaitQueues(r)
+	r.running.Go(func() { r.queues.run(ctx) })
 	return r
 }
 
@@ -57,14 +57,14 @@
 
 // Complete implements caller.Completer.
 func (r *router) Complete(ctx context.Context, q caller.Request) (caller.Stream, error) {
-	if err := fits(q); err != nil {
-		r.meters.ended(err)
+	if err := checkContext(q); err != nil {
+		r.metrics.ended(err)
 		return nil, err
 	}
 	j := r.newJob(q)
 	r.Guard.Name(j.fingerprint, q.Workspace, q.Model.Name)
 	if err := r.Guard.Check(r.Now(), j.fingerprint); err != nil {
-		r.meters.ended(err)
+		r.metrics.ended(err)
 		return nil, err
 	}
 	j.locations = r.Cache.Lookup(ctx, j.keys)
@@ -72,17 +72,17 @@
 	a, err := r.start(ctx, j)
 	for err != nil {
 		if a == nil {
-			r.meters.ended(err)
+			r.metrics.ended(err)
 			return nil, err
 		}
 		j.exclude(a)
-		a, err = r.again(ctx, j, err)
+		a, err = r.retryAttempt(ctx, j, err)
 	}
 	return newStream(ctx, r, j, a), nil
 }
 
-// fits refuses a prompt that is longer than its model's context; an engine would refuse it after it was read and queued.
-func fits(q caller.Request) error {
+// checkContext refuses a prompt that is longer than its model's context; an engine would refuse it only after reading and queueing it.
+func checkContext(q caller.Request) error {
 	limit := q.Model.ContextTokens
 	if limit <= 0 || len(q.Tokens) <= limit {
 		return nil
--- a/internal/entry/completion/router_test.go
+++ b/internal/entry/completion/router_test.go
@@ -20,15 +20,16 @@
 	errEngine  = verdict.New(verdict.MayHaveRun, 502, "engine-failed", "out of memory")
 )
 
-// A server vanishes before its first token. The caller must not notice: the
-// request goes to another server, and the lost one is not asked again first.
+// A server is lost before its first token. The caller must not notice: the
+// request goes to another server, and later requests try the lost one at most
+// once more.
 func TestLostServerBeforeTheFirstToken(t *testing.T) {
 	for name, first := range map[string]script{"no connection": {refuse: errRefused}, "cut before the first event": {end: errLost}} {
-		b := newBench(t, 2, 0)
+		b := newFixture(t, 2, 0)
 		for _, e := range []string{"engine-1", "engine-2"} {
 			b.engines.scripts[address(e)] = script{events: []string{"whole"}}
 		}
-		s, err := b.router.Complete(context.Background(), newCall("which server is first?", 7))
+		s, err := b.router.Complete(context.Background(), newRequest("which server is first?", 7))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,7 +38,7 @@
 		b.engines.scripts[lost] = first
 
 		for range 3 {
-			s, err := b.router.Complete(context.Background(), newCall("short question", 7))
+			s, err := b.router.Complete(context.Background(), newRequest("short question", 7))
 			if err != nil {
 				t.Fatalf("%s: %v", name, err)
 			}
@@ -52,19 +53,20 @@
 			}
 		}
 		if tries > 1 {
-			t.Errorf("%s: the lost server was asked %d times", name, tries)
+			t.Errorf("%s: the lost server was tried %d times", name, tries)
 		}
 	}
 }
 
-// A server vanishes after a part of the answer has gone to the caller. The rest
-// of another run would not fit, so the caller must get an error and no more text.
+// A server is lost after a part of the answer has gone to the caller. The text of
+// another run would not continue it, so the caller must get an error and no more
+// text.
 func TestLostServerAfterTheFirstToken(t *testing.T) {
-	b := newBench(t, 2, 0)
+	b := newFixture(t, 2, 0)
 	for _, e := range []string{"engine-1", "engine-2"} {
 		b.engines.scripts[address(e)] = script{events: []string{"half"}, end: errLost}
 	}
-	s, err := b.router.Complete(context.Background(), newCall("a question", 7))
+	s, err := b.router.Complete(context.Background(), newRequest("a question", 7))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,29 +75,29 @@
 		t.Errorf("got %q, %v after %d runs", got, err, len(b.engines.ran()))
 	}
 	if len(b.guard.lost) != 1 {
-		t.Errorf("the guard heard of %v", b.guard.lost)
+		t.Errorf("the guard got the losses %v", b.guard.lost)
 	}
 }
 
 // An engine answers a prompt with an error, as engines do for many reasons. It
-// lives; the prompt must not be held for one that crashes servers.
+// is still alive, and the prompt must not count as one that crashes servers.
 func TestEngineErrorIsNoLoss(t *testing.T) {
-	b := newBench(t, 1, 0)
+	b := newFixture(t, 1, 0)
 	b.engines.scripts[address("engine-1")] = script{end: errEngine}
-	s, err := b.router.Complete(context.Background(), newCall("a question", 7))
+	s, err := b.router.Complete(context.Background(), newRequest("a question", 7))
 	if err == nil {
 		_, err = drain(s)
 	}
 	if err == nil || len(b.guard.lost) != 0 {
-		t.Errorf("got %v, the guard heard of %v", err, b.guard.lost)
+		t.Errorf("got %v, the guard got the losses %v", err, b.guard.lost)
 	}
 }
 
-// A refusal after an attempt that may have run must not say that nothing ran.
+// A refusal after an attempt that may have run must not carry the verdict not-run.
 func TestRefusalAfterALostAttemptKeepsItsVerdict(t *testing.T) {
-	b := newBench(t, 1, 0)
+	b := newFixture(t, 1, 0)
 	b.engines.scripts[address("engine-1")] = script{end: errLost}
-	s, err := b.router.Complete(context.Background(), newCall("a question", 7))
+	s, err := b.router.Complete(context.Background(), newRequest("a question", 7))
 	if err == nil {
 		_, err = drain(s)
 	}
@@ -104,23 +106,23 @@
 	}
 }
 
-// All prompts of a workspace open with the same instructions. New documents
-// must not count as returns, or the entry fills the stores with what never
-// comes back.
-func TestDocumentsWithCommonInstructionsAreTold(t *testing.T) {
+// All prompts of a workspace begin with the same instructions. New documents
+// must not count as reuse, or the entry would fill the stores with pieces that
+// are never read again.
+func TestDocumentsWithCommonInstructionsAreDistinguished(t *testing.T) {
 	instructions := strings.Repeat("workspace rules ", pieceTokens/4)
-	a := (&router{}).newJob(newCall(instructions+strings.Repeat("dossier one ", 40), 2))
-	b := (&router{}).newJob(newCall(instructions+strings.Repeat("dossier two ", 40), 2))
-	one, _ := a.document()
-	two, _ := b.document()
+	a := (&router{}).newJob(newRequest(instructions+strings.Repeat("dossier one ", 40), 2))
+	b := (&router{}).newJob(newRequest(instructions+strings.Repeat("dossier two ", 40), 2))
+	one, _ := a.documentKey()
+	two, _ := b.documentKey()
 	if a.keys[0] != b.keys[0] || one == two {
 		t.Errorf("documents %d and %d with common first piece %v", one, two, a.keys[0] == b.keys[0])
 	}
 }
 
 func TestPromptBeyondTheContextIsRefused(t *testing.T) {
-	b := newBench(t, 1, 0)
-	q := newCall(strings.Repeat("word", 40), 7)
+	b := newFixture(t, 1, 0)
+	q := newRequest(strings.Repeat("word", 40), 7)
 	q.Model.ContextTokens = 39
 	_, err := b.router.Complete(context.Background(), q)
 	if e, ok := verdict.As(err); !ok || e.Code != "context-length-exceeded" || e.Verdict != verdict.NotRun || len(b.engines.ran()) != 0 {
@@ -128,12 +130,12 @@
 	}
 }
 
-// A caller names pieces for import in its own body. Passed on, they could be
-// another workspace's; only what the entry itself plans may reach the engine.
+// A caller lists pieces to import in its own body. They could belong to another
+// workspace; only imports that the entry itself plans may reach the engine.
 func TestCallersTransferFieldIsReplaced(t *testing.T) {
-	b := newBench(t, 1, 0)
+	b := newFixture(t, 1, 0)
 	b.engines.scripts[address("engine-1")] = script{events: []string{"x"}}
-	s, err := b.router.Complete(context.Background(), newCall("a question", 7))
+	s, err := b.router.Complete(context.Background(), newRequest("a question", 7))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,12 +145,12 @@
 	}
 }
 
-// A piece is being freed at its store while a request that wants to import it
-// is routed. The pieces from there on are computed, and no pin stays behind.
+// A piece is being freed at its store while a request that imports it is routed.
+// That piece and all after it must be computed, and no pin may be left over.
 func TestPieceThatCanNotBePinnedIsComputed(t *testing.T) {
-	b := newBench(t, 1, 0)
+	b := newFixture(t, 1, 0)
 	b.engines.scripts[address("engine-1")] = script{events: []string{"x"}}
-	q := newCall(strings.Repeat("logbook of the station, page ", 20), 7)
+	q := newRequest(strings.Repeat("logbook of the station, page ", 20), 7)
 	keys := block.Scope{Workspace: "gate", Model: "draft", WeightVersion: "v1", PieceTokens: pieceTokens}.Tokens(q.Tokens)
 	for _, k := range keys {
 		b.cache.found[k] = directory.Location{Stores: []directory.Stored{{Store: "store-1", Generation: 5, Bytes: 10}}}
@@ -166,16 +168,16 @@
 	}
 	b.router.Close()
 	if b.cache.pinned != 0 {
-		t.Errorf("%d pins stayed behind", b.cache.pinned)
+		t.Errorf("%d pins were not released", b.cache.pinned)
 	}
 }
 
-// A store has dropped a piece on its own, and the engine says that it could not
-// be imported. Nobody must try that piece again; but one that failed because a
-// connection broke is still there and must not be forgotten.
+// A store has dropped a piece on its own, and the engine reports that the import
+// failed. The directory must remove that piece. A piece whose import failed
+// because of a connection error still exists and must stay in the directory.
 func TestMissedImportIsForgotten(t *testing.T) {
-	b := newBench(t, 1, 0)
-	q := newCall(strings.Repeat("logbook of the station, page ", 20), 7)
+	b := newFixture(t, 1, 0)
+	q := newRequest(strings.Repeat("logbook of the station, page ", 20), 7)
 	keys := block.Scope{Workspace: "gate", Model: "draft", WeightVersion: "v1", PieceTokens: pieceTokens}.Tokens(q.Tokens)
 	for _, k := range keys {
 		b.cache.found[k] = directory.Location{Stores: []directory.Stored{{Store: "store-1", Generation: 5, Bytes: 10}}}
@@ -199,37 +201,37 @@
 	}
 }
 
-// A caller hangs up before the first token, as impatient callers do. Its prompt
-// must not be taken for one that crashes servers, nor its server for lost.
+// A caller disconnects before the first token. Its prompt must not count as one
+// that crashes servers, nor its server as lost.
 func TestCallerThatLeavesIsNoLoss(t *testing.T) {
-	b := newBench(t, 1, 0)
+	b := newFixture(t, 1, 0)
 	slow := make(chan struct{})
 	defer close(slow)
 	b.engines.scripts[address("engine-1")] = script{hold: slow}
-	ctx, leave := context.WithCancel(context.Background())
-	s, err := b.router.Complete(ctx, newCall("a question", 7))
+	ctx, disconnect := context.WithCancel(context.Background())
+	s, err := b.router.Complete(ctx, newRequest("a question", 7))
 	if err != nil {
 		t.Fatal(err)
 	}
-	leave()
+	disconnect()
 	if _, err := drain(s); err == nil {
-		t.Error("a stream without its caller ended whole")
+		t.Error("the stream of a caller that disconnected ended as complete")
 	}
 	s.Close()
 	if len(b.guard.lost) != 0 {
-		t.Errorf("the guard heard of %v", b.guard.lost)
+		t.Errorf("the guard got the losses %v", b.guard.lost)
 	}
 }
 
-// An engine is frozen: it took the request and says nothing. The caller must
-// not wait for its whole deadline while another engine is free.
+// An engine is suspended: it accepted the request and sends nothing. The caller
+// must not wait until its deadline while another engine is free.
 func TestSilentEngineIsGivenUp(t *testing.T) {
-	b := newBench(t, 2, 0)
-	frozen := make(chan struct{})
-	defer close(frozen)
-	b.engines.scripts[address("engine-1")] = script{hold: frozen}
-	b.engines.scripts[address("engine-2")] = script{hold: frozen}
-	s, err := b.router.Complete(context.Background(), newCall("a question", 7))
+	b := newFixture(t, 2, 0)
+	suspended := make(chan struct{})
+	defer close(suspended)
+	b.engines.scripts[address("engine-1")] = script{hold: suspended}
+	b.engines.scripts[address("engine-2")] = script{hold: suspended}
+	s, err := b.router.Complete(context.Background(), newRequest("a question", 7))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -245,16 +247,16 @@
 	}
 }
 
-// The only engine computes another request's long prompt and says nothing to
+// The only engine prefills another request's long prompt and sends nothing for
 // this one for 7 s, well within its deadline of 10 s. The caller must get the
-// answer, and not an error that leaves open whether the request has run.
+// answer, and not an error with the verdict may-have-run.
 func TestBusyEngineIsNotGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 1, 0)
+		b := newFixture(t, 1, 0)
 		busy := make(chan struct{})
 		time.AfterFunc(7*time.Second, func() { close(busy) })
 		b.engines.scripts[address("engine-1")] = script{hold: busy, events: []string{"whole"}}
-		q := newCall("a question", 5)
+		q := newRequest("a question", 5)
 		q.Rules.Deadline = 10 * time.Second
 		s, err := b.router.Complete(context.Background(), q)
 		if err != nil {
@@ -266,14 +268,15 @@
 	})
 }
 
-// A server says that it leaves while the pieces of a request that was given to
-// it are being pinned. It must not get the request; the caller notices nothing.
+// A server announces that it is leaving while the pieces of a request that is
+// routed to it are being pinned. It must not get the request, and the caller must
+// not notice.
 func TestServerThatLeavesBeforeTheDispatch(t *testing.T) {
-	b := newBench(t, 2, 0)
+	b := newFixture(t, 2, 0)
 	for _, e := range []string{"engine-1", "engine-2"} {
 		b.engines.scripts[address(e)] = script{events: []string{"whole"}}
 	}
-	q := newCall(strings.Repeat("logbook of the station, page ", 20), 7)
+	q := newRequest(strings.Repeat("logbook of the station, page ", 20), 7)
 	for i, k := range (block.Scope{Workspace: "gate", Model: "draft", WeightVersion: "v1", PieceTokens: pieceTokens}).Tokens(q.Tokens) {
 		l := directory.Location{Stores: []directory.Stored{{Store: "store-1", Generation: 5, Bytes: 10}}}
 		if i > 0 {
@@ -294,12 +297,12 @@
 	}
 }
 
-// leave announces that an engine leaves.
-func (b *bench) leave(t *testing.T, identity string) {
+// leave announces that an engine is leaving.
+func (b *fixture) leave(t *testing.T, identity string) {
 	t.Helper()
 	s, ok := b.table.View().Server(identity)
 	if !ok {
-		t.Fatalf("%s is not known", identity)
+		t.Fatalf("%s is not in the table", identity)
 	}
 	a := s.Announcement()
 	a.Sequence++
@@ -308,12 +311,12 @@
 }
 
 // announceFree reports that the queue of the engine is empty.
-func (b *bench) announceFree(t *testing.T) {
+func (b *fixture) announceFree(t *testing.T) {
 	t.Helper()
 	v := b.table.View()
 	s, ok := v.Server("engine-1")
 	if !ok {
-		t.Fatal("the engine is not known")
+		t.Fatal("the engine is not in the table")
 	}
 	a := s.Announcement()
 	a.Sequence++
--- a/internal/entry/completion/stream.go
+++ b/internal/entry/completion/stream.go
@@ -8,8 +8,8 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-// stream passes on the events of the attempt that answers. Until the first
-// event has gone to the caller a failed attempt is followed by another.
+// stream forwards the events of the current attempt. Until the first event has
+// gone to the caller, a failed attempt is replaced by another one.
 type stream struct {
 	ctx     context.Context
 	router  *router
@@ -28,34 +28,34 @@
 	for s.ended == nil {
 		b, err := s.attempt.stream.Next()
 		if err == nil {
-			s.begin()
-			s.router.noteMissed(s.ctx, s.attempt, b)
+			s.markFirst()
+			s.router.reportFailedImports(s.ctx, s.attempt, b)
 			return b, nil
 		}
-		s.failed(err)
+		s.handleFailure(err)
 	}
 	return nil, s.ended
 }
 
-// begin notes the first event that goes to the caller.
-func (s *stream) begin() {
-	if s.router.begun(s.ctx, s.attempt) {
+// markFirst records the first event that goes to the caller; later calls change nothing.
+func (s *stream) markFirst() {
+	if s.router.releaseInFlight(s.ctx, s.attempt) {
 		s.router.observe(s.job, s.attempt)
 	}
 	if !s.sent {
-		s.router.meters.firstToken.Update(s.router.Now().Sub(s.job.Received).Seconds())
+		s.router.metrics.firstToken.Update(s.router.Now().Sub(s.job.Received).Seconds())
 	}
 	s.sent = true
 }
 
-// end sets what the stream ends with.
+// end ends the stream with the given result.
 func (s *stream) end(cause error) {
 	s.ended = cause
-	s.router.meters.ended(cause)
+	s.router.metrics.ended(cause)
 }
 
-// failed ends the attempt and either replaces it or ends the stream.
-func (s *stream) failed(cause error) {
+// handleFailure ends the attempt and either replaces it or ends the stream.
+func (s *stream) handleFailure(cause error) {
 	cause = classify(s.ctx, s.attempt, cause)
 	s.router.end(s.ctx, s.job, s.attempt, cause)
 	if s.sent || errors.Is(cause, io.EOF) {
@@ -69,7 +69,7 @@
 			return
 		}
 		s.job.exclude(a)
-		a, err = s.router.again(s.ctx, s.job, err)
+		a, err = s.router.retryAttempt(s.ctx, s.job, err)
 	}
 	s.attempt = a
 }
@@ -79,6 +79,6 @@
 	if s.ended != nil {
 		return
 	}
-	s.end(callerGone(nil).WithVerdict(verdict.MayHaveRun))
+	s.end(callerCancelled(nil).WithVerdict(verdict.MayHaveRun))
 	s.router.end(s.ctx, s.job, s.attempt, s.ended)
 }
--- a/internal/entry/completion/transfer.go
+++ b/internal/entry/completion/transfer.go
@@ -8,10 +8,10 @@
 	"hornbeamwood/internal/cache/block"
 )
 
-// transferField is the field of a completion's body that engines read for KV transfer.
+// transferField is the field of a completion's body that controls KV transfer at the engine.
 const transferField = "kv_transfer_params"
 
-// transfer is the value of transferField; docs/interfaces/cache.md gives it field by field.
+// transfer is the value of transferField; docs/interfaces/cache.md describes its fields.
 type transfer struct {
 	WeightVersion string        `json:"weight-version"`
 	PieceTokens   int           `json:"piece-tokens"`
@@ -30,10 +30,10 @@
 	incarnation uint64
 }
 
-// withTransfer returns the caller's body with the system's own transfer field.
+// withTransfer returns the caller's body with the transfer field of this entry.
 //
-// A field of that name that the caller sent is replaced: with it a caller
-// could name the pieces of another workspace for import.
+// A field of this name in the caller's body is replaced: with it, a caller
+// could import the pieces of another workspace.
 func withTransfer(j *job, imports []importPiece) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(j.Body, &fields); err != nil {
--- a/internal/entry/completion/view.go
+++ b/internal/entry/completion/view.go
@@ -10,7 +10,7 @@
 	"hornbeamwood/internal/policy/route"
 )
 
-// view is what one routing decision sees, with the servers behind its indexes.
+// view is the input of one routing decision, with the servers to which its indexes refer.
 type view struct {
 	cell    route.Cell
 	servers []*membership.Server
@@ -39,7 +39,7 @@
 	return v
 }
 
-// need returns what the request asks of an engine.
+// need returns the requirements of the request on an engine.
 func (q *job) need() membership.Need {
 	return membership.Need{
 		Kind:          announcement.Engine,
@@ -49,7 +49,7 @@
 	}
 }
 
-// peerBand is the band in which the work of other entries counts; they tell sums only.
+// peerBand is the band in which the work of other entries counts, because they report only totals.
 const peerBand = 0
 
 func (r *router) candidate(now time.Time, s *membership.Server) route.Candidate {
@@ -66,7 +66,7 @@
 		InFlight:      r.inFlight.of(a.Identity).With(peerBand, int32(p.PeerRequests), p.PeerTokens),
 		PriorityAware: true,
 		Reserve:       a.Role == reserveRole,
-		Suspect:       r.Guard.Alone(now, a.Identity) || r.losses.since(now.Add(-s.Age(now)), a.Identity),
+		Suspect:       r.Guard.Alone(now, a.Identity) || r.losses.lostAfter(now.Add(-s.Age(now)), a.Identity),
 	}
 	if c.Load.PrefillRate <= 0 {
 		c.Load.PrefillRate = assumedPrefillRate
@@ -75,13 +75,13 @@
 }
 
 const (
-	// reserveRole is the role of servers that are kept free for urgent requests.
+	// reserveRole is the role of servers that are reserved for urgent requests.
 	reserveRole = "status"
-	// assumedPrefillRate is used for a server that reports none, in tokens a second.
+	// assumedPrefillRate, in tokens per second, is used for a server that reports none.
 	assumedPrefillRate = 10_000
 )
 
-// store returns a store's link with what this entry and its peers brought onto it since the report.
+// store returns the state of a store's link, with the bytes that this entry and its peers have added since the store's report.
 func (r *router) store(now time.Time, s *membership.Server) route.Store {
 	a := s.Announcement()
 	load, _ := s.Load()
@@ -95,7 +95,7 @@
 	}
 }
 
-// pieces turns locations into indexes of the view; a store or engine that is not in it is left out.
+// pieces converts locations to indexes of the view; a store or engine that is not in the view is left out.
 func (v *view) pieces(tokens int, found directory.Locations) []route.Piece {
 	engines, stores := index(v.servers), index(v.stores)
 	all := make([]route.Piece, len(found))
@@ -125,7 +125,7 @@
 	return m
 }
 
-// request returns what the routing decision needs to know of the prompt.
+// request returns the prompt's part of the input of the routing decision.
 func (q *job) request(v *view) route.Request {
 	r := route.Request{
 		Workspace: q.Workspace,
@@ -134,7 +134,7 @@
 		Tokens:    max(1, len(q.Tokens)),
 		Pieces:    v.pieces(q.Model.PieceTokens, q.locations),
 	}
-	r.Key, _ = q.document()
+	r.Key, _ = q.documentKey()
 	return r
 }
 
--- a/internal/entry/completion/visits.go
+++ b/internal/entry/completion/visits.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// maxVisits bounds the prompts whose visits are counted.
+// maxVisits bounds the number of documents whose visits are counted.
 const maxVisits = 1 << 16
 
-// visits counts how often each document came.
+// visits counts the requests for each document.
 type visits struct {
 	mu     sync.Mutex
 	counts map[uint64]uint8
@@ -15,12 +15,12 @@
 	return &visits{counts: make(map[uint64]uint8)}
 }
 
-// seen counts one visit and returns its number from 1.
-func (v *visits) seen(key uint64) int {
+// add counts one visit and returns its number, from 1 to 255.
+func (v *visits) add(key uint64) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if _, ok := v.counts[key]; !ok && len(v.counts) >= maxVisits {
-		v.forgetOne()
+		v.evictOne()
 	}
 	if v.counts[key] < 255 {
 		v.counts[key]++
@@ -28,8 +28,8 @@
 	return int(v.counts[key])
 }
 
-// forgetOne drops any one prompt; it then counts as new when it comes again.
-func (v *visits) forgetOne() {
+// evictOne drops an arbitrary document, which counts as new when it is requested again.
+func (v *visits) evictOne() {
 	for k := range v.counts {
 		delete(v.counts, k)
 		return
--- a/internal/entry/completion/lines_test.go
+++ b/internal/entry/completion/wait_queue_test.go
@@ -11,22 +11,23 @@
 	"hornbeamwood/internal/policy/admission"
 )
 
-// Servers are full of long work. Requests wait at the entry for their turn
-// instead of at a server, go when there is room, and leave when their caller does.
+// The servers are saturated with long requests. Further requests wait at the
+// entry instead of at a server. They are sent when there is capacity, and leave
+// the queue when their caller disconnects.
 func TestLongRequestsWaitForTheirTurn(t *testing.T) {
 	const full = 10_000 * 15
-	b := newBench(t, 1, full)
+	b := newFixture(t, 1, full)
 	b.engines.scripts[address("engine-1")] = script{events: []string{"whole"}}
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	var waiting sync.WaitGroup
-	gone := make(chan error, 1)
+	result := make(chan error, 1)
 	waiting.Go(func() {
-		_, err := b.router.Complete(ctx, newCall("a draft whose caller leaves", 2))
-		gone <- err
+		_, err := b.router.Complete(ctx, newRequest("a draft whose caller leaves", 2))
+		result <- err
 	})
 	answers := make(chan string, 1)
 	waiting.Go(func() {
-		s, err := b.router.Complete(context.Background(), newCall("a draft that waits", 2))
+		s, err := b.router.Complete(context.Background(), newRequest("a draft that waits", 2))
 		if err != nil {
 			answers <- err.Error()
 			return
@@ -34,13 +35,13 @@
 		got, _ := drain(s)
 		answers <- got
 	})
-	urgent, err := b.router.Complete(context.Background(), newCall("urgent", 7))
+	urgent, err := b.router.Complete(context.Background(), newRequest("urgent", 7))
 	if err != nil {
-		t.Fatalf("an urgent request does not wait at the entry: %v", err)
+		t.Fatalf("an urgent request must not wait at the entry: %v", err)
 	}
 	_, _ = drain(urgent)
-	leave()
-	if err := <-gone; verdict.Of(err) != verdict.NotRun {
+	disconnect()
+	if err := <-result; verdict.Of(err) != verdict.NotRun {
 		t.Errorf("the caller that left got %v", err)
 	}
 	b.announceFree(t)
@@ -50,18 +51,18 @@
 	waiting.Wait()
 }
 
-// Servers are full and stay so, or take requests and answer none. A request that
-// waits for its turn must get its refusal once it can't make its deadline any
-// more; its caller would otherwise hang until it leaves by itself, and could not
-// tell that nothing has run.
+// The servers stay saturated, or accept requests and answer none. A queued
+// request must be refused once it can't meet its deadline any more. Otherwise its
+// caller would wait until it disconnects by itself, without knowing that nothing
+// has run.
 func TestWaitingRequestEndsBeforeItsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const full = 10_000 * 15
-		b := newBench(t, 1, full)
-		ctx, leave := context.WithTimeout(context.Background(), 10*time.Minute)
-		defer leave()
+		b := newFixture(t, 1, full)
+		ctx, disconnect := context.WithTimeout(context.Background(), 10*time.Minute)
+		defer disconnect()
 		start := time.Now()
-		_, err := b.router.Complete(ctx, newCall("a draft that waits", 2))
+		_, err := b.router.Complete(ctx, newRequest("a draft that waits", 2))
 		e, ok := verdict.As(err)
 		if !ok || e.Verdict != verdict.NotRun || e.Code != string(admission.DeadlineMissed) || e.RetryAfter <= 0 {
 			t.Errorf("got %v", err)
