--- a/internal/entry/caller/bench_test.go
+++ b/internal/entry/caller/bench_test.go
@@ -8,23 +8,23 @@
 	"testing"
 )
 
-// repeated is a stream of the given number of equal events.
-type repeated struct {
-	left int
-	data []byte
+// repeatedEvents is a stream of the given number of identical events.
+type repeatedEvents struct {
+	remaining int
+	data      []byte
 }
 
-func (s *repeated) Next() ([]byte, error) {
-	if s.left == 0 {
+func (s *repeatedEvents) Next() ([]byte, error) {
+	if s.remaining == 0 {
 		return nil, io.EOF
 	}
-	s.left--
+	s.remaining--
 	return s.data, nil
 }
 
-func (s *repeated) Close() {}
+func (s *repeatedEvents) Close() {}
 
-// discard is a response writer that counts bytes only.
+// discard is a response writer that only counts bytes.
 type discard struct {
 	header http.Header
 	bytes  int
@@ -41,11 +41,11 @@
 
 func (d *discard) Flush() {}
 
-// BenchmarkRelay measures one token event from the stream to the caller's connection, without the socket.
+// BenchmarkRelay measures the relay of one token event from the stream to the caller's connection, without the socket.
 func BenchmarkRelay(b *testing.B) {
 	h := New(Config{}).(*handler)
 	x := &exchange{handler: h, writer: &discard{header: http.Header{}}, request: httptest.NewRequest("POST", "/v1/chat/completions", nil)}
-	s := &repeated{left: b.N, data: []byte(chatEvents("token", "x")[0])}
+	s := &repeatedEvents{remaining: b.N, data: []byte(chatEvents("token", "x")[0])}
 	b.ReportAllocs()
 	b.ResetTimer()
 	if err := x.relay(s, false); err != nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// BenchmarkParse measures a body with a prompt of 400,000 bytes, some 100,000 tokens.
+// BenchmarkParse measures the parsing of a body with a prompt of 400,000 bytes, about 100,000 tokens.
 func BenchmarkParse(b *testing.B) {
 	body := []byte(`{"model":"m","messages":[{"role":"user","content":"` + strings.Repeat("logbook ", 50_000) + `"}]}`)
 	b.SetBytes(int64(len(body)))
--- a/internal/entry/caller/body_fields.go
+++ b/internal/entry/caller/body_fields.go
@@ -8,24 +8,24 @@
 	"hornbeamwood/internal/base/jsonscan"
 )
 
-// maxFields bounds the members of an object: each one is compared with those
-// before it, and half a million of them would hold a processor for minutes.
+// maxFields bounds the members of an object. Each name is compared with all
+// earlier ones, so that half a million members would occupy a CPU for minutes.
 const maxFields = 256
 
 var errFields = errors.New("the object has more than 256 members")
 
-// bodyField is one member of a JSON object; its value is kept as it came.
+// bodyField is one member of a JSON object with its raw value.
 type bodyField struct {
 	name  string
 	value []byte
 }
 
-// bodyFields are the members of a JSON object, each name once.
+// bodyFields are the members of a JSON object with distinct names.
 type bodyFields []bodyField
 
-// splitBody returns the members of the object that b holds; of equal names the
-// last one counts, as for engines. A long prompt is looked at once for its
-// syntax and is neither decoded nor copied here.
+// splitBody returns the members of the JSON object in b. Of equal names the last
+// one counts, as in engines. Values are only checked for their syntax and neither
+// decoded nor copied, because prompts can be long.
 func splitBody(b []byte) (bodyFields, error) {
 	if !json.Valid(b) {
 		return nil, jsonscan.ErrSyntax
@@ -45,7 +45,7 @@
 	return slices.IndexFunc(f, func(x bodyField) bool { return x.name == name })
 }
 
-// get returns a member's value as it came, nil when there is none.
+// get returns the raw value of a member, or nil when there is none.
 func (f bodyFields) get(name string) []byte {
 	i := f.index(name)
 	if i < 0 {
--- a/internal/entry/caller/collect.go
+++ b/internal/entry/caller/collect.go
@@ -8,7 +8,7 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-// collect answers a caller that didn't ask for a stream, once the answer is whole.
+// collect reads the stream to its end and answers a caller that didn't request streaming.
 func (x *exchange) collect(s Stream, p protocol) error {
 	whole := newWholeAnswer(p)
 	size := 0
@@ -30,7 +30,7 @@
 		}
 	}
 	if len(whole.choices) == 0 {
-		return notWhole(io.EOF)
+		return endedEarly(io.EOF)
 	}
 	x.writer.Header().Set(verdict.Header, verdict.Ran.String())
 	x.json(http.StatusOK, whole.body())
--- a/internal/entry/caller/completion_body.go
+++ b/internal/entry/caller/completion_body.go
@@ -13,7 +13,7 @@
 	maxTokens  = 1 << 24
 )
 
-// completionBody is a caller's body, taken apart.
+// completionBody is a parsed body.
 type completionBody struct {
 	model     string
 	stream    bool
@@ -23,7 +23,7 @@
 	forward   []byte
 }
 
-// knownFields are the fields that are read; all others go through untouched.
+// knownFields are the fields that the entry reads; all others are forwarded unchanged.
 type knownFields struct {
 	Model               string        `json:"model"`
 	Stream              *bool         `json:"stream"`
@@ -37,7 +37,7 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// parseCompletion returns the body taken apart, or a refusal that names the field.
+// parseCompletion returns the parsed body, or a refusal that names the invalid field.
 func parseCompletion(p protocol, b []byte) (completionBody, error) {
 	fields, err := splitBody(b)
 	if err != nil {
@@ -65,8 +65,9 @@
 	}, nil
 }
 
-// parseKnown reads the known fields by their exact names: the decoder of the
-// standard library also takes "Model" for model, and engines don't.
+// parseKnown reads the known fields by their exact names. The decoder of the
+// standard library matches names regardless of case, so that it accepts "Model"
+// for model, and engines don't.
 func parseKnown(fields bodyFields) (knownFields, error) {
 	var k knownFields
 	targets := []struct {
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// forwardBody returns the body for the engine, always streamed and with usage.
+// forwardBody returns the body for the engine, which always requests streaming with usage.
 func forwardBody(fields bodyFields) ([]byte, error) {
 	var options bodyFields
 	if raw := fields.get("stream_options"); raw != nil && !bytes.Equal(raw, []byte("null")) {
--- a/internal/entry/caller/completion_body_test.go
+++ b/internal/entry/caller/completion_body_test.go
@@ -9,8 +9,8 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-// FuzzCompletionBody holds that whatever callers send is refused as not run, or
-// forwarded as a streamed JSON object with the same model and the same prompt.
+// FuzzCompletionBody checks that each body is either refused as not run or
+// forwarded as a JSON object with streaming and the same model and prompt.
 func FuzzCompletionBody(f *testing.F) {
 	for _, s := range []string{
 		chatBody,
@@ -46,8 +46,8 @@
 	}
 }
 
-// A body has half a million members. Compared with each other, they would hold
-// a processor for minutes, and all other callers of the entry would wait.
+// A body has half a million members. Comparing them with each other would occupy
+// a CPU for minutes and delay all other callers of the entry.
 func TestBodyOfTooManyMembersIsRefused(t *testing.T) {
 	var b strings.Builder
 	b.WriteString(`{"model":"m","prompt":"x"`)
--- a/internal/entry/caller/completions.go
+++ b/internal/entry/caller/completions.go
@@ -11,7 +11,7 @@
 	"hornbeamwood/internal/settings/rules"
 )
 
-// completions answers one completion of the given form.
+// completions returns the function that serves completions of the given protocol.
 func (h *handler) completions(p protocol) func(*exchange) {
 	return func(x *exchange) {
 		if err := x.complete(p); err != nil {
@@ -20,7 +20,7 @@
 	}
 }
 
-// complete answers a completion; an error is one that nothing was answered yet.
+// complete serves a completion; it returns an error only when no answer has been sent yet.
 func (x *exchange) complete(p protocol) error {
 	b, err := x.body(x.largestBody())
 	if err != nil {
@@ -38,11 +38,11 @@
 	if int64(len(b)) > maxBody(r) {
 		return tooLarge(maxBody(r))
 	}
-	leave, err := x.enter(r)
+	done, err := x.enter(r)
 	if err != nil {
 		return err
 	}
-	defer leave()
+	defer done()
 	stream, err := x.handler.Completer.Complete(x.request.Context(), x.newRequest(p, body, model, r))
 	if err != nil {
 		return err
@@ -88,12 +88,12 @@
 	doneEvent  = []byte("data: [DONE]\n\n")
 )
 
-// relay passes the events on. The first one is awaited before the status is
-// sent, so that a refusal still has its own status.
+// relay forwards the events of the stream. It waits for the first one before it
+// sends the status, so that a refusal can still have its own status.
 func (x *exchange) relay(s Stream, usage bool) error {
 	data, err := s.Next()
 	if err != nil {
-		return notWhole(err)
+		return endedEarly(err)
 	}
 	h := x.writer.Header()
 	h.Set("Content-Type", "text/event-stream")
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// end closes a stream by [DONE], or by an error event when the answer isn't whole.
+// end ends a stream with [DONE], or with an error event when the answer isn't complete.
 func (x *exchange) end(out *eventWriter, err error) {
 	if errors.Is(err, io.EOF) {
 		out.finish(doneEvent)
@@ -127,11 +127,11 @@
 		return
 	}
 	_ = out.write(b)
-	x.logBroken(e)
+	x.logErrorEvent(e)
 }
 
-// notWhole returns the refusal for a stream that ended before its first event.
-func notWhole(err error) error {
+// endedEarly returns the refusal for a stream that ended before its first event.
+func endedEarly(err error) error {
 	if errors.Is(err, io.EOF) {
 		return verdict.New(verdict.MayHaveRun, http.StatusBadGateway, "empty-answer", "the answer was empty")
 	}
@@ -140,8 +140,9 @@
 
 var usageField = []byte(`"usage"`)
 
-// isUsageOnly reports whether the event only carries usage, which callers that
-// didn't ask for it don't expect: their clients read the first choice of each event.
+// isUsageOnly reports whether the event carries only usage. Callers that didn't
+// request usage don't expect such an event: their clients read the first choice
+// of each event.
 func isUsageOnly(data []byte) bool {
 	if !bytes.Contains(data, usageField) {
 		return false
--- a/internal/entry/caller/config.go
+++ b/internal/entry/caller/config.go
@@ -17,27 +17,27 @@
 	idBytes        = 12
 )
 
-// Config holds what a Handler needs.
+// Config configures a Handler.
 type Config struct {
-	// Snapshots gives the settings.
+	// Snapshots provides the settings.
 	Snapshots Snapshots
 	// Completer runs completions.
 	Completer Completer
 	// Services calls plain services.
 	Services Services
-	// Tokenizer gives the prompt's tokens; default NewByteTokenizer.
+	// Tokenizer tokenizes prompts; default NewByteTokenizer.
 	Tokenizer Tokenizer
-	// BodyTimeout bounds the time that a body takes to arrive; default 30 s.
+	// BodyTimeout bounds the time to read a body; default 30 s.
 	BodyTimeout time.Duration
-	// HeaderTimeout bounds the time that headers take to arrive; default 10 s.
+	// HeaderTimeout bounds the time to read headers; default 10 s.
 	HeaderTimeout time.Duration
 	// WriteTimeout bounds the time that a caller takes to accept one event or answer; default 2 min.
 	WriteTimeout time.Duration
-	// NewID returns a request id that is unique for ever; default 96 random bits.
+	// NewID returns a globally unique request ID; default 96 random bits.
 	NewID func() string
 	// Now returns the time; default time.Now.
 	Now func() time.Time
-	// Logger gets the events; nil logs nothing.
+	// Logger receives the events; nil disables logging.
 	Logger log.Interface
 }
 
@@ -69,7 +69,7 @@
 	return hex.EncodeToString(b[:])
 }
 
-// Server returns an HTTP server with the bounds on headers that keep slow callers from holding connections for nothing.
+// Server returns an HTTP server for h that limits the size and time of headers, so that slow callers can't hold connections.
 func (c Config) Server(h http.Handler) *http.Server {
 	c = c.withDefaults()
 	return &http.Server{
--- a/internal/entry/caller/doc.go
+++ b/internal/entry/caller/doc.go
@@ -1,6 +1,6 @@
-// Package caller serves callers over HTTP: the usual completion protocol,
-// streamed and not, and plain services.
+// Package caller serves callers over HTTP: the usual completion protocol, with
+// and without streaming, and plain services.
 //
-// Each answer carries the request's id and a verdict; a refusal is the
-// protocol's error object with the verdict beside it.
+// Each answer carries the request's ID and a verdict. A refusal is the protocol's
+// error object with a verdict field next to it.
 package caller
--- a/internal/entry/caller/error_body.go
+++ b/internal/entry/caller/error_body.go
@@ -7,7 +7,7 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-// errorBody is the protocol's error object with the verdict beside it.
+// errorBody is the protocol's error object with the verdict next to it.
 type errorBody struct {
 	Error   errorDetail     `json:"error"`
 	Verdict verdict.Verdict `json:"verdict"`
@@ -28,7 +28,7 @@
 	}
 }
 
-// errorType returns the protocol's word for a status.
+// errorType returns the protocol's error type for a status.
 func errorType(status int) string {
 	switch {
 	case status == http.StatusUnauthorized:
@@ -44,7 +44,7 @@
 	}
 }
 
-// paramError is the cause of a refusal that is due to one field of the body.
+// paramError is the cause of a refusal because of one field of the body.
 type paramError string
 
 // Error returns the field's name.
@@ -61,7 +61,7 @@
 	return &name
 }
 
-// asError returns err as a verdict.Error that promises nothing when it isn't one.
+// asError returns err as a verdict.Error; other errors get the verdict may-have-run.
 func asError(err error) verdict.Error {
 	e, ok := verdict.As(err)
 	if !ok {
@@ -73,7 +73,7 @@
 	return e
 }
 
-func draining() verdict.Error {
+func stopping() verdict.Error {
 	return verdict.New(verdict.NotRun, http.StatusServiceUnavailable, "entry-stopping",
 		"this entry is stopping; another one serves").WithRetryAfter(time.Second)
 }
@@ -90,8 +90,8 @@
 	return verdict.New(verdict.NotRun, http.StatusBadRequest, "invalid-request", format, args...).WithCause(paramError(name))
 }
 
-// unknownModel is the same for a model that doesn't exist and for one of
-// another workspace, so that it tells nothing about other workspaces.
+// unknownModel is the same error for a model that doesn't exist and for one of
+// another workspace, so that it reveals nothing about other workspaces.
 func unknownModel() verdict.Error {
 	return verdict.New(verdict.NotRun, http.StatusNotFound, "model-not-found", "the workspace has no model of this name").
 		WithCause(paramError("model"))
--- a/internal/entry/caller/event_writer.go
+++ b/internal/entry/caller/event_writer.go
@@ -8,7 +8,7 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-// eventWriter writes server-sent events and flushes each.
+// eventWriter writes server-sent events and flushes after each.
 type eventWriter struct {
 	exchange *exchange
 	control  *http.ResponseController
@@ -19,7 +19,7 @@
 	return &eventWriter{exchange: x, control: http.NewResponseController(x.writer)}
 }
 
-// write writes one event; data of several lines gets a field for each line.
+// write writes one event; data with several lines gets a data field for each line.
 func (w *eventWriter) write(data []byte) error {
 	w.buffer = append(w.buffer[:0], dataPrefix...)
 	if bytes.IndexByte(data, '\n') < 0 {
@@ -43,8 +43,8 @@
 	return w.control.Flush()
 }
 
-// logBroken logs a stream that ended with an error event.
-func (x *exchange) logBroken(e verdict.Error) {
+// logErrorEvent logs a stream that ended with an error event.
+func (x *exchange) logErrorEvent(e verdict.Error) {
 	f := x.fields()
 	f["status"] = http.StatusOK
 	f["code"] = e.Code
--- a/internal/entry/caller/exchange.go
+++ b/internal/entry/caller/exchange.go
@@ -17,7 +17,7 @@
 	"hornbeamwood/internal/settings/rules"
 )
 
-// exchange is one request and its answer.
+// exchange is one HTTP request with its answer.
 type exchange struct {
 	handler   *handler
 	writer    http.ResponseWriter
@@ -37,11 +37,11 @@
 	return ctx.Value(exchangeKey{}).(*exchange)
 }
 
-// authorized runs next for a caller whose key is that of a workspace.
+// authorized returns a handler that runs next for callers with the key of a workspace and refuses others.
 func (h *handler) authorized(next func(*exchange)) http.HandlerFunc {
 	return func(_ http.ResponseWriter, r *http.Request) {
 		x := exchangeOf(r.Context())
-		// The mux hands on its own request, which knows the path's parts.
+		// The mux passes its own request, which has the path's wildcard values.
 		x.request = r
 		if err := x.authorize(); err != nil {
 			x.refuse(err)
@@ -54,7 +54,7 @@
 func (x *exchange) authorize() error {
 	snapshot, err := x.handler.Snapshots.Current()
 	if err != nil {
-		return x.early(err)
+		return x.earlyRefusal(err)
 	}
 	key, ok := bearer(x.request)
 	if !ok {
@@ -69,20 +69,21 @@
 	return nil
 }
 
-// enter counts the request in its workspace and returns what to call at its end.
+// enter counts the request as running in its workspace and returns the function to call at its end.
 func (x *exchange) enter(r rules.Rules) (func(), error) {
 	w := x.workspace.Name
-	if !x.handler.running.take(w, r.MaxInFlight) {
-		return nil, x.early(verdict.New(verdict.NotRun, http.StatusTooManyRequests, "too-many-in-flight",
+	if !x.handler.running.acquire(w, r.MaxInFlight) {
+		return nil, x.earlyRefusal(verdict.New(verdict.NotRun, http.StatusTooManyRequests, "too-many-in-flight",
 			"the workspace has %d requests running at this entry", r.MaxInFlight).WithRetryAfter(time.Second))
 	}
-	return func() { x.handler.running.give(w) }, nil
+	return func() { x.handler.running.release(w) }, nil
 }
 
-// early returns the refusal of a request that was looked at no further. Of a
-// keyed call it doesn't say not-run: an earlier send under the key may have
-// run, and a caller that believes otherwise has the work done a second time.
-func (x *exchange) early(err error) error {
+// earlyRefusal returns the refusal of a request that was not examined further. For a
+// call with an Idempotency-Key the verdict is not not-run: an earlier send under
+// the key may have run, and a caller that takes it for not run would have the
+// work done a second time.
+func (x *exchange) earlyRefusal(err error) error {
 	e, ok := verdict.As(err)
 	if !ok || !isKeyed(x.request) {
 		return err
@@ -90,14 +91,14 @@
 	return e.WithVerdict(verdict.MayHaveRun)
 }
 
-// body returns the whole body of at most limit bytes.
+// body reads the whole body, of at most limit bytes.
 func (x *exchange) body(limit int64) ([]byte, error) {
 	if x.request.ContentLength > limit {
 		return nil, tooLarge(limit)
 	}
 	control := http.NewResponseController(x.writer)
-	// Without a deadline, callers that send a byte now and then could hold
-	// all of this VM's memory for bodies.
+	// Without a deadline, callers that send single bytes from time to time
+	// could occupy all memory of this VM with their bodies.
 	_ = control.SetReadDeadline(time.Now().Add(x.handler.BodyTimeout))
 	b, err := io.ReadAll(http.MaxBytesReader(x.writer, x.request.Body, limit))
 	_ = control.SetReadDeadline(time.Time{})
@@ -121,7 +122,7 @@
 	h := x.writer.Header()
 	h.Set(verdict.Header, e.Verdict.String())
 	if e.RetryAfter > 0 {
-		h.Set(headerRetry, retrySeconds(e.RetryAfter))
+		h.Set(headerRetryAfter, retrySeconds(e.RetryAfter))
 	}
 	x.json(e.Status, newErrorBody(e))
 	f := x.fields()
@@ -158,14 +159,14 @@
 	_, _ = x.writer.Write(b)
 }
 
-// extendWrite gives the caller WriteTimeout to accept what is written next.
+// extendWrite moves the write deadline to WriteTimeout from now.
 func (x *exchange) extendWrite() {
 	_ = http.NewResponseController(x.writer).SetWriteDeadline(time.Now().Add(x.handler.WriteTimeout))
 }
 
-// release sends what is buffered and takes the deadline off the connection. Left
-// on, it would fail a later answer to the same caller, of this handler or of
-// another one of the same server, which the caller sees as a lost answer.
+// release flushes the answer and removes the write deadline from the connection.
+// An old deadline would fail a later answer on the same connection, from this
+// handler or another one of the server, and the caller would lose that answer.
 func (x *exchange) release() {
 	control := http.NewResponseController(x.writer)
 	_ = control.Flush()
--- a/internal/entry/caller/fakes_test.go
+++ b/internal/entry/caller/fixture_test.go
@@ -16,7 +16,7 @@
 	"hornbeamwood/internal/settings/rules"
 )
 
-// fixedSnapshots gives one snapshot or one error.
+// fixedSnapshots always returns the same snapshot or error.
 type fixedSnapshots struct {
 	snapshot *rules.Snapshot
 	err      error
@@ -24,21 +24,21 @@
 
 func (f *fixedSnapshots) Current() (*rules.Snapshot, error) { return f.snapshot, f.err }
 
-// fakeCompleter streams the given events and remembers what it was asked.
+// fakeCompleter streams the given events and records the requests.
 type fakeCompleter struct {
-	mu     sync.Mutex
-	asked  []Request
-	events []string
-	last   error
-	err    error
-	gate   chan struct{}
-	closed int
+	mu       sync.Mutex
+	received []Request
+	events   []string
+	last     error
+	err      error
+	gate     chan struct{}
+	closed   int
 }
 
 func (f *fakeCompleter) Complete(ctx context.Context, r Request) (Stream, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asked = append(f.asked, r)
+	f.received = append(f.received, r)
 	if f.err != nil {
 		return nil, f.err
 	}
@@ -48,7 +48,7 @@
 func (f *fakeCompleter) requests() []Request {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]Request(nil), f.asked...)
+	return append([]Request(nil), f.received...)
 }
 
 type fakeStream struct {
@@ -82,17 +82,17 @@
 	s.completer.closed++
 }
 
-// fakeServices answers each call with what it was asked.
+// fakeServices answers each call with its workspace and path, and records the calls.
 type fakeServices struct {
-	mu    sync.Mutex
-	asked []service.Request
-	err   error
+	mu       sync.Mutex
+	received []service.Request
+	err      error
 }
 
 func (f *fakeServices) Call(_ context.Context, r service.Request) (service.Answer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asked = append(f.asked, r)
+	f.received = append(f.received, r)
 	if f.err != nil {
 		return service.Answer{}, f.err
 	}
@@ -102,7 +102,7 @@
 func (f *fakeServices) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.asked)
+	return len(f.received)
 }
 
 func digestOf(key string) [32]byte { return sha256.Sum256([]byte(key)) }
@@ -129,8 +129,8 @@
 	}
 }
 
-// bench is a handler with its fakes behind a real server.
-type bench struct {
+// fixture is a handler with fake dependencies behind an HTTP server.
+type fixture struct {
 	snapshots *fixedSnapshots
 	completer *fakeCompleter
 	services  *fakeServices
@@ -138,8 +138,8 @@
 	server    *httptest.Server
 }
 
-func newBench(t testing.TB, c Config) *bench {
-	b := &bench{
+func newFixture(t testing.TB, c Config) *fixture {
+	b := &fixture{
 		snapshots: &fixedSnapshots{snapshot: sampleSnapshot()},
 		completer: &fakeCompleter{events: chatEvents("Hello", " world")},
 		services:  &fakeServices{},
@@ -173,7 +173,7 @@
 	body   string
 }
 
-func (b *bench) do(t testing.TB, method, path, key, body string, headers ...string) answer {
+func (b *fixture) do(t testing.TB, method, path, key, body string, headers ...string) answer {
 	t.Helper()
 	r, err := http.NewRequest(method, b.server.URL+path, strings.NewReader(body))
 	if err != nil {
--- a/internal/entry/caller/handler.go
+++ b/internal/entry/caller/handler.go
@@ -10,9 +10,9 @@
 
 // Headers of requests and answers.
 const (
-	HeaderRequest = "Hornbeamwood-Request"
-	HeaderKey     = "Idempotency-Key"
-	headerRetry   = "Retry-After"
+	HeaderRequest    = "Hornbeamwood-Request"
+	HeaderKey        = "Idempotency-Key"
+	headerRetryAfter = "Retry-After"
 )
 
 const servicesPrefix = "/services/"
@@ -20,7 +20,7 @@
 // Handler serves callers.
 type Handler interface {
 	http.Handler
-	// Drain refuses new requests and waits until the running ones have ended; an error means that ctx ended first.
+	// Drain refuses new requests and waits until the running ones have ended; it returns an error when ctx ends first.
 	Drain(ctx context.Context) error
 	// InFlight returns the number of running requests.
 	InFlight() int
@@ -31,14 +31,14 @@
 type handler struct {
 	Config
 	mux     *http.ServeMux
-	gate    *gate
+	gate    *drainGate
 	running *running
 	keys    keyIndexCache
 }
 
 // New returns a Handler; missing values of c get their defaults.
 func New(c Config) Handler {
-	h := &handler{Config: c.withDefaults(), mux: http.NewServeMux(), gate: newGate(), running: &running{}}
+	h := &handler{Config: c.withDefaults(), mux: http.NewServeMux(), gate: newDrainGate(), running: &running{}}
 	h.mux.HandleFunc("POST /v1/chat/completions", h.authorized(h.completions(chatProtocol)))
 	h.mux.HandleFunc("POST /v1/completions", h.authorized(h.completions(textProtocol)))
 	h.mux.HandleFunc("GET /v1/models", h.authorized(h.models))
@@ -55,7 +55,7 @@
 	defer x.release()
 	if !h.gate.enter() {
 		w.Header().Set("Connection", "close")
-		x.refuse(x.early(draining()))
+		x.refuse(x.earlyRefusal(stopping()))
 		return
 	}
 	defer h.gate.leave()
@@ -69,7 +69,7 @@
 
 // InFlight implements Handler.
 func (h *handler) InFlight() int {
-	return h.gate.inside()
+	return h.gate.running()
 }
 
 // InFlightOf implements Handler.
@@ -88,7 +88,7 @@
 	x.refuse(verdict.New(verdict.NotRun, http.StatusNotFound, "unknown-path", "there is nothing under this path"))
 }
 
-// isKeyed reports whether r may be a resend of a call that has run.
+// isKeyed reports whether r is a service call with an Idempotency-Key, and so possibly a resend of a call that has run.
 func isKeyed(r *http.Request) bool {
 	return r.Header.Get(HeaderKey) != "" && strings.HasPrefix(r.URL.Path, servicesPrefix)
 }
--- a/internal/entry/caller/handler_test.go
+++ b/internal/entry/caller/handler_test.go
@@ -13,7 +13,7 @@
 const chatBody = `{"model":"draft","messages":[{"role":"user","content":"Hi"}],"future":{"a":[1]}}`
 
 func TestWholeAnswerOfTheProtocol(t *testing.T) {
-	b := newBench(t, Config{})
+	b := newFixture(t, Config{})
 	a := b.do(t, "POST", "/v1/chat/completions", "key-1", chatBody)
 	var got struct {
 		Object  string
@@ -35,14 +35,14 @@
 	if a.header.Get(HeaderRequest) == "" || a.header.Get(verdict.Header) != "ran" {
 		t.Errorf("headers %v", a.header)
 	}
-	asked := b.completer.requests()[0]
-	if asked.Workspace != "certilote" || !strings.Contains(string(asked.Body), `"future":{"a":[1]}`) || !strings.Contains(string(asked.Body), `"stream":true`) {
-		t.Errorf("asked %s for %s", asked.Body, asked.Workspace)
+	request := b.completer.requests()[0]
+	if request.Workspace != "certilote" || !strings.Contains(string(request.Body), `"future":{"a":[1]}`) || !strings.Contains(string(request.Body), `"stream":true`) {
+		t.Errorf("request %s for %s", request.Body, request.Workspace)
 	}
 }
 
 func TestStreamOfTheProtocol(t *testing.T) {
-	b := newBench(t, Config{})
+	b := newFixture(t, Config{})
 	plain := b.do(t, "POST", "/v1/chat/completions", "key-1", `{"model":"draft","stream":true,"messages":[{"role":"user","content":[{"type":"text","text":"Hi"}]}]}`)
 	if plain.status != 200 || !strings.HasSuffix(plain.body, "data: [DONE]\n\n") || strings.Contains(plain.body, "usage") || strings.Count(plain.body, "data: ") != 3 {
 		t.Errorf("got %+v", plain)
@@ -53,11 +53,11 @@
 	}
 }
 
-// The engine is lost in the middle of a streamed answer. The caller must see an
-// error event and no [DONE]: a client that reads to the end would otherwise
-// take half a certificate for a whole one.
+// The engine is lost in the middle of a streamed answer. The caller must get an
+// error event and no [DONE]; otherwise a client that reads to the end would take
+// a truncated answer for a complete one.
 func TestBrokenStreamEndsWithAnErrorEvent(t *testing.T) {
-	b := newBench(t, Config{})
+	b := newFixture(t, Config{})
 	b.completer.last = verdict.New(verdict.MayHaveRun, 502, "stream-lost", "lost")
 	a := b.do(t, "POST", "/v1/chat/completions", "key-1", `{"model":"draft","stream":true,"messages":[{"role":"user","content":"Hi"}]}`)
 	if strings.Contains(a.body, "[DONE]") || !strings.Contains(a.body, `"code":"stream-lost"`) || !strings.Contains(a.body, `"verdict":"may-have-run"`) {
@@ -77,9 +77,9 @@
 	code                          string
 }
 
-// Programs send what they shouldn't: too much, no JSON, names of others. Each
-// gets an error of the protocol's shape, nothing runs, and no name of another
-// workspace shows.
+// Callers send invalid requests: too large, malformed, or with names of other
+// workspaces. Each gets an error object of the protocol, nothing runs, and the
+// answer contains no name of another workspace.
 func TestBadRequestsAreRefusedBeforeAnythingRuns(t *testing.T) {
 	chat := "/v1/chat/completions"
 	cases := []refusalCase{
@@ -103,7 +103,7 @@
 		{"unknown path", "GET", "/v2/x", "", "", nil, 404, "unknown-path"},
 		{"wrong method", "GET", chat, "key-1", "", nil, 405, "method-not-allowed"},
 	}
-	b := newBench(t, Config{})
+	b := newFixture(t, Config{})
 	for _, c := range cases {
 		a := b.do(t, c.method, c.path, c.key, c.body, c.headers...)
 		var e errorBody
@@ -115,7 +115,7 @@
 			t.Errorf("%s: got %+v", c.name, a)
 		}
 		if strings.Contains(a.body, "other") || strings.Contains(a.body, "secret") || strings.Contains(a.body, "hidden") {
-			t.Errorf("%s: the answer names what belongs to others: %s", c.name, a.body)
+			t.Errorf("%s: the answer contains names of another workspace: %s", c.name, a.body)
 		}
 	}
 	if len(b.completer.requests()) != 0 || b.services.count() != 0 {
@@ -124,19 +124,19 @@
 }
 
 func TestServiceCallGoesThrough(t *testing.T) {
-	b := newBench(t, Config{})
+	b := newFixture(t, Config{})
 	a := b.do(t, "POST", "/services/stamps/lots/7%2F8?plant=a", "key-1", "body", HeaderKey, "k")
 	if a.status != 200 || a.body != "certilote/lots/7%2F8?plant=a" {
 		t.Fatalf("got %+v", a)
 	}
-	r := b.services.asked[0]
+	r := b.services.received[0]
 	if r.Key != "k" || string(r.Body) != "body" || !r.Rules.NonIdempotent || r.ID != a.header.Get(HeaderRequest) {
 		t.Errorf("got %+v", r)
 	}
 }
 
 func TestModelsAreThoseOfTheWorkspace(t *testing.T) {
-	b := newBench(t, Config{})
+	b := newFixture(t, Config{})
 	if a := b.do(t, "GET", "/v1/models", "key-1", ""); !strings.Contains(a.body, `"draft"`) || strings.Contains(a.body, "secret") {
 		t.Errorf("got %s", a.body)
 	}
@@ -145,12 +145,11 @@
 	}
 }
 
-// The entry can't prove that its settings are in force, or a workspace has as
-// many requests running as it may. The refusal is final and says when to come
-// back; of a keyed call it doesn't claim that nothing ran, because an earlier
+// The entry's settings lease has expired. The refusal carries Retry-After. For a
+// call with an Idempotency-Key the verdict is may-have-run, because an earlier
 // send through another entry may have run.
-func TestRefusalsForNowSayWhenToComeBack(t *testing.T) {
-	b := newBench(t, Config{})
+func TestTemporaryRefusalsCarryRetryAfter(t *testing.T) {
+	b := newFixture(t, Config{})
 	b.snapshots.err = verdict.New(verdict.NotRun, 503, "settings-lease", "out").WithRetryAfter(1500 * time.Millisecond)
 	a := b.do(t, "POST", "/v1/chat/completions", "key-1", chatBody)
 	if a.status != 503 || a.header.Get("Retry-After") != "2" || a.header.Get(verdict.Header) != "not-run" {
@@ -162,10 +161,11 @@
 	}
 }
 
-// A workspace floods an entry. What is beyond its limit is refused at once, and
-// other workspaces and the requests that run already don't notice.
+// A workspace sends more requests than its limit. Those beyond the limit are
+// refused immediately. The running requests and other workspaces are not
+// affected.
 func TestInFlightLimit(t *testing.T) {
-	b := newBench(t, Config{})
+	b := newFixture(t, Config{})
 	b.completer.gate = make(chan struct{})
 	answers := make(chan answer, 3)
 	for range 2 {
@@ -185,7 +185,7 @@
 	await(t, func() bool { return b.handler.InFlightOf("certilote") == 0 })
 }
 
-// await returns when the condition holds.
+// await waits until the condition holds.
 func await(t *testing.T, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
--- a/internal/entry/caller/interfaces.go
+++ b/internal/entry/caller/interfaces.go
@@ -7,23 +7,23 @@
 	"hornbeamwood/internal/settings/rules"
 )
 
-// Snapshots gives the settings in force.
+// Snapshots provides the settings in force.
 type Snapshots interface {
-	// Current returns the settings that new work runs under; a verdict.Error when their lease ran out.
+	// Current returns the settings for new requests, or a verdict.Error when their lease has expired.
 	Current() (*rules.Snapshot, error)
 }
 
 // Completer runs completions.
 type Completer interface {
-	// Complete returns the stream of one completion or a verdict.Error; the run ends with ctx.
+	// Complete returns the stream of one completion or a verdict.Error; when ctx ends, the run is cancelled.
 	Complete(ctx context.Context, r Request) (Stream, error)
 }
 
 // Stream is one completion's answer.
 type Stream interface {
-	// Next returns the JSON of the next event, valid until the next call; io.EOF after the whole answer; else a verdict.Error.
+	// Next returns the JSON of the next event, valid until the next call. Its error is io.EOF after a complete answer, otherwise a verdict.Error.
 	Next() ([]byte, error)
-	// Close ends the stream and cancels the run when it isn't whole.
+	// Close ends the stream and cancels the run if it isn't complete.
 	Close()
 }
 
@@ -35,6 +35,6 @@
 
 // Tokenizer turns prompts into tokens for routing.
 type Tokenizer interface {
-	// Tokens returns the tokens of the prompt; a prompt's prefix of whole pieces gives a prefix of its tokens.
+	// Tokens returns the tokens of the prompt; a prefix of whole pieces of the prompt has a prefix of its tokens.
 	Tokens(prompt []byte) []uint32
 }
--- a/internal/entry/caller/apart_test.go
+++ b/internal/entry/caller/isolation_test.go
@@ -27,7 +27,7 @@
 
 const fixedSeed = 20261203
 
-// sectionLog is a log of one replica that commits at once.
+// sectionLog is a single-replica log that commits immediately.
 type sectionLog struct {
 	mu      sync.Mutex
 	section state.Section
@@ -45,7 +45,7 @@
 	return l.section.Query(body)
 }
 
-// echo is a service that answers with the workspace and the body.
+// echo is a service that returns the workspace and the body.
 type echo struct {
 	server *httptest.Server
 }
@@ -63,12 +63,12 @@
 	return service.Server{Identity: "echo", Address: strings.TrimPrefix(e.server.URL, "http://")}, nil
 }
 
-// tenant is one workspace of a random pair.
+// tenant is one workspace of a generated pair.
 type tenant struct {
 	name, key, model, service string
 }
 
-// pair returns two workspaces whose models and services have equal or different names.
+// pair returns two workspaces whose models and services have, at random, equal or different names.
 func pair(r *rand.Rand) (tenant, tenant, *rules.Snapshot) {
 	a := tenant{name: "alpha-plant", key: "key-a", model: "draft", service: "stamps"}
 	b := tenant{name: "beta-mill", key: "key-b", model: "draft", service: "stamps"}
@@ -90,46 +90,46 @@
 	return a, b, s
 }
 
-// Two customers use the same words for everything: models, services, prompts
+// Two workspaces use the same names for everything: models, services, prompts
 // and Idempotency-Keys. Neither may get the other's answer or have its call
-// taken for a resend of the other's, and no error or log line of one names
-// what belongs to the other.
+// treated as a resend of the other's call. No error and no log entry of one may
+// contain names of the other.
 func TestWorkspacesStayApart(t *testing.T) {
 	e := newEcho()
 	defer e.server.Close()
 	parameters := gopter.DefaultTestParametersWithSeed(fixedSeed)
 	parameters.MinSuccessfulTests = 100
 	properties := gopter.NewProperties(parameters)
-	properties.Property("answers, records, errors and logs are one's own", prop.ForAllNoShrink(func(seed uint64) string {
-		return apart(t, e, rand.New(rand.NewPCG(seed, 6)))
+	properties.Property("answers, records, errors and logs belong to the calling workspace", prop.ForAllNoShrink(func(seed uint64) string {
+		return checkIsolation(t, e, rand.New(rand.NewPCG(seed, 6)))
 	}, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
-func apart(t *testing.T, e *echo, r *rand.Rand) string {
+func checkIsolation(t *testing.T, e *echo, r *rand.Rand) string {
 	one, two, snapshot := pair(r)
-	lines := memory.New()
-	logger := &log.Logger{Handler: lines, Level: log.DebugLevel}
+	entries := memory.New()
+	logger := &log.Logger{Handler: entries, Level: log.DebugLevel}
 	calls := service.New(service.Config{Log: &sectionLog{section: ledger.New()}, Picker: e, Entry: "e", Incarnation: 1, Logger: logger})
 	completer := &fakeCompleter{events: chatEvents("Hi")}
 	h := New(Config{Snapshots: &fixedSnapshots{snapshot: snapshot}, Completer: completer, Services: calls, Logger: logger})
 	server := httptest.NewServer(h)
 	defer server.Close()
-	b := &bench{server: server}
+	b := &fixture{server: server}
 	for range 12 {
 		me, other := one, two
 		if r.IntN(2) == 0 {
 			me, other = two, one
 		}
-		before := len(lines.Entries)
-		a, want := ask(t, b, r, me, other)
+		before := len(entries.Entries)
+		a, want := sendRandom(t, b, r, me, other)
 		await(t, func() bool { return h.InFlight() == 0 && calls.Open() == 0 })
-		text := fmt.Sprint(a.header, a.body, linesSince(lines, before))
+		text := fmt.Sprint(a.header, a.body, entriesSince(entries, before))
 		if want != "" && a.body != want {
 			return fmt.Sprintf("%s got %q instead of %q", me.name, a.body, want)
 		}
 		if strings.Contains(text, other.name) || (a.status >= 400 && other.model != me.model && strings.Contains(a.body, other.model)) {
-			return fmt.Sprintf("%s reads of the other in %s", me.name, text)
+			return fmt.Sprintf("%s sees a name of the other workspace in %s", me.name, text)
 		}
 		for _, q := range completer.requests() {
 			if suspicion.Of(q.Workspace, q.Model.Name, q.Prompt) == suspicion.Of(two.name, two.model, []byte("user\x00Hi\x00")) && q.Workspace != two.name {
@@ -140,8 +140,8 @@
 	return ""
 }
 
-// ask sends one random request of me and returns the answer and the body that it must have, empty for any.
-func ask(t *testing.T, b *bench, r *rand.Rand, me, other tenant) (answer, string) {
+// sendRandom sends one random request of me and returns the answer and the expected body, empty for any.
+func sendRandom(t *testing.T, b *fixture, r *rand.Rand, me, other tenant) (answer, string) {
 	switch r.IntN(5) {
 	case 0:
 		body := fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":"Hi"}]}`, me.model)
@@ -158,7 +158,7 @@
 	}
 }
 
-func linesSince(h *memory.Handler, n int) string {
+func entriesSince(h *memory.Handler, n int) string {
 	var b strings.Builder
 	for _, e := range h.Entries[n:] {
 		fmt.Fprintln(&b, e.Message, e.Fields)
--- a/internal/entry/caller/key_index.go
+++ b/internal/entry/caller/key_index.go
@@ -30,8 +30,8 @@
 	return i
 }
 
-// newKeyIndex returns the index of s. A key of two workspaces belongs to
-// neither: taking either would show one workspace the other's data.
+// newKeyIndex returns the index of s. A key that two workspaces share is valid
+// for neither: choosing one of them could give access to the data of the other.
 func newKeyIndex(s *rules.Snapshot) *keyIndex {
 	i := &keyIndex{snapshot: s, owners: map[[sha256.Size]byte]string{}}
 	shared := map[[sha256.Size]byte]bool{}
@@ -51,8 +51,8 @@
 
 // workspace returns the workspace whose key is given.
 //
-// Only digests are looked up and compared, so that the time that it takes
-// tells nothing about a key; the digests are compared in constant time too.
+// Only digests are looked up and compared, and the comparison takes constant
+// time, so that the timing reveals nothing about a key.
 func (i *keyIndex) workspace(key string) (rules.Workspace, bool) {
 	digest := sha256.Sum256([]byte(key))
 	name, ok := i.owners[digest]
@@ -68,7 +68,7 @@
 	return w, equal == 1
 }
 
-// bearer returns the key in the header Authorization.
+// bearer returns the bearer token of the Authorization header.
 func bearer(r *http.Request) (string, bool) {
 	scheme, key, ok := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") {
--- a/internal/entry/caller/prompt.go
+++ b/internal/entry/caller/prompt.go
@@ -15,7 +15,7 @@
 	calls   []byte
 }
 
-// parseMessage takes the text of a message apart.
+// parseMessage returns the role, content and tool calls of a message.
 func parseMessage(raw []byte) (message, error) {
 	var m message
 	err := jsonscan.Members(raw, func(name, value []byte) (err error) {
@@ -47,8 +47,8 @@
 	errPrompt   = errors.New("prompt must be a string or a list of strings or tokens")
 )
 
-// chatPrompt returns roles and texts one after the other, each closed by a zero
-// byte, so that no text can pass for a role.
+// chatPrompt returns the roles and texts of the messages in order. Each is
+// terminated by a zero byte, so that a text can't be mistaken for a role.
 func chatPrompt(raw []byte) ([]byte, error) {
 	var b bytes.Buffer
 	b.Grow(len(raw))
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// appendPart adds a part's text, or the whole part when it isn't text: two
-// prompts that differ in a picture only must not look equal.
+// appendPart appends the text of a part, or the whole part if it isn't text:
+// prompts that differ only in an image must not be equal.
 func appendPart(b *bytes.Buffer, raw json.RawMessage) error {
 	var p part
 	if json.Unmarshal(raw, &p) != nil {
@@ -106,7 +106,7 @@
 	return json.Compact(b, raw)
 }
 
-// textPrompt returns the prompt's text; a list is taken as its compact JSON.
+// textPrompt returns the prompt's text; for a list, it returns the compact JSON.
 func textPrompt(raw []byte) ([]byte, error) {
 	if text, err := jsonscan.Text(raw); err == nil {
 		return text, nil
--- a/internal/entry/caller/protocol.go
+++ b/internal/entry/caller/protocol.go
@@ -1,6 +1,6 @@
 package caller
 
-// protocol is one of the two forms of a completion.
+// protocol describes one of the two completion protocols.
 type protocol struct {
 	path        string
 	object      string
--- a/internal/entry/caller/running.go
+++ b/internal/entry/caller/running.go
@@ -5,13 +5,13 @@
 	"sync/atomic"
 )
 
-// running counts each workspace's running requests.
+// running counts the running requests of each workspace.
 type running struct {
 	counts sync.Map
 }
 
-// take adds one request and reports whether the limit allows it; zero is no limit.
-func (r *running) take(workspace string, limit int) bool {
+// acquire counts one more request and reports whether the limit allows it; zero means no limit.
+func (r *running) acquire(workspace string, limit int) bool {
 	c := r.counter(workspace)
 	if n := c.Add(1); limit > 0 && n > int64(limit) {
 		c.Add(-1)
@@ -20,7 +20,7 @@
 	return true
 }
 
-func (r *running) give(workspace string) {
+func (r *running) release(workspace string) {
 	r.counter(workspace).Add(-1)
 }
 
--- a/internal/entry/caller/services.go
+++ b/internal/entry/caller/services.go
@@ -11,7 +11,7 @@
 	"hornbeamwood/internal/settings/rules"
 )
 
-// service answers one call of a plain service.
+// service serves one call of a plain service.
 func (h *handler) service(x *exchange) {
 	answer, err := x.callService()
 	if err != nil {
@@ -44,11 +44,11 @@
 	if err := checkKey(x.request.Header, r); err != nil {
 		return service.Answer{}, err
 	}
-	leave, err := x.enter(r)
+	done, err := x.enter(r)
 	if err != nil {
 		return service.Answer{}, err
 	}
-	defer leave()
+	defer done()
 	body, err := x.body(maxBody(r))
 	if err != nil {
 		return service.Answer{}, err
@@ -66,7 +66,7 @@
 	})
 }
 
-// checkKey refuses a non-idempotent call without a usable Idempotency-Key, before anything happens.
+// checkKey refuses a non-idempotent call without a valid Idempotency-Key.
 func checkKey(h http.Header, r rules.Rules) error {
 	keys := h.Values(HeaderKey)
 	if len(keys) == 0 && !r.NonIdempotent {
@@ -79,7 +79,7 @@
 		"the service runs each call at most once and needs one Idempotency-Key of 1 to %d bytes", ledger.MaxKey)
 }
 
-// servicePath returns the path at the service with the caller's query, escaped as the caller escaped it.
+// servicePath returns the path for the service with the query; both keep the caller's escaping.
 func servicePath(r *http.Request, name string) string {
 	path := strings.TrimPrefix(r.URL.EscapedPath(), servicesPrefix)
 	if _, rest, ok := strings.Cut(path, "/"); ok {
--- a/internal/entry/caller/slow_test.go
+++ b/internal/entry/caller/slow_test.go
@@ -16,7 +16,7 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-func dial(t *testing.T, b *bench) net.Conn {
+func dial(t *testing.T, b *fixture) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(b.server.URL, "http://"))
 	if err != nil {
@@ -26,11 +26,11 @@
 	return c
 }
 
-// A caller sends its headers, then half a body and no more. It is refused when
-// its time is over; without that, a few thousand such callers would hold an
-// entry's memory and connections for nothing.
+// A caller sends its headers and only a part of its body. It is refused after
+// BodyTimeout; otherwise a few thousand such callers could occupy an entry's
+// memory and connections.
 func TestSlowBodyIsRefused(t *testing.T) {
-	b := newBench(t, Config{BodyTimeout: 50 * time.Millisecond})
+	b := newFixture(t, Config{BodyTimeout: 50 * time.Millisecond})
 	c := dial(t, b)
 	fmt.Fprint(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-1\r\nContent-Length: 100\r\n\r\n{\"model\"")
 	response, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -42,9 +42,9 @@
 	}
 }
 
-// A caller sends one header line and no more; its connection ends with its time.
+// A caller sends only one header line; its connection is closed after HeaderTimeout.
 func TestSlowHeaderEndsTheConnection(t *testing.T) {
-	b := newBench(t, Config{HeaderTimeout: 50 * time.Millisecond})
+	b := newFixture(t, Config{HeaderTimeout: 50 * time.Millisecond})
 	c := dial(t, b)
 	fmt.Fprint(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n")
 	if _, err := io.ReadAll(c); err != nil {
@@ -55,10 +55,10 @@
 	}
 }
 
-// A body breaks off, or is longer than the length that the workspace may send,
-// without saying so before.
+// A body is truncated, or is longer than the workspace's limit without a
+// Content-Length.
 func TestBrokenAndEndlessBodies(t *testing.T) {
-	b := newBench(t, Config{})
+	b := newFixture(t, Config{})
 	c := dial(t, b)
 	fmt.Fprint(c, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-1\r\nTransfer-Encoding: chunked\r\n\r\n")
 	for range 10 {
@@ -82,10 +82,11 @@
 	}
 }
 
-// A VM is stopped while a long answer runs. New requests are sent away with a
-// true not-run, the running one ends whole, and only then is the drain over.
+// A VM is shut down while a long answer is running. New requests are refused with
+// the verdict not-run, the running one completes, and only then does the drain
+// end.
 func TestDrainWaitsForRunningRequests(t *testing.T) {
-	b := newBench(t, Config{})
+	b := newFixture(t, Config{})
 	b.completer.gate = make(chan struct{})
 	running := make(chan answer, 1)
 	go func() { running <- b.do(t, "POST", "/v1/chat/completions", "key-1", chatBody) }()
@@ -110,7 +111,7 @@
 	}
 }
 
-// deadlines is a response writer that remembers its connection's deadline.
+// deadlines is a response writer that records its write deadline.
 type deadlines struct {
 	discard
 	set  int
@@ -123,10 +124,10 @@
 	return nil
 }
 
-// A caller keeps its connection and asks something else five minutes later. The
-// time that it had for the first answer must not be over for the second one.
+// A caller reuses its connection for another request five minutes later. The
+// write deadline of the first answer must not apply to the second one.
 func TestConnectionKeepsNoDeadline(t *testing.T) {
-	b := newBench(t, Config{})
+	b := newFixture(t, Config{})
 	for _, key := range []string{"key-1", "nope"} {
 		w := &deadlines{discard: discard{header: http.Header{}}}
 		r := httptest.NewRequest("POST", "/v1/chat/completions", strings.NewReader(chatBody))
@@ -138,10 +139,10 @@
 	}
 }
 
-// A caller hangs up in the middle of its answer; its run is closed, which
-// cancels it at the engine, and its place in the workspace is free again.
-func TestCallerThatHangsUpEndsItsRun(t *testing.T) {
-	b := newBench(t, Config{})
+// A caller disconnects in the middle of its answer. Its stream is closed, which
+// cancels the run at the engine, and the request no longer counts as running.
+func TestCallerThatDisconnectsEndsItsRun(t *testing.T) {
+	b := newFixture(t, Config{})
 	b.completer.gate = make(chan struct{})
 	c := dial(t, b)
 	fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-1\r\nContent-Length: %d\r\n\r\n%s", len(chatBody), chatBody)
--- a/internal/entry/caller/tokenizer.go
+++ b/internal/entry/caller/tokenizer.go
@@ -2,16 +2,16 @@
 
 import "encoding/binary"
 
-// bytesPerToken is the usual length of a token of running text in bytes.
+// bytesPerToken is the typical length in bytes of a token of prose.
 const bytesPerToken = 4
 
 type byteTokenizer struct{}
 
-// NewByteTokenizer returns a Tokenizer that takes each four bytes as one token, the last one padded with zeros.
+// NewByteTokenizer returns a Tokenizer that makes a token of every four bytes; the last one is padded with zeros.
 //
-// It is an approximation for routing and cache keys: equal prompts give equal
-// tokens, and two prompts share their first n tokens when they share their
-// first 4n bytes. Engines tokenize by themselves.
+// It is an approximation for routing and cache keys: equal prompts have equal
+// tokens, and two prompts share their first n tokens if they share their first
+// 4n bytes. Engines use their own tokenizers.
 func NewByteTokenizer() Tokenizer {
 	return byteTokenizer{}
 }
--- a/internal/entry/caller/whole_answer.go
+++ b/internal/entry/caller/whole_answer.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// wholeAnswer merges streamed events into one answer of the protocol.
+// wholeAnswer merges streamed events into one answer without streaming.
 type wholeAnswer struct {
 	protocol protocol
 	envelope object
 	choices  map[int64]object
 }
 
-// object is a JSON object whose fields the protocol leaves open.
+// object is a JSON object with arbitrary fields.
 type object map[string]any
 
-// dropped are the fields of an event that don't belong into a whole answer.
-var dropped = []string{"hornbeamwood", "choices", "object"}
+// omittedFields lists the fields of an event that aren't copied into the whole answer.
+var omittedFields = []string{"hornbeamwood", "choices", "object"}
 
 func newWholeAnswer(p protocol) *wholeAnswer {
 	return &wholeAnswer{protocol: p, envelope: object{}, choices: map[int64]object{}}
@@ -36,7 +36,7 @@
 			w.addChoice(fields)
 		}
 	}
-	for _, n := range dropped {
+	for _, n := range omittedFields {
 		delete(o, n)
 	}
 	for n, v := range o {
@@ -65,7 +65,7 @@
 	}
 }
 
-// body returns the whole answer, its choices in order.
+// body returns the whole answer with its choices in order of their indexes.
 func (w *wholeAnswer) body() object {
 	indexes := make([]int64, 0, len(w.choices))
 	for i := range w.choices {
@@ -81,7 +81,7 @@
 	return w.envelope
 }
 
-// complete fills in what clients read from each choice.
+// complete adds the fields that clients expect in each choice.
 func (w *wholeAnswer) complete(choice object) object {
 	if w.protocol.whole != "message" {
 		return choice
@@ -100,17 +100,17 @@
 	return choice
 }
 
-// constant are the fields that each event repeats instead of continuing them.
-var constant = []string{"role", "id", "type", "finish_reason", "stop_reason"}
+// repeatedFields lists the text fields that each event repeats instead of continuing them.
+var repeatedFields = []string{"role", "id", "type", "finish_reason", "stop_reason"}
 
-// merge returns the old value of a field continued by the new one.
+// merge returns the value of a field after an event: texts are concatenated, objects and lists are merged, other values are replaced.
 func merge(name string, old, v any) any {
 	if v == nil {
 		return old
 	}
 	switch v := v.(type) {
 	case string:
-		if s, ok := old.(string); ok && !slices.Contains(constant, name) {
+		if s, ok := old.(string); ok && !slices.Contains(repeatedFields, name) {
 			return s + v
 		}
 	case map[string]any:
@@ -132,7 +132,7 @@
 	return o
 }
 
-// mergeList merges elements that carry an index, as tool calls do, and appends the others.
+// mergeList merges elements with an index, as tool calls have one, and appends the others.
 func mergeList(list, v []any) []any {
 	for _, e := range v {
 		i := slices.IndexFunc(list, func(have any) bool { return sameIndex(have, e) })
--- a/internal/entry/caller/whole_answer_test.go
+++ b/internal/entry/caller/whole_answer_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Streams with several choices, tool calls and log probabilities are merged
-// into the answer that a caller who didn't ask for a stream expects.
+// Streams with several choices, tool calls and log probabilities are merged into
+// the answer of the protocol without streaming.
 func TestWholeAnswersMatchGoldenFiles(t *testing.T) {
 	for name, p := range map[string]protocol{"chat": chatProtocol, "tools": chatProtocol, "text": textProtocol} {
 		stream, err := os.ReadFile(filepath.Join("testdata", name+".stream"))
