--- a/internal/entry/picker/picker.go
+++ b/internal/entry/picker/picker.go
@@ -17,30 +17,30 @@
 	"hornbeamwood/internal/fleet/membership"
 )
 
-// retryAfter is how long a caller waits when no server runs its service; a restart takes about as long.
+// retryAfter is the Retry-After when no server runs the service, about the duration of a restart.
 const retryAfter = 2 * time.Second
 
-// Servers are the backend servers as this entry knows them.
+// Servers provides the backend servers known to this entry.
 type Servers interface {
-	// View returns all servers as they are known now.
+	// View returns the current view of all servers.
 	View() membership.View
 }
 
-// Config is what a Picker needs.
+// Config configures a Picker.
 type Config struct {
-	// Servers are the backend servers.
+	// Servers provides the backend servers.
 	Servers Servers
-	// Work counts what was sent since the servers' load reports.
+	// Work counts the calls sent since the servers' load reports.
 	Work membership.Work
-	// Age returns the largest age of a server's last announcement.
+	// Age returns the maximum age of a server's last announcement.
 	Age func() time.Duration
 	// Zone is this entry's availability zone.
 	Zone string
 	// Now returns the local time with its monotonic reading.
 	Now func() time.Time
-	// Random chooses among equal servers.
+	// Random breaks ties between equal servers.
 	Random *rand.Rand
-	// Logger takes the decisions.
+	// Logger receives the decisions.
 	Logger log.Interface
 }
 
@@ -49,7 +49,7 @@
 	mu sync.Mutex
 }
 
-// New returns a service.Picker that takes the server with the fewest calls, one in its own availability zone among equals.
+// New returns a service.Picker that picks the server with the fewest calls and, among equals, prefers its own availability zone.
 func New(c Config) service.Picker {
 	return &picker{Config: c}
 }
@@ -99,8 +99,8 @@
 	return all
 }
 
-// choose returns one of the best candidates at random: entries that see the
-// same reports would otherwise all send to the same server.
+// choose returns one of the best candidates at random. Otherwise, entries with the
+// same reports would all choose the same server.
 func (p *picker) choose(all []candidate) candidate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,11 +109,11 @@
 		if a.calls != b.calls {
 			return a.calls - b.calls
 		}
-		return remoteness(a) - remoteness(b)
+		return zoneRank(a) - zoneRank(b)
 	})
 }
 
-func remoteness(c candidate) int {
+func zoneRank(c candidate) int {
 	if c.remote {
 		return 1
 	}
