--- a/internal/entry/calls/actions.go
+++ b/internal/entry/calls/actions.go
@@ -12,20 +12,20 @@
 	"hornbeamwood/internal/entry/operator"
 )
 
-// maxBody bounds an operator's statement.
+// maxBody bounds the body of a resolution.
 const maxBody = 16 << 10
 
 // Log is the control log.
 type Log interface {
 	// Propose commits a section's command.
 	Propose(ctx context.Context, section string, body []byte) ([]byte, error)
-	// Read answers a section's query.
+	// Read returns the answer to a section's query.
 	Read(ctx context.Context, section string, body []byte) ([]byte, error)
 }
 
 // Resolution is the body of POST /ledger/resolve.
 type Resolution struct {
-	// Workspace, Service and Key name the call.
+	// Workspace, Service and Key identify the call.
 	Workspace string `json:"workspace"`
 	Service   string `json:"service"`
 	Key       string `json:"key"`
@@ -37,7 +37,7 @@
 	log Log
 }
 
-// Actions returns the operators' requests GET /ledger/unknown and POST /ledger/resolve.
+// Actions returns the operator actions GET /ledger/unknown and POST /ledger/resolve.
 func Actions(l Log) []operator.Action {
 	a := &actions{log: l}
 	return []operator.Action{
@@ -89,10 +89,10 @@
 	if err != nil {
 		return err
 	}
-	return answer(w, result.Kind)
+	return writeResult(w, result.Kind)
 }
 
-func answer(w http.ResponseWriter, k ledger.Kind) error {
+func writeResult(w http.ResponseWriter, k ledger.Kind) error {
 	switch k {
 	case ledger.Done:
 		w.WriteHeader(http.StatusNoContent)
--- a/internal/entry/calls/doc.go
+++ b/internal/entry/calls/doc.go
@@ -1,3 +1,3 @@
-// Package calls shows operators the non-idempotent calls whose outcome nobody
-// knows, and takes what they found out about them.
+// Package calls lets operators list the non-idempotent calls with an unknown
+// outcome and resolve them.
 package calls
