--- a/internal/entry/engine/bench_test.go
+++ b/internal/entry/engine/bench_test.go
@@ -9,12 +9,12 @@
 	"testing"
 )
 
-// endless is a transport whose answer is one stream of the given number of events.
-type endless struct {
+// fixedTransport is a transport that answers with one stream of the given number of events.
+type fixedTransport struct {
 	events int
 }
 
-func (e endless) RoundTrip(r *http.Request) (*http.Response, error) {
+func (e fixedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.Method == http.MethodDelete {
 		return &http.Response{StatusCode: http.StatusNoContent, Body: http.NoBody}, nil
 	}
@@ -30,9 +30,9 @@
 	return &http.Response{StatusCode: http.StatusOK, Header: header, Body: io.NopCloser(&b)}, nil
 }
 
-// BenchmarkNext measures one token event from the connection's bytes to what is passed on.
+// BenchmarkNext measures one token event from the connection's bytes to the forwarded event.
 func BenchmarkNext(b *testing.B) {
-	c := New(Config{Transport: endless{events: b.N}, Resumes: -1})
+	c := New(Config{Transport: fixedTransport{events: b.N}, Resumes: -1})
 	s, err := c.Run(context.Background(), "127.0.0.1:1", attempt)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/entry/engine/client.go
+++ b/internal/entry/engine/client.go
@@ -9,9 +9,9 @@
 
 // Client runs attempts at engines.
 type Client interface {
-	// Run starts the attempt at the engine with the given IP and port and returns its stream, or a verdict.Error; the run ends with ctx.
+	// Run starts the attempt at the engine with the given IP and port and returns its stream, or a verdict.Error; when ctx ends, the run is cancelled.
 	Run(ctx context.Context, address string, r Request) (Stream, error)
-	// Wait returns when all cancels that were sent have been answered or timed out.
+	// Wait returns when all cancel requests have been answered or have timed out.
 	Wait()
 }
 
@@ -30,7 +30,7 @@
 		t = &http.Transport{
 			DialContext:            d.DialContext,
 			MaxIdleConnsPerHost:    maxIdleConns,
-			IdleConnTimeout:        idleConns,
+			IdleConnTimeout:        idleConnTimeout,
 			MaxResponseHeaderBytes: maxHeaderBytes,
 			DisableCompression:     true,
 		}
@@ -53,8 +53,8 @@
 	c.pending.Wait()
 }
 
-// cancelRun tells the engine to stop the attempt; closing the connection alone
-// would leave it running until its time for a resume is over.
+// cancelRun requests the engine to stop the attempt. After a closed connection
+// alone, the attempt would run on until its time for a resume has expired.
 func (c *client) cancelRun(address, attempt string) {
 	c.pending.Add(1)
 	go func() {
--- a/internal/entry/engine/config.go
+++ b/internal/entry/engine/config.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	maxIdleConns   = 64
-	idleConns      = 30 * time.Second
-	maxHeaderBytes = 64 << 10
-	maxRefusal     = 64 << 10
-	maxRetryAfter  = time.Hour
-	drainBytes     = 1 << 10
-	drainTime      = 100 * time.Millisecond
+	maxIdleConns    = 64
+	idleConnTimeout = 30 * time.Second
+	maxHeaderBytes  = 64 << 10
+	maxRefusal      = 64 << 10
+	maxRetryAfter   = time.Hour
+	drainBytes      = 1 << 10
+	drainTimeout    = 100 * time.Millisecond
 )
 
-// Config holds what a Client needs.
+// Config configures a Client.
 type Config struct {
-	// Transport carries the requests; nil makes one with kept connections.
+	// Transport sends the requests; nil for one with persistent connections.
 	Transport http.RoundTripper
-	// DialTimeout bounds the connection's set-up; default 2 s.
+	// DialTimeout bounds the setup of a connection; default 2 s.
 	DialTimeout time.Duration
-	// IdleTimeout is how long a stream may be silent, comments counted, before it is resumed; default 2 min.
+	// IdleTimeout is how long a stream may send nothing, not even comments, before it is resumed; default 2 min.
 	IdleTimeout time.Duration
-	// CancelTimeout bounds a cancel; default 2 s.
+	// CancelTimeout bounds a cancel request; default 2 s.
 	CancelTimeout time.Duration
-	// Resumes is the largest number of resumes of one stream; default 3, negative for none.
+	// Resumes is the maximum number of resumes per stream; default 3, negative for none.
 	Resumes int
-	// ResumeWait is the wait before the second resume of one fault, doubled for each further one; default 100 ms.
+	// ResumeWait is the backoff before the second resume after a fault, doubled for each further one; default 100 ms.
 	ResumeWait time.Duration
-	// Logger gets the events; nil logs nothing.
+	// Logger receives the events; nil disables logging.
 	Logger log.Interface
 }
 
--- a/internal/entry/engine/envelope.go
+++ b/internal/entry/engine/envelope.go
@@ -9,13 +9,13 @@
 
 // envelope is the part of an event that is checked.
 type envelope struct {
-	choices []choice
-	tag     tag
-	fault   []byte
-	// The walkers are made once: one made for each event would cost an
-	// allocation for each token.
-	ofEvent, ofTag, ofChoice func(name, value []byte) error
-	ofChoices                func(value []byte) error
+	choices    []choice
+	tag        tag
+	errorValue []byte
+	// The callbacks are created once; creating them for each event would cost
+	// an allocation per token.
+	onEventMember, onTagMember, onChoiceMember func(name, value []byte) error
+	onChoice                                   func(value []byte) error
 }
 
 // choice is the part of a choice that is checked.
@@ -24,8 +24,8 @@
 	finished bool
 }
 
-// tag says which attempt an event belongs to and where in it. Its texts are
-// valid as long as the event is.
+// tag identifies the attempt of an event and its position there. Its byte slices
+// are valid as long as the event is.
 type tag struct {
 	request  []byte
 	attempt  []byte
@@ -34,47 +34,47 @@
 
 func newEnvelope() *envelope {
 	e := &envelope{}
-	e.ofEvent = e.event
-	e.ofTag = e.tagged
-	e.ofChoice = e.chosen
-	e.ofChoices = func(value []byte) error {
+	e.onEventMember = e.decodeEventMember
+	e.onTagMember = e.decodeTagMember
+	e.onChoiceMember = e.decodeChoiceMember
+	e.onChoice = func(value []byte) error {
 		e.choices = append(e.choices, choice{})
-		return jsonscan.Members(value, e.ofChoice)
+		return jsonscan.Members(value, e.onChoiceMember)
 	}
 	return e
 }
 
-// decode reads one event into e, whose memory is used again. Everything is
-// cleared first: a field that an event lacks must not keep the value of the
-// event before it.
+// decode decodes one event into e and reuses its memory. It clears all fields
+// first, so that a field that is missing in an event does not keep the value of
+// the previous event.
 func (e *envelope) decode(data []byte) error {
 	e.choices = e.choices[:0]
 	e.tag = tag{}
-	e.fault = nil
+	e.errorValue = nil
 	if !json.Valid(data) {
 		return errMalformed
 	}
-	return jsonscan.Members(data, e.ofEvent)
+	return jsonscan.Members(data, e.onEventMember)
 }
 
-func (e *envelope) event(name, value []byte) error {
+func (e *envelope) decodeEventMember(name, value []byte) error {
 	switch string(name) {
 	case "choices":
 		e.choices = e.choices[:0]
 		if isNull(value) {
 			return nil
 		}
-		return jsonscan.Elements(value, e.ofChoices)
+		return jsonscan.Elements(value, e.onChoice)
 	case "hornbeamwood":
 		e.tag = tag{}
-		return jsonscan.Members(value, e.ofTag)
+		return jsonscan.Members(value, e.onTagMember)
 	case "error":
-		e.fault = value
+		e.errorValue = value
 	}
 	return nil
 }
 
-func (e *envelope) tagged(name, value []byte) (err error) {
+func (e *envelope) decodeTagMember(name, value []byte) (err error) {
 	switch string(name) {
 	case "request":
 		e.tag.request, err = jsonscan.Text(value)
@@ -86,7 +86,7 @@
 	return err
 }
 
-func (e *envelope) chosen(name, value []byte) (err error) {
+func (e *envelope) decodeChoiceMember(name, value []byte) (err error) {
 	c := &e.choices[len(e.choices)-1]
 	switch string(name) {
 	case "index":
@@ -97,9 +97,9 @@
 	return err
 }
 
-// failed reports whether the event is the engine's error.
+// failed reports whether the event is an error of the engine.
 func (e *envelope) failed() bool {
-	return len(e.fault) > 0 && !isNull(e.fault)
+	return len(e.errorValue) > 0 && !isNull(e.errorValue)
 }
 
 func isNull(value []byte) bool {
--- a/internal/entry/engine/envelope_test.go
+++ b/internal/entry/engine/envelope_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// naiveEnvelope is an envelope as the standard library decodes it.
-type naiveEnvelope struct {
+// standardEnvelope is the envelope as encoding/json decodes it.
+type standardEnvelope struct {
 	Choices []struct {
 		Index        int     `json:"index"`
 		FinishReason *string `json:"finish_reason"`
@@ -18,9 +18,9 @@
 	} `json:"hornbeamwood"`
 }
 
-// The fast reading of events must find the same attempt, position and finish
-// markers as the obvious one; one that it misread would be passed on wrongly.
-func TestEnvelopeAgreesWithTheNaiveOne(t *testing.T) {
+// The fast decoder must find the same attempt, position and finish markers as
+// encoding/json; an event that it misread could be forwarded wrongly.
+func TestEnvelopeMatchesEncodingJSON(t *testing.T) {
 	e := newEnvelope()
 	for _, s := range []string{
 		`{"choices":[{"index":0,"delta":{"content":"a"},"finish_reason":null}],"hornbeamwood":{"request":"r","attempt":"a","position":1}}`,
@@ -29,7 +29,7 @@
 		`{"choices":null,"hornbeamwood":{"request":"r","attempt":"a","position":-2}}`,
 		`{}`,
 	} {
-		var want naiveEnvelope
+		var want standardEnvelope
 		if err := json.Unmarshal([]byte(s), &want); err != nil {
 			t.Fatal(err)
 		}
@@ -48,7 +48,7 @@
 	}
 	twice := `{"choices":[{"index":1,"finish_reason":"a"}],"choices":[{"index":2}]}`
 	if err := e.decode([]byte(twice)); err != nil || len(e.choices) != 1 || e.choices[0] != (choice{index: 2}) {
-		t.Errorf("of two lists the last doesn't count: %+v, %v", e.choices, err)
+		t.Errorf("of two lists the last must count: %+v, %v", e.choices, err)
 	}
 	for _, s := range []string{``, `[]`, `{"choices":7}`, `{"hornbeamwood":[]}`, `{"hornbeamwood":{"position":1.5}}`, `{"hornbeamwood":{"attempt":1}}`, `{"choices":[{"index":"0"}]}`, `{"a":1}x`} {
 		if err := e.decode([]byte(s)); err == nil {
--- a/internal/entry/engine/event_reader.go
+++ b/internal/entry/engine/event_reader.go
@@ -9,7 +9,7 @@
 
 const (
 	readBuffer = 16 << 10
-	// maxEvent bounds the memory that one event of a broken engine can take.
+	// maxEvent bounds the memory that one event of a faulty engine can take.
 	maxEvent = 1 << 20
 )
 
@@ -23,7 +23,7 @@
 	lines *bufio.Reader
 	line  []byte
 	data  []byte
-	fresh bool
+	empty bool
 }
 
 func newEventReader(r io.Reader) *eventReader {
@@ -31,16 +31,17 @@
 }
 
 // next returns the data of the next event, valid until the next call. An event
-// that the end cuts before its empty line is an unexpected end, never data.
+// that is truncated before its empty line is reported as io.ErrUnexpectedEOF and
+// never returned as data.
 func (e *eventReader) next() ([]byte, error) {
 	e.data = e.data[:0]
-	e.fresh = true
+	e.empty = true
 	for {
 		line, err := e.readLine()
 		if err != nil {
 			return nil, err
 		}
-		if len(line) == 0 && !e.fresh {
+		if len(line) == 0 && !e.empty {
 			return e.data, nil
 		}
 		if err := e.add(line); err != nil {
@@ -49,7 +50,7 @@
 	}
 }
 
-// add takes in one line; comments and other fields than data are passed over.
+// add processes one line; comments and fields other than data are ignored.
 func (e *eventReader) add(line []byte) error {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	if !bytes.Equal(name, dataField) {
@@ -59,15 +60,15 @@
 	if len(e.data)+len(value) >= maxEvent {
 		return errEventTooLarge
 	}
-	if !e.fresh {
+	if !e.empty {
 		e.data = append(e.data, '\n')
 	}
-	e.fresh = false
+	e.empty = false
 	e.data = append(e.data, value...)
 	return nil
 }
 
-// readLine returns one line without its end.
+// readLine returns one line without its line ending.
 func (e *eventReader) readLine() ([]byte, error) {
 	line, err := e.lines.ReadSlice('\n')
 	if err == nil {
--- a/internal/entry/engine/event_reader_test.go
+++ b/internal/entry/engine/event_reader_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// An engine sends one line without an end. Read to its end, it would fill the
-// entry's memory and stop every caller's stream with it.
+// An engine sends an endless line. Buffered without a limit, it would exhaust the
+// entry's memory and end the streams of all callers.
 func TestEndlessEventIsRefused(t *testing.T) {
 	for _, line := range []string{"data: x", "data: x\n"} {
 		endless := strings.NewReader(strings.Repeat(line, 2*maxEvent))
@@ -66,7 +66,7 @@
 	f.Fuzz(func(t *testing.T, stream []byte) {
 		whole, err := readEvents(bytes.NewReader(stream))
 		if err == nil {
-			t.Fatal("a stream without an end")
+			t.Fatal("the stream ended without an error")
 		}
 		split, _ := readEvents(iotest.OneByteReader(bytes.NewReader(stream)))
 		if strings.Join(whole, "\x00") != strings.Join(split, "\x00") {
--- a/internal/entry/engine/fake_engine_test.go
+++ b/internal/entry/engine/fake_engine_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// fakeEngine sends what its script says on each connection.
+// fakeEngine runs its script on each connection.
 type fakeEngine struct {
 	mu        sync.Mutex
 	opened    []int
@@ -19,7 +19,7 @@
 	server    *httptest.Server
 }
 
-// fakeWriter writes events of one connection.
+// fakeWriter writes the events of one connection.
 type fakeWriter struct {
 	http.ResponseWriter
 	request *http.Request
@@ -89,13 +89,13 @@
 	fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-// cut breaks the connection without its regular end, once what was written has left.
+// cut flushes what was written and aborts the connection.
 func (w *fakeWriter) cut() {
 	_ = http.NewResponseController(w.ResponseWriter).Flush()
 	panic(http.ErrAbortHandler)
 }
 
-// rest sends the events from the given position to the end of a whole answer.
+// rest sends the events from the given position to the end of a complete answer.
 func (w *fakeWriter) rest(attempt string, from, last int) {
 	for p := from; p <= last; p++ {
 		finish := ""
--- a/internal/entry/engine/finish.go
+++ b/internal/entry/engine/finish.go
@@ -3,13 +3,13 @@
 // maxChoices bounds the choices of one completion.
 const maxChoices = 128
 
-// finish follows which choices were opened and which have their finish marker.
+// finish tracks which choices have started and which have their finish marker.
 type finish struct {
 	opened   [maxChoices]bool
 	finished [maxChoices]bool
 }
 
-// observe takes in an event's choices and reports whether all are within bounds.
+// observe records an event's choices and reports whether all indexes are within bounds.
 func (f *finish) observe(choices []choice) bool {
 	for _, c := range choices {
 		if c.index < 0 || c.index >= maxChoices {
@@ -23,7 +23,7 @@
 	return true
 }
 
-// whole reports whether at least one choice was opened and each that was is finished.
+// whole reports whether at least one choice has started and all that have are finished.
 func (f *finish) whole() bool {
 	return f.opened != [maxChoices]bool{} && f.opened == f.finished
 }
--- a/internal/entry/engine/request.go
+++ b/internal/entry/engine/request.go
@@ -4,9 +4,9 @@
 
 // Request is one attempt at a streamed completion.
 type Request struct {
-	// ID is the caller's request, equal for all attempts.
+	// ID is the ID of the caller's request, equal for all attempts.
 	ID string
-	// Attempt is unique for ever.
+	// Attempt is the globally unique ID of the attempt.
 	Attempt string
 	// Workspace is the caller's workspace.
 	Workspace string
@@ -14,10 +14,10 @@
 	Path string
 	// Body is the JSON object with stream set to true.
 	Body []byte
-	// Priority orders requests at the engine; higher goes first.
+	// Priority orders requests at the engine; higher ones run first.
 	Priority int
-	// WeightVersion is the version that must run.
+	// WeightVersion is the weight version that must run the request.
 	WeightVersion string
-	// Header holds further headers, for example those that name cache blocks to import.
+	// Header holds additional headers, for example those that list cache blocks to import.
 	Header http.Header
 }
--- a/internal/entry/engine/stream.go
+++ b/internal/entry/engine/stream.go
@@ -17,43 +17,43 @@
 
 // Stream is one attempt's answer.
 //
-// Events are read from the connection only when they are asked for, so that a
-// slow caller slows the engine down instead of filling this VM's memory.
+// Events are read from the connection only on demand, so that a slow caller
+// causes backpressure on the engine instead of filling this VM's memory.
 type Stream interface {
-	// Next returns the JSON of the next event, valid until the next call; io.EOF after the whole answer; else a verdict.Error.
+	// Next returns the JSON of the next event, valid until the next call. Its error is io.EOF after a complete answer, otherwise a verdict.Error.
 	Next() ([]byte, error)
 	// Position returns the number of events that Next has returned.
 	Position() int
-	// Close ends the stream and cancels the run when it isn't whole.
+	// Close ends the stream and cancels the run if it isn't complete.
 	Close()
 }
 
 type stream struct {
-	client   *client
-	context  context.Context
-	cancel   context.CancelFunc
-	address  string
-	request  Request
-	body     io.ReadCloser
-	hangUp   context.CancelFunc
-	silence  *time.Timer
-	events   *eventReader
-	envelope *envelope
-	finish   finish
-	position int
-	resumes  int
-	started  bool
-	ended    error
-	closed   bool
+	client           *client
+	context          context.Context
+	cancel           context.CancelFunc
+	address          string
+	request          Request
+	body             io.ReadCloser
+	cancelConnection context.CancelFunc
+	idleTimer        *time.Timer
+	events           *eventReader
+	envelope         *envelope
+	finish           finish
+	position         int
+	resumes          int
+	started          bool
+	ended            error
+	closed           bool
 }
 
 var done = []byte("[DONE]")
 
 var (
-	errForeign   = errors.New("an event of another attempt")
-	errSkipped   = errors.New("a skipped position")
-	errTruncated = errors.New("an end without the finish marker")
-	errMalformed = errors.New("an event that is no JSON object of the protocol")
+	errForeign   = errors.New("the event belongs to another attempt")
+	errSkipped   = errors.New("a position was skipped")
+	errTruncated = errors.New("the stream ended without a finish marker")
+	errMalformed = errors.New("the event is not a JSON object of the protocol")
 )
 
 func newStream(ctx context.Context, c *client, address string, r Request) *stream {
@@ -61,18 +61,18 @@
 	return &stream{client: c, context: ctx, cancel: cancel, address: address, request: r, envelope: newEnvelope()}
 }
 
-// open connects, for the first time or to resume after the last position.
+// open connects to the engine, either initially or to resume after the last position.
 func (s *stream) open(resume bool) error {
-	ctx, hangUp := context.WithCancel(s.context)
-	silence := time.AfterFunc(s.client.IdleTimeout, hangUp)
+	ctx, cancelConnection := context.WithCancel(s.context)
+	idleTimer := time.AfterFunc(s.client.IdleTimeout, cancelConnection)
 	body, err := s.connect(ctx, resume)
 	if err != nil {
-		silence.Stop()
-		hangUp()
+		idleTimer.Stop()
+		cancelConnection()
 		return err
 	}
-	s.body, s.hangUp, s.silence = body, hangUp, silence
-	s.events = newEventReader(awake{body: body, silence: silence, limit: s.client.IdleTimeout})
+	s.body, s.cancelConnection, s.idleTimer = body, cancelConnection, idleTimer
+	s.events = newEventReader(timedReader{body: body, idleTimer: idleTimer, limit: s.client.IdleTimeout})
 	return nil
 }
 
@@ -104,9 +104,9 @@
 // Next implements Stream.
 func (s *stream) Next() ([]byte, error) {
 	for s.ended == nil {
-		data, err := s.take()
+		data, err := s.readEvent()
 		if err == nil && s.context.Err() != nil {
-			// It had arrived before the caller left, or at the same moment.
+			// The event arrived before the caller disconnected or at the same time.
 			err = s.context.Err()
 		}
 		if err == nil && data != nil {
@@ -124,14 +124,14 @@
 	return s.position
 }
 
-// take returns the next event that belongs here, nil for one that is passed over.
-func (s *stream) take() ([]byte, error) {
+// readEvent returns the next event of the attempt, or nil for a repeated one, which is skipped.
+func (s *stream) readEvent() ([]byte, error) {
 	data, err := s.events.next()
 	if err != nil {
 		return nil, err
 	}
 	if string(data) == string(done) {
-		return nil, s.whole()
+		return nil, s.checkComplete()
 	}
 	if err := s.envelope.decode(data); err != nil {
 		return nil, errMalformed
@@ -141,14 +141,14 @@
 		return nil, errForeign
 	}
 	if t.position <= s.position && t.position > 0 {
-		s.rejected(fmt.Errorf("the repeated position %d", t.position))
+		s.logRejected(fmt.Errorf("position %d was repeated", t.position))
 		return nil, nil
 	}
 	if t.position != s.position+1 {
 		return nil, errSkipped
 	}
 	if s.envelope.failed() {
-		return nil, failed(s.envelope.fault)
+		return nil, engineFailed(s.envelope.errorValue)
 	}
 	if !s.finish.observe(s.envelope.choices) {
 		return nil, errMalformed
@@ -157,20 +157,20 @@
 	return data, nil
 }
 
-// whole returns io.EOF when each choice has its finish marker.
-func (s *stream) whole() error {
+// checkComplete returns io.EOF when each choice has its finish marker.
+func (s *stream) checkComplete() error {
 	if s.finish.whole() {
 		return io.EOF
 	}
 	return errTruncated
 }
 
-func failed(said []byte) verdict.Error {
+func engineFailed(value []byte) verdict.Error {
 	return verdict.New(verdict.MayHaveRun, http.StatusBadGateway, "engine-failed",
-		"the model engine failed during the run").WithCause(fmt.Errorf("%.200s", said))
+		"the model engine failed during the run").WithCause(fmt.Errorf("%.200s", value))
 }
 
-// recover resumes after a broken or wrong connection; it returns what the stream ends with otherwise.
+// recover resumes the stream after a failed connection or an invalid event. If that fails, it returns the final error of the stream.
 func (s *stream) recover(cause error) error {
 	if errors.Is(cause, io.EOF) {
 		return io.EOF
@@ -178,7 +178,7 @@
 	if e, ok := verdict.As(cause); ok {
 		return e
 	}
-	s.rejected(cause)
+	s.logRejected(cause)
 	wait := time.Duration(0)
 	for s.resumes < s.client.Resumes && s.pause(wait) {
 		s.resumes++
@@ -197,9 +197,9 @@
 	return lost(cause)
 }
 
-// pause reports whether the stream still goes on after d. The first resume
-// comes at once; an engine that restarts or a link that is down for a moment
-// would otherwise use up all of them within a millisecond.
+// pause waits for d and reports whether the stream is still open. Only the first
+// resume comes without a wait: an engine that restarts or a short network outage
+// would otherwise use up all resumes within a millisecond.
 func (s *stream) pause(d time.Duration) bool {
 	if d == 0 {
 		return s.context.Err() == nil
@@ -214,7 +214,7 @@
 	}
 }
 
-func (s *stream) rejected(cause error) {
+func (s *stream) logRejected(cause error) {
 	f := s.fields()
 	f["cause"] = cause.Error()
 	event.StreamRejected.Write(s.client.Logger, f)
@@ -231,8 +231,8 @@
 	if s.body == nil {
 		return
 	}
-	s.silence.Stop()
-	s.hangUp()
+	s.idleTimer.Stop()
+	s.cancelConnection()
 	s.body.Close()
 	s.body = nil
 }
@@ -244,7 +244,7 @@
 	}
 	s.closed = true
 	if errors.Is(s.ended, io.EOF) {
-		s.keep()
+		s.keepConnection()
 		return
 	}
 	s.disconnect()
@@ -256,10 +256,10 @@
 	s.client.cancelRun(s.address, s.request.Attempt)
 }
 
-// keep reads the little that follows the end, so that the connection can be used again.
-func (s *stream) keep() {
+// keepConnection reads the few bytes after the end of the answer, so that the connection can be reused.
+func (s *stream) keepConnection() {
 	s.client.pending.Add(1)
-	s.silence.Reset(drainTime)
+	s.idleTimer.Reset(drainTimeout)
 	go func() {
 		defer s.client.pending.Done()
 		_, _ = io.CopyN(io.Discard, s.body, drainBytes)
--- a/internal/entry/engine/stream_test.go
+++ b/internal/entry/engine/stream_test.go
@@ -15,7 +15,7 @@
 
 var attempt = Request{ID: "r", Attempt: "a", Workspace: "w", Path: "/v1/chat/completions", Body: []byte("{}")}
 
-// collect returns the texts of all events and what the stream ended with.
+// collect returns the texts of all events and the final error of the stream.
 func collect(t testing.TB, address string, c Config) ([]string, error) {
 	t.Helper()
 	c.ResumeWait = 1
@@ -46,10 +46,9 @@
 	return texts
 }
 
-// An engine's connection is used by several runs at once, an event of another
-// run, or of an earlier attempt that was given up, arrives in the middle of an
-// answer, positions come twice or are left out, or the stream just ends. Each
-// of these would put a wrong, a doubled or a missing piece into an answer.
+// An event of another run or of an earlier attempt arrives in the middle of an
+// answer, positions are repeated or skipped, or the stream ends early. Each of
+// these faults would put wrong, duplicate or missing text into an answer.
 func TestOnlyTheWholeAnswerIsPassedOn(t *testing.T) {
 	faults := map[string]func(w *fakeWriter){
 		"another attempt": func(w *fakeWriter) { w.event("b", 3, "") },
@@ -113,8 +112,8 @@
 	}
 }
 
-// An engine answers with the headers of another attempt, because a proxy on the
-// way mixed up two connections. Nothing of that answer may be read.
+// An engine's answer has the headers of another attempt, for example because a
+// proxy mixed up two connections. Nothing of that answer may be read.
 func TestHeadersOfAnotherAttemptAreRefused(t *testing.T) {
 	f := newFakeEngine(t, func(_, _ int, w *fakeWriter) {
 		w.Header().Set(headerRequest, "r")
@@ -128,8 +127,8 @@
 	}
 }
 
-// The engine that is asked to resume has forgotten the run. The caller has half
-// an answer, and must be told so instead of getting another run's second half.
+// The engine no longer knows the run that it is to resume. The caller has a part
+// of the answer and must get an error, not the rest of another run.
 func TestResumeThatIsRefusedEndsWithAnError(t *testing.T) {
 	f := newFakeEngine(t, func(connection, _ int, w *fakeWriter) {
 		if connection > 1 {
@@ -149,14 +148,14 @@
 	}
 }
 
-// deadAddress is a loopback address where nobody listens; the port of a closed
-// listener could be another test's by now.
+// deadAddress is a loopback address without a listener. The port of a closed
+// listener could already be in use by another test.
 const deadAddress = "127.99.99.99:9"
 
-// An engine refuses. Only its own word, or a connection that never was, makes
-// the refusal one that a caller may take for not run.
+// An engine refuses a request. Only the engine's own verdict, or a connection
+// that could not be made, may give the refusal the verdict not-run.
 func TestRefusalsCarryTrueVerdicts(t *testing.T) {
-	said := newFakeEngine(t, func(_, _ int, w *fakeWriter) {
+	refusing := newFakeEngine(t, func(_, _ int, w *fakeWriter) {
 		w.Header().Set(verdict.Header, "not-run")
 		w.Header().Set("Retry-After", "7")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -164,7 +163,7 @@
 	silent := newFakeEngine(t, func(_, _ int, w *fakeWriter) { w.WriteHeader(http.StatusInternalServerError) })
 	cut := newFakeEngine(t, func(_, _ int, w *fakeWriter) { w.cut() })
 	for address, want := range map[string]verdict.Verdict{
-		said.address(): verdict.NotRun, silent.address(): verdict.MayHaveRun,
+		refusing.address(): verdict.NotRun, silent.address(): verdict.MayHaveRun,
 		cut.address(): verdict.MayHaveRun, deadAddress: verdict.NotRun,
 	} {
 		_, err := collect(t, address, Config{})
--- /dev/null
+++ b/internal/entry/engine/timed_reader.go
@@ -0,0 +1,22 @@
+package engine
+
+import (
+	"io"
+	"time"
+)
+
+// timedReader reads a body under the idle timer, which closes the connection to a silent engine.
+type timedReader struct {
+	body      io.Reader
+	idleTimer *time.Timer
+	limit     time.Duration
+}
+
+// Read implements io.Reader. The timer runs only during a read, so that a slow
+// caller is not mistaken for a silent engine.
+func (a timedReader) Read(b []byte) (int, error) {
+	a.idleTimer.Reset(a.limit)
+	n, err := a.body.Read(b)
+	a.idleTimer.Stop()
+	return n, err
+}
--- a/internal/entry/engine/whole_answer_test.go
+++ b/internal/entry/engine/whole_answer_test.go
@@ -20,8 +20,8 @@
 
 const fixedSeed = 20261203
 
-// wild sends the answer of attempt a with random faults in between.
-func wild(seed uint64, last int) func(connection, after int, w *fakeWriter) {
+// faulty returns a script that sends the answer of attempt a with random faults.
+func faulty(seed uint64, last int) func(connection, after int, w *fakeWriter) {
 	return func(connection, after int, w *fakeWriter) {
 		r := rand.New(rand.NewPCG(seed, uint64(connection)))
 		if r.IntN(8) == 0 {
@@ -56,24 +56,25 @@
 	}
 }
 
-// Answers arrive late, crossed with those of other attempts, twice, with gaps
-// or cut short, on the first connection and on each resume. What the caller
-// reads must be the beginning of its own answer, and whole when it says so.
+// Answers arrive interleaved with those of other attempts, with repeated or
+// skipped events, or truncated, on the first connection and on each resume. What
+// the caller reads must be a prefix of its own answer, and the whole answer when
+// the stream ends with io.EOF.
 func TestCallerReadsItsOwnAnswerOnly(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(fixedSeed)
 	parameters.MinSuccessfulTests = 400
 	properties := gopter.NewProperties(parameters)
-	var wholes atomic.Int32
-	properties.Property("a beginning of the answer, whole at the end", prop.ForAllNoShrink(func(seed uint64) string {
+	var complete atomic.Int32
+	properties.Property("a prefix of the answer, complete at io.EOF", prop.ForAllNoShrink(func(seed uint64) string {
 		last := 1 + int(seed%12)
-		f := newFakeEngine(t, wild(seed, last))
+		f := newFakeEngine(t, faulty(seed, last))
 		defer f.server.Close()
 		texts, err := collect(t, f.address(), Config{})
 		want := wholeAnswer(last)
 		if errors.Is(err, io.EOF) {
-			wholes.Add(1)
+			complete.Add(1)
 			if !slices.Equal(texts, want) {
-				return fmt.Sprintf("%v passed for whole", texts)
+				return fmt.Sprintf("%v was reported as complete", texts)
 			}
 			return ""
 		}
@@ -83,13 +84,13 @@
 		return ""
 	}, gen.UInt64()))
 	properties.TestingRun(t)
-	if wholes.Load() == 0 {
-		t.Error("no answer was whole")
+	if complete.Load() == 0 {
+		t.Error("no answer was complete")
 	}
 }
 
-// The caller goes away. The engine is told to stop, and an event that arrives
-// afterwards reaches nobody.
+// The caller disconnects. The run is cancelled at the engine, and an event that
+// arrives afterwards is not returned.
 func TestCallerThatLeavesCancelsTheRun(t *testing.T) {
 	proceed := make(chan struct{})
 	f := newFakeEngine(t, func(_, _ int, w *fakeWriter) {
@@ -99,7 +100,7 @@
 		<-proceed
 		w.rest("a", 2, 4)
 	})
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	c := New(Config{})
 	s, err := c.Run(ctx, f.address(), attempt)
 	if err != nil {
@@ -108,10 +109,10 @@
 	if _, err := s.Next(); err != nil {
 		t.Fatal(err)
 	}
-	leave()
+	disconnect()
 	close(proceed)
 	if data, err := s.Next(); err == nil {
-		t.Errorf("after the caller left came %s", data)
+		t.Errorf("got %s after the caller disconnected", data)
 	}
 	s.Close()
 	s.Close()
@@ -121,9 +122,9 @@
 	}
 }
 
-// A run is repeated at another engine because the first one was lost before its
-// first event; then the first one answers after all. Both answers carry the
-// same request, and only the attempt tells them apart.
+// A request is retried at another engine because the first one was lost before
+// its first event; then the first one answers after all. Both answers carry the
+// same request ID, and only the attempt ID distinguishes them.
 func TestLateAnswerOfAnEarlierAttemptIsNotPassedOn(t *testing.T) {
 	f := newFakeEngine(t, func(connection, after int, w *fakeWriter) {
 		w.accept()
@@ -141,9 +142,9 @@
 	}
 }
 
-// A caller stops reading while its engine goes on at full speed. What the
-// engine could send until it had to wait is bounded by the buffers of the two
-// sockets, and doesn't grow with the answer.
+// A caller stops reading while its engine keeps sending at full speed. The bytes
+// that the engine can send are bounded by the buffers of the two sockets and
+// don't grow with the answer.
 func TestSlowCallerHoldsTheEngineBack(t *testing.T) {
 	const total = 64 << 20
 	var sent atomic.Int64
--- a/internal/entry/engine/wire.go
+++ b/internal/entry/engine/wire.go
@@ -14,7 +14,7 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-// Headers of docs/interfaces/engine.md.
+// Headers that docs/interfaces/engine.md specifies.
 const (
 	headerRequest       = "Hornbeamwood-Request"
 	headerAttempt       = "Hornbeamwood-Attempt"
@@ -42,7 +42,7 @@
 	return request, nil
 }
 
-// roundTrip returns the response, or an error that says whether a connection was there at all.
+// roundTrip returns the response, or an error whose verdict is not-run if no connection was made.
 func (c *client) roundTrip(request *http.Request) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -70,15 +70,15 @@
 	} `json:"error"`
 }
 
-// refused returns the engine's refusal; without the engine's own word it may have run.
+// refused returns the engine's refusal; the verdict is not-run only if the engine's response says so.
 func refused(response *http.Response) verdict.Error {
 	b, _ := io.ReadAll(io.LimitReader(response.Body, maxRefusal))
-	var said refusal
-	_ = json.Unmarshal(b, &said)
-	if said.Error.Message == "" {
-		said.Error.Message = "the model engine refused the request"
+	var body refusal
+	_ = json.Unmarshal(b, &body)
+	if body.Error.Message == "" {
+		body.Error.Message = "the model engine refused the request"
 	}
-	e := verdict.New(verdict.MayHaveRun, statusFor(response.StatusCode), "engine-refused", "%s", said.Error.Message)
+	e := verdict.New(verdict.MayHaveRun, statusFor(response.StatusCode), "engine-refused", "%s", body.Error.Message)
 	if response.Header.Get(verdict.Header) == verdict.NotRun.String() {
 		e = e.WithVerdict(verdict.NotRun)
 	}
@@ -89,7 +89,7 @@
 	return e.WithRetryAfter(min(time.Duration(seconds)*time.Second, maxRetryAfter))
 }
 
-// statusFor returns the caller's status for an engine's; what only concerns the two of us becomes a bad gateway.
+// statusFor returns the caller's status for an engine's status; a status that concerns only the entry and the engine becomes 502.
 func statusFor(status int) int {
 	switch status {
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity,
