--- a/internal/entry/service/answer.go
+++ b/internal/entry/service/answer.go
@@ -7,7 +7,7 @@
 	"hornbeamwood/internal/control/ledger"
 )
 
-// Answer is a service's whole answer.
+// Answer is the complete answer of a service.
 type Answer struct {
 	// Status is the HTTP status.
 	Status int
@@ -15,19 +15,19 @@
 	Header http.Header
 	// Body is the whole body.
 	Body []byte
-	// Verdict is Ran, or MayHaveRun for a server error that says nothing.
+	// Verdict is Ran, or MayHaveRun for a server error without a verdict of the service.
 	Verdict verdict.Verdict
-	// Repeated is true when the answer comes from the record of an earlier call.
+	// Repeated is true when the answer was recorded for an earlier send of the call.
 	Repeated bool
 }
 
-// returned are the headers of a service's answer that go to the caller and into the record.
-var returned = []string{"Content-Type", "Content-Language", "Location", "Etag", "Last-Modified"}
+// returnedHeaders lists the headers of a service's answer that go to the caller and into the ledger.
+var returnedHeaders = []string{"Content-Type", "Content-Language", "Location", "Etag", "Last-Modified"}
 
-// verdictOf returns what an answer with the given status proves.
+// verdictOf returns the verdict that an answer with the given status proves.
 //
-// A server error can come before, in the middle of or after the work; calling
-// it ran would have an operator book a call that perhaps never took effect.
+// A server error can occur before, during or after the work. With the verdict
+// ran, an operator would account for a call that may never have taken effect.
 func verdictOf(status int) verdict.Verdict {
 	if status >= http.StatusInternalServerError {
 		return verdict.MayHaveRun
@@ -35,10 +35,10 @@
 	return verdict.Ran
 }
 
-// record returns a as the ledger records it.
+// record converts a to its form in the ledger.
 func (a Answer) record() ledger.Answer {
 	r := ledger.Answer{Status: a.Status, Body: a.Body}
-	for _, n := range returned {
+	for _, n := range returnedHeaders {
 		for _, v := range a.Header.Values(n) {
 			r.Headers = append(r.Headers, ledger.Header{Name: n, Value: v})
 		}
@@ -46,7 +46,7 @@
 	return r
 }
 
-// answerOf returns the recorded answer.
+// answerOf converts a recorded answer.
 func answerOf(r ledger.Answer) Answer {
 	a := Answer{
 		Status:   r.Status,
--- a/internal/entry/service/at_most_once_test.go
+++ b/internal/entry/service/at_most_once_test.go
@@ -31,52 +31,52 @@
 	firstSeed = flag.Int64("first-seed", fixedSeed, "seed of the random tests")
 )
 
-// world is one random history of sends through entries that die.
-type world struct {
+// history is one random sequence of sends through entries that crash.
+type history struct {
 	t       *testing.T
 	random  *rand.Rand
 	log     *fakeLog
-	service *wildService
-	picker  *wildPicker
+	service *faultyService
+	picker  *faultyPicker
 	server  *httptest.Server
 	end     chan struct{}
 	entries []*fakeEntry
 	started atomic.Uint64
 }
 
-func newWorld(t *testing.T, seed uint64) *world {
-	s := &wildService{name: crand.Text() + "-", random: rand.New(rand.NewPCG(seed, 2)), bodies: map[string][]string{}, answer: map[string]string{}}
+func newHistory(t *testing.T, seed uint64) *history {
+	s := &faultyService{name: crand.Text() + "-", random: rand.New(rand.NewPCG(seed, 2)), bodies: map[string][]string{}, answer: map[string]string{}}
 	server := httptest.NewServer(s)
-	w := &world{server: server, t: t, random: rand.New(rand.NewPCG(seed, 1)), log: newFakeLog(), service: s, end: make(chan struct{})}
-	w.picker = &wildPicker{service: s, good: strings.TrimPrefix(server.URL, "http://"), dead: deadAddress}
+	h := &history{server: server, t: t, random: rand.New(rand.NewPCG(seed, 1)), log: newFakeLog(), service: s, end: make(chan struct{})}
+	h.picker = &faultyPicker{service: s, good: strings.TrimPrefix(server.URL, "http://"), dead: deadAddress}
 	faults := rand.New(rand.NewPCG(seed, 3))
-	w.log.faults = func(ledger.Command) fault {
+	h.log.faults = func(ledger.Command) fault {
 		if n := faults.IntN(12); n <= int(faultDropped) {
 			return fault(n)
 		}
 		return faultNone
 	}
-	w.log.reads = func() error {
+	h.log.reads = func() error {
 		if faults.IntN(4) == 0 {
 			return errNoLeader
 		}
 		return nil
 	}
-	return w
+	return h
 }
 
-// entry starts a process that may stop at a random step.
-func (w *world) entry(stop step) *fakeEntry {
-	next := func() uint64 { return w.started.Add(1) }
-	e := newFakeEntry(w.log, w.picker, fmt.Sprintf("e%d", len(w.entries)%3), next, stop, w.end)
-	w.entries = append(w.entries, e)
+// entry starts an entry that stops at the given step.
+func (h *history) entry(stop step) *fakeEntry {
+	next := func() uint64 { return h.started.Add(1) }
+	e := newFakeEntry(h.log, h.picker, fmt.Sprintf("e%d", len(h.entries)%3), next, stop, h.end)
+	h.entries = append(h.entries, e)
 	return e
 }
 
-// check returns what is wrong with a reply, empty for nothing.
-func (w *world) check(r Request, p *reply) string {
+// check returns a description of what is wrong with a reply, or an empty string.
+func (h *history) check(r Request, p *reply) string {
 	key := r.Workspace + "/" + r.Key
-	bodies, text := w.service.runs(key)
+	bodies, text := h.service.runs(key)
 	if len(bodies) > 1 {
 		return fmt.Sprintf("%s ran %d times", key, len(bodies))
 	}
@@ -97,59 +97,59 @@
 	return ""
 }
 
-func (w *world) request() Request {
-	workspace := fmt.Sprintf("%sw%d", w.service.name, w.random.IntN(2))
-	key := fmt.Sprintf("k%d", w.random.IntN(2))
-	return callOf(workspace, key, fmt.Sprintf("lot %d", w.random.IntN(8)/7))
+func (h *history) request() Request {
+	workspace := fmt.Sprintf("%sw%d", h.service.name, h.random.IntN(2))
+	key := fmt.Sprintf("k%d", h.random.IntN(2))
+	return callOf(workspace, key, fmt.Sprintf("lot %d", h.random.IntN(8)/7))
 }
 
-func (w *world) play(sends int) string {
-	defer w.server.Close()
-	defer close(w.end)
+func (h *history) run(sends int) string {
+	defer h.server.Close()
+	defer close(h.end)
 	for range sends {
-		r := w.request()
-		e := w.entry(step(w.random.IntN(int(stepCount) * 2)))
-		if wrong := w.check(r, e.send(r)); wrong != "" {
+		r := h.request()
+		e := h.entry(step(h.random.IntN(int(stepCount) * 2)))
+		if wrong := h.check(r, e.send(r)); wrong != "" {
 			return wrong
 		}
-		w.disturb()
+		h.disturb()
 	}
-	return w.settle()
+	return h.settle()
 }
 
-// disturb lets late commits arrive, declares entries dead and thaws stopped ones.
-func (w *world) disturb() {
-	switch w.random.IntN(4) {
+// disturb randomly commits delayed commands, resumes a stopped entry, declares entries dead or does nothing.
+func (h *history) disturb() {
+	switch h.random.IntN(4) {
 	case 0:
-		w.log.deliverLate()
+		h.log.deliverLate()
 	case 1:
-		e := w.entries[w.random.IntN(len(w.entries))]
+		e := h.entries[h.random.IntN(len(h.entries))]
 		select {
-		case <-e.thaw:
+		case <-e.resume:
 		default:
-			close(e.thaw)
+			close(e.resume)
 		}
 	case 2:
-		w.abandonAll()
+		h.abandonAll()
 	}
 }
 
-// abandonAll declares all entries dead that were started so far.
-func (w *world) abandonAll() {
+// abandonAll declares all entries dead that have been started so far.
+func (h *history) abandonAll() {
 	for n := range 3 {
-		w.log.apply(w.t, ledger.Command{Abandon: &ledger.Abandon{Entry: fmt.Sprintf("e%d", n), Incarnation: w.started.Load()}})
+		h.log.apply(h.t, ledger.Command{Abandon: &ledger.Abandon{Entry: fmt.Sprintf("e%d", n), Incarnation: h.started.Load()}})
 	}
 }
 
-// settle ends all faults and all stopped processes and sends each call once more.
-func (w *world) settle() string {
-	w.service.mu.Lock()
-	w.service.calm = true
-	w.service.mu.Unlock()
-	w.log.mu.Lock()
-	w.log.faults, w.log.reads = nil, nil
-	w.log.mu.Unlock()
-	for _, e := range w.entries {
+// settle ends all faults, drains the running entries, abandons all claims and sends each call once more.
+func (h *history) settle() string {
+	h.service.mu.Lock()
+	h.service.faultsOff = true
+	h.service.mu.Unlock()
+	h.log.mu.Lock()
+	h.log.faults, h.log.reads = nil, nil
+	h.log.mu.Unlock()
+	for _, e := range h.entries {
 		if e.isStopped() {
 			continue
 		}
@@ -157,44 +157,43 @@
 			return err.Error()
 		}
 	}
-	w.log.deliverLate()
-	w.abandonAll()
+	h.log.deliverLate()
+	h.abandonAll()
 	for n := range 4 {
-		r := callOf(fmt.Sprintf("%sw%d", w.service.name, n/2), fmt.Sprintf("k%d", n%2), "lot 0")
-		p := w.entry(stepNone).send(r)
-		if wrong := w.check(r, p); wrong != "" {
+		r := callOf(fmt.Sprintf("%sw%d", h.service.name, n/2), fmt.Sprintf("k%d", n%2), "lot 0")
+		p := h.entry(stepNone).send(r)
+		if wrong := h.check(r, p); wrong != "" {
 			return wrong
 		}
 		if e, ok := verdict.As(p.err); ok && e.Status == http.StatusConflict {
-			return fmt.Sprintf("%s/%s is held by a claim that nobody holds", r.Workspace, r.Key)
+			return fmt.Sprintf("%s/%s is still blocked by an abandoned claim", r.Workspace, r.Key)
 		}
 	}
 	return ""
 }
 
-// An entry dies before the claim, after it, before the dispatch, before the
-// outcome or before the answer; commits time out, arrive late or are lost with
-// their leader; the service breaks connections before and after it ran a call;
-// and the caller sends again, through other entries, at once and later, also
-// with another body and from another workspace. A hand-over that ran twice
-// would put two transmitters on one hour.
+// An entry crashes before or after the claim, before the dispatch, or before or
+// after the outcome is recorded. Commits time out, are delayed or are lost with
+// their leader. The service breaks connections before and after it runs a call.
+// The caller resends through other entries, immediately and later, also with
+// another body and from another workspace. No call may run twice.
 func TestNonIdempotentCallRunsAtMostOnce(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(*firstSeed)
 	parameters.MinSuccessfulTests = *histories
 	properties := gopter.NewProperties(parameters)
-	properties.Property("one run at most, whole outcome or true verdict", prop.ForAllNoShrink(func(seed uint64) string {
-		return newWorld(t, seed).play(10)
+	properties.Property("at most one run, complete outcome or correct verdict", prop.ForAllNoShrink(func(seed uint64) string {
+		return newHistory(t, seed).run(10)
 	}, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
-// deadAddress is a loopback address where nobody listens. The port of a closed
-// listener wouldn't do: another test may get it and run the call.
+// deadAddress is a loopback address without a listener. The port of a closed
+// listener is not suitable: another test could get it and run the call.
 const deadAddress = "127.99.99.99:9"
 
-// A claim's commit times out but took effect. The entry reads back that it
-// holds the claim and goes on; a caller that were told to try again would wait
-// for a call that nobody runs.
+// A claim's commit times out but took effect. The entry must look up its claim and
+// continue. If it refused the call instead, the caller's resends would wait for a
+// call that is not running.
 func TestTimedOutClaimIsReadBack(t *testing.T) {
 	log, fake := newFakeLog(), newFakeService(t)
 	log.faults = func(c ledger.Command) fault {
@@ -212,23 +211,23 @@
 	}
 }
 
-// An entry stands still between its claim and its dispatch. Meanwhile its claim
-// is abandoned, an operator finds that nothing ran, and the caller's resend
-// runs through another entry. When the first entry goes on it must neither
-// dispatch the old claim nor say that nothing ran.
-func TestThawedEntryNeitherRunsNorDeniesTheCall(t *testing.T) {
+// An entry is suspended between its claim and its dispatch. Meanwhile its claim is
+// abandoned, an operator resolves it as not run, and the caller's resend runs
+// through another entry. After the first entry resumes, it must neither dispatch
+// the old claim nor answer with the verdict not-run.
+func TestResumedEntryNeitherRunsNorDeniesTheCall(t *testing.T) {
 	log, fake := newFakeLog(), newFakeService(t)
 	end := make(chan struct{})
 	defer close(end)
-	frozen := newFakeEntry(log, onePicker(fake.address()), "e1", func() uint64 { return 1 }, stepAfterClaim, end)
-	frozen.Client.(*client).Now = timesApart()
+	suspended := newFakeEntry(log, onePicker(fake.address()), "e1", func() uint64 { return 1 }, stepAfterClaim, end)
+	suspended.Client.(*client).Now = advancingClock()
 	r := callOf("w", "k", "x")
 	replies := make(chan reply, 1)
 	go func() {
-		a, err := frozen.Call(context.Background(), r)
+		a, err := suspended.Call(context.Background(), r)
 		replies <- reply{answer: a, err: err}
 	}()
-	<-frozen.stopped
+	<-suspended.stopped
 	log.apply(t, ledger.Command{Abandon: &ledger.Abandon{Entry: "e1", Incarnation: 1}})
 	scope := ledger.Scope{Workspace: "w", Service: "stamps", Key: "k"}
 	log.apply(t, ledger.Command{Resolve: &ledger.Resolve{Scope: scope, Operator: "o"}})
@@ -236,15 +235,15 @@
 	if _, err := other.Call(context.Background(), r); err != nil {
 		t.Fatal(err)
 	}
-	close(frozen.thaw)
+	close(suspended.resume)
 	p := <-replies
 	if verdict.Of(p.err) != verdict.MayHaveRun || p.err == nil || fake.ran("w", "k") != 1 {
 		t.Errorf("got %v after %d runs", p.err, fake.ran("w", "k"))
 	}
 }
 
-// timesApart returns a clock on which a minute goes by between two looks.
-func timesApart() func() time.Time {
+// advancingClock returns a clock that advances by one minute on each reading.
+func advancingClock() func() time.Time {
 	var mu sync.Mutex
 	at := time.Unix(1_800_000_000, 0)
 	return func() time.Time {
@@ -255,16 +254,16 @@
 	}
 }
 
-// The log doesn't answer when the outcome is to be recorded. The caller gets
-// its answer all the same, and a resend later finds it whole.
+// The log is unavailable when the outcome is to be recorded. The caller must still
+// get its answer, and a later resend must get the recorded one.
 func TestOutcomeIsRecordedWhenTheLogComesBack(t *testing.T) {
 	log, fake := newFakeLog(), newFakeService(t)
 	var mu sync.Mutex
-	away := true
+	unavailable := true
 	log.faults = func(c ledger.Command) fault {
 		mu.Lock()
 		defer mu.Unlock()
-		if c.Outcome != nil && away {
+		if c.Outcome != nil && unavailable {
 			return faultRefused
 		}
 		return faultNone
@@ -280,7 +279,7 @@
 		t.Fatalf("meanwhile: %v with %d open", err, c.Open())
 	}
 	mu.Lock()
-	away = false
+	unavailable = false
 	mu.Unlock()
 	if err := c.Drain(context.Background()); err != nil {
 		t.Fatal(err)
--- a/internal/entry/service/breaking_service_test.go
+++ b/internal/entry/service/breaking_service_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// ending is how the fake ends a connection after what it read.
+// ending is how the fake service ends a connection after reading.
 type ending int
 
 const (
@@ -27,18 +27,18 @@
 	endingCount
 )
 
-// breakingService is a TCP server that reads some bytes, runs the call once it
-// has read enough of them, and ends the connection in its own way.
+// breakingService is a TCP server that reads some bytes, runs the call if it has
+// read enough of them, and ends the connection in the given way.
 type breakingService struct {
 	listener net.Listener
-	// reads is how many bytes are read before the end; -1 for none at all.
+	// reads is the number of bytes to read before the end; nothing is read unless it is positive.
 	reads int
-	// runsAt is how many bytes make it run the call.
-	runsAt int
-	ending ending
-	ran    atomic.Int32
-	got    atomic.Int32
-	leave  context.CancelFunc
+	// runsAt is the number of bytes after which the call runs.
+	runsAt     int
+	ending     ending
+	ran        atomic.Int32
+	got        atomic.Int32
+	disconnect context.CancelFunc
 }
 
 func newBreakingService(t testing.TB, r *rand.Rand, size int) *breakingService {
@@ -84,14 +84,14 @@
 		_ = c.CloseWrite()
 		_, _ = io.Copy(io.Discard, c)
 	case endHang:
-		b.leave()
+		b.disconnect()
 		_, _ = io.Copy(io.Discard, c)
 	default:
 		fmt.Fprint(c, answers[b.ending])
 	}
 }
 
-// answers are what the fake says before it closes.
+// answers are the bytes that the fake service sends before it closes the connection.
 var answers = map[ending]string{
 	endRefuse:    "HTTP/1.1 503 Busy\r\nHornbeamwood-Verdict: not-run\r\nContent-Length: 0\r\n\r\n",
 	endAnswer:    "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone",
--- a/internal/entry/service/budget.go
+++ b/internal/entry/service/budget.go
@@ -1,7 +1,7 @@
 package service
 
-// Budget bounds retries to a share of the requests.
+// Budget limits retries to a share of the requests.
 type Budget interface {
-	// Retry reports whether the workspace may try one more time and takes the try from its budget.
+	// Retry reports whether the workspace's budget allows one more attempt, and deducts it.
 	Retry(workspace string) bool
 }
--- a/internal/entry/service/client.go
+++ b/internal/entry/service/client.go
@@ -19,25 +19,25 @@
 type Client interface {
 	// Call returns the whole answer to r, or a verdict.Error.
 	Call(ctx context.Context, r Request) (Answer, error)
-	// Abandon makes the claims of an entry's dead incarnations unknown and returns how many there were.
+	// Abandon marks the claims of an entry's incarnations up to the given one as unknown and returns their number.
 	Abandon(ctx context.Context, entry string, incarnation uint64) (int, error)
-	// Open returns the number of claimed calls whose outcome isn't recorded yet.
+	// Open returns the number of claimed calls whose outcome has not been recorded yet.
 	Open() int
-	// Drain waits until no claimed call is open; an error means that ctx ended first.
+	// Drain waits until no claimed call is open; it returns an error when ctx ends first.
 	Drain(ctx context.Context) error
 }
 
 type client struct {
 	Config
 	transport http.RoundTripper
-	// incarnation is Config.Incarnation until the ledger refuses it.
+	// incarnation is Config.Incarnation until the ledger refuses it as stale.
 	incarnation atomic.Uint64
 	open        sync.WaitGroup
 	mu          sync.Mutex
-	flows       int
+	openCalls   int
 }
 
-// New returns a Client; missing durations and sizes of c get their defaults.
+// New returns a Client; missing values of c get their defaults.
 func New(c Config) Client {
 	c = c.withDefaults()
 	dialer := &net.Dialer{Timeout: c.DialTimeout}
@@ -71,7 +71,7 @@
 func (c *client) Open() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.flows
+	return c.openCalls
 }
 
 // Drain implements Client.
@@ -92,13 +92,13 @@
 func (c *client) begin() {
 	c.open.Add(1)
 	c.mu.Lock()
-	c.flows++
+	c.openCalls++
 	c.mu.Unlock()
 }
 
 func (c *client) end() {
 	c.mu.Lock()
-	c.flows--
+	c.openCalls--
 	c.mu.Unlock()
 	c.open.Done()
 }
--- a/internal/entry/service/client_test.go
+++ b/internal/entry/service/client_test.go
@@ -9,8 +9,8 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-// A caller loses the answer and sends the call again through another entry: it
-// gets the first answer whole, and the stamp isn't issued a second time.
+// A caller loses the answer and resends the call through another entry. It must
+// get the first answer again, and the call must not run a second time.
 func TestResendThroughAnotherEntryRepeatsTheOutcome(t *testing.T) {
 	log, fake := newFakeLog(), newFakeService(t)
 	one := New(Config{Log: log, Picker: onePicker(fake.address()), Entry: "e1", Incarnation: 1})
@@ -28,8 +28,8 @@
 	}
 }
 
-// A program uses one key for two lots. Were the second answered with the first
-// one's certificate, a lot would leave the plant under a wrong number.
+// A caller uses one key for two different bodies. The second call must not get the
+// answer of the first one.
 func TestSameKeyWithAnotherBodyIsRefused(t *testing.T) {
 	log, fake := newFakeLog(), newFakeService(t)
 	c := New(Config{Log: log, Picker: onePicker(fake.address()), Entry: "e1", Incarnation: 1})
@@ -46,14 +46,14 @@
 	}
 }
 
-// A caller hangs up while its stamp is being issued. The call goes on, and the
-// caller's next send gets the outcome instead of "nobody knows".
+// A caller disconnects while its call is running. The call continues, and the
+// caller's next send must get the outcome instead of an unknown one.
 func TestCallerThatLeavesDoesNotCancelTheCall(t *testing.T) {
 	log, fake := newFakeLog(), newFakeService(t)
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	proceed := make(chan struct{})
 	fake.arrived = func(*http.Request) {
-		leave()
+		disconnect()
 		<-proceed
 	}
 	c := New(Config{Log: log, Picker: onePicker(fake.address()), Entry: "e1", Incarnation: 1})
--- a/internal/entry/service/config.go
+++ b/internal/entry/service/config.go
@@ -16,35 +16,35 @@
 	attemptBytes   = 16
 )
 
-// Config holds what a Client needs.
+// Config configures a Client.
 type Config struct {
 	// Log is the control log.
 	Log Log
 	// Picker chooses servers.
 	Picker Picker
-	// Budget bounds retries elsewhere; nil allows none.
+	// Budget limits retries on other servers; nil allows none.
 	Budget Budget
 	// Entry is this entry's identity.
 	Entry string
-	// Incarnation is a larger number with each start of this entry, at least 1.
+	// Incarnation is a number that increases with each start of this entry, at least 1.
 	Incarnation uint64
-	// CallTimeout is how long a caller waits when its rules give no deadline; default 30 s.
+	// CallTimeout is the deadline of calls whose rules set none; default 30 s.
 	CallTimeout time.Duration
-	// DialTimeout bounds the connection's set-up; default 2 s.
+	// DialTimeout bounds the setup of a connection; default 2 s.
 	DialTimeout time.Duration
-	// DispatchTimeout bounds a dispatch that its caller may have left; default 5 min.
+	// DispatchTimeout bounds a dispatch, which goes on after its caller has disconnected; default 5 min.
 	DispatchTimeout time.Duration
-	// DispatchWindow is the age of a claim after which it isn't dispatched any more; default 10 s.
+	// DispatchWindow is the maximum age of a claim at its dispatch; default 10 s.
 	DispatchWindow time.Duration
-	// ClaimTimeout is how long a claim is tried while the log does not answer; default 5 s.
+	// ClaimTimeout is how long a claim is retried while the log does not answer; default 5 s.
 	ClaimTimeout time.Duration
-	// OutcomeWait is how long a caller waits for its outcome to be recorded; default 5 s.
+	// OutcomeWait is how long an answer is held back until its outcome is recorded; default 5 s.
 	OutcomeWait time.Duration
-	// LogTimeout bounds one try at the log; default 2 s.
+	// LogTimeout bounds one request to the log; default 2 s.
 	LogTimeout time.Duration
-	// MaxAnswer is the largest answer to an idempotent call in bytes; default 8 MiB.
+	// MaxAnswer is the maximum size in bytes of an answer to an idempotent call; default 8 MiB.
 	MaxAnswer int64
-	// NewAttempt returns an id that is unique for ever; default 128 random bits.
+	// NewAttempt returns a globally unique attempt ID; default 128 random bits.
 	NewAttempt func() string
 	// NewIncarnation returns a number larger than all earlier incarnations of this entry; default the wall clock in nanoseconds.
 	NewIncarnation func() uint64
@@ -52,7 +52,7 @@
 	Now func() time.Time
 	// Wait returns after d or when ctx ends; default a timer.
 	Wait func(ctx context.Context, d time.Duration) error
-	// Logger gets the events; nil logs nothing.
+	// Logger receives the events; nil disables logging.
 	Logger log.Interface
 }
 
--- a/internal/entry/service/fake_entry_test.go
+++ b/internal/entry/service/fake_entry_test.go
@@ -10,7 +10,7 @@
 	"hornbeamwood/internal/control/ledger"
 )
 
-// step is where an entry stops for good or for a while.
+// step is the step at which an entry stops, until it is resumed if ever.
 type step int
 
 const (
@@ -23,21 +23,21 @@
 	stepCount
 )
 
-var errDead = errors.New("the process is dead")
+var errDead = errors.New("the process was terminated")
 
-// fakeEntry is one entry process whose log and picker stop at a step.
+// fakeEntry is one entry process whose log and picker block from a step on.
 type fakeEntry struct {
 	Client
 	log     *fakeLog
 	picker  Picker
 	stop    step
 	stopped chan struct{}
-	thaw    chan struct{}
+	resume  chan struct{}
 	end     chan struct{}
 	once    sync.Once
 }
 
-// claimTimeout lets one entry of two read a claim back at once and the other
+// claimTimeout makes every second entry look up a claim immediately; the others
 // propose it again first.
 func claimTimeout(incarnation uint64) time.Duration {
 	if incarnation%2 == 0 {
@@ -47,7 +47,7 @@
 }
 
 func newFakeEntry(log *fakeLog, p Picker, name string, next func() uint64, stop step, end chan struct{}) *fakeEntry {
-	e := &fakeEntry{log: log, picker: p, stop: stop, stopped: make(chan struct{}), thaw: make(chan struct{}), end: end}
+	e := &fakeEntry{log: log, picker: p, stop: stop, stopped: make(chan struct{}), resume: make(chan struct{}), end: end}
 	incarnation := next()
 	e.Client = New(Config{
 		ClaimTimeout: claimTimeout(incarnation),
@@ -57,12 +57,12 @@
 	return e
 }
 
-// always is a budget without end.
+// always is an unlimited budget.
 type always struct{}
 
 func (always) Retry(string) bool { return true }
 
-// halt stops the process when the step is its own; a thawed one goes on.
+// halt stops the process if s is its step; a resumed process continues.
 func (e *fakeEntry) halt(s step) error {
 	if s == e.stop {
 		e.once.Do(func() { close(e.stopped) })
@@ -78,14 +78,14 @@
 		return nil
 	}
 	select {
-	case <-e.thaw:
+	case <-e.resume:
 		return nil
 	case <-e.end:
 		return errDead
 	}
 }
 
-// isStopped reports whether the process stands still and wasn't thawed.
+// isStopped reports whether the process has stopped and was not resumed.
 func (e *fakeEntry) isStopped() bool {
 	select {
 	case <-e.stopped:
@@ -93,7 +93,7 @@
 		return false
 	}
 	select {
-	case <-e.thaw:
+	case <-e.resume:
 		return false
 	default:
 		return true
@@ -148,7 +148,7 @@
 	return wait(ctx, time.Millisecond)
 }
 
-// send returns what the caller gets; nil when the process stopped before it answered.
+// send returns the caller's reply, or nil if the process stopped before it answered.
 func (e *fakeEntry) send(r Request) *reply {
 	replies := make(chan reply, 1)
 	go func() {
--- a/internal/entry/service/fake_log_test.go
+++ b/internal/entry/service/fake_log_test.go
@@ -12,22 +12,22 @@
 	"hornbeamwood/internal/control/state"
 )
 
-// fault is what the fake log does with one proposal.
+// fault is how the fake log handles one proposal.
 type fault int
 
 const (
 	faultNone fault = iota
-	// faultRefused means that there is no leader: the command isn't appended.
+	// faultRefused means that there is no leader and the command is not appended.
 	faultRefused
 	// faultLostAnswer means that the command is committed and its answer is lost.
 	faultLostAnswer
 	// faultLate means that the answer is lost and the command is committed later.
 	faultLate
-	// faultDropped means that the answer is lost and the command never committed, as when its leader loses office.
+	// faultDropped means that the answer is lost and the command is never committed, as when the leader loses leadership.
 	faultDropped
 )
 
-// fakeLog is a control log of one replica whose answers can be lost.
+// fakeLog is a single-replica control log that can lose answers.
 type fakeLog struct {
 	mu      sync.Mutex
 	section state.Section
@@ -92,7 +92,7 @@
 	return l.section.Query(body)
 }
 
-// deliverLate commits what had been delayed.
+// deliverLate commits the delayed commands.
 func (l *fakeLog) deliverLate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/entry/service/faulty_service_test.go
+++ b/internal/entry/service/faulty_service_test.go
@@ -12,18 +12,18 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-// wildService runs calls and breaks connections as the random source says.
-type wildService struct {
-	mu     sync.Mutex
-	random *rand.Rand
-	calm   bool
-	name   string
-	bodies map[string][]string
-	answer map[string]string
+// faultyService runs calls and injects random faults.
+type faultyService struct {
+	mu        sync.Mutex
+	random    *rand.Rand
+	faultsOff bool
+	name      string
+	bodies    map[string][]string
+	answer    map[string]string
 }
 
-func (s *wildService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// Another test's entry can dial a port that is this server's now.
+func (s *faultyService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	// An entry of another test may dial a port that now belongs to this server.
 	if !strings.HasPrefix(r.Header.Get(headerWorkspace), s.name) {
 		panic(http.ErrAbortHandler)
 	}
@@ -50,16 +50,16 @@
 	_, _ = io.WriteString(w, text)
 }
 
-func (s *wildService) draw(n int) int {
+func (s *faultyService) draw(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.calm {
+	if s.faultsOff {
 		return n
 	}
 	return s.random.IntN(n)
 }
 
-func (s *wildService) run(key, body string) string {
+func (s *faultyService) run(key, body string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.bodies[key] = append(s.bodies[key], body)
@@ -67,21 +67,21 @@
 	return s.answer[key]
 }
 
-// runs returns the bodies with which the key's call ran, and the answer.
-func (s *wildService) runs(key string) ([]string, string) {
+// runs returns the bodies of all runs of the key's call, and the last answer.
+func (s *faultyService) runs(key string) ([]string, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.bodies[key]...), s.answer[key]
 }
 
-// wildPicker picks the service or an address where nobody listens.
-type wildPicker struct {
-	service *wildService
+// faultyPicker picks the service or an address without a listener.
+type faultyPicker struct {
+	service *faultyService
 	good    string
 	dead    string
 }
 
-func (p *wildPicker) Pick(_ context.Context, _ Request, excluded []string) (Server, error) {
+func (p *faultyPicker) Pick(_ context.Context, _ Request, excluded []string) (Server, error) {
 	if len(excluded) > 1 {
 		return Server{}, verdict.New(verdict.NotRun, 503, "no-server", "no server")
 	}
--- a/internal/entry/service/idempotent.go
+++ b/internal/entry/service/idempotent.go
@@ -16,7 +16,7 @@
 
 const retryWait = 20 * time.Millisecond
 
-// callIdempotent sends r, and again elsewhere while the budget and the deadline allow it.
+// callIdempotent sends r and retries it on other servers while the budget and the deadline allow it.
 func (c *client) callIdempotent(ctx context.Context, r Request) (Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.deadline(r))
 	defer cancel()
@@ -29,7 +29,7 @@
 			if last != nil {
 				err = last
 			}
-			return Answer{}, weakest(err, proved)
+			return Answer{}, withVerdict(err, proved)
 		}
 		c.write(event.CallDispatched, r, log.Fields{"attempt": "", "server": s.Identity})
 		a, err := c.send(ctx, s, r, c.NewAttempt())
@@ -41,23 +41,23 @@
 			proved = verdict.MayHaveRun
 		}
 		excluded = append(excluded, s.Identity)
-		if !c.again(ctx, r) {
-			return Answer{}, weakest(err, proved)
+		if !c.mayRetry(ctx, r) {
+			return Answer{}, withVerdict(err, proved)
 		}
 		c.write(event.CallRetried, r, log.Fields{"server": s.Identity, "cause": err.Error()})
 	}
 }
 
-// again reports whether one more try is allowed, after a jittered wait that keeps retries of many callers apart.
-func (c *client) again(ctx context.Context, r Request) bool {
+// mayRetry waits for a backoff, jittered to spread the retries of many callers, and reports whether one more attempt is allowed.
+func (c *client) mayRetry(ctx context.Context, r Request) bool {
 	if c.Budget == nil || !c.Budget.Retry(r.Workspace) {
 		return false
 	}
 	return c.Wait(ctx, retryWait+rand.N(retryWait)) == nil
 }
 
-// weakest returns err with the verdict that holds for all tries together.
-func weakest(err error, proved verdict.Verdict) verdict.Error {
+// withVerdict returns err with the verdict that holds for all attempts together.
+func withVerdict(err error, proved verdict.Verdict) verdict.Error {
 	e, ok := verdict.As(err)
 	if !ok {
 		e = asNotRun(err)
@@ -65,7 +65,7 @@
 	return e.WithVerdict(proved)
 }
 
-// send sends an idempotent call on a kept connection.
+// send sends an idempotent call on a pooled connection.
 func (c *client) send(ctx context.Context, s Server, r Request, attempt string) (Answer, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -78,7 +78,7 @@
 		return Answer{}, unreachable(err)
 	}
 	if err != nil {
-		return Answer{}, broken(err)
+		return Answer{}, connectionLost(err)
 	}
 	defer response.Body.Close()
 	a, err := readAnswer(response, c.MaxAnswer+1)
--- a/internal/entry/service/ledger_log.go
+++ b/internal/entry/service/ledger_log.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	firstBackoff = 50 * time.Millisecond
-	lastBackoff  = 2 * time.Second
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
-// propose sends one command to the ledger.
+// propose proposes one command to the ledger.
 func (c *client) propose(ctx context.Context, command ledger.Command) (ledger.Result, error) {
 	body, err := codec.Marshal(command)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return codec.Unmarshal[ledger.Result](b)
 }
 
-// lookup reads one record by a linearizable query.
+// lookup reads one record with a linearizable query.
 func (c *client) lookup(ctx context.Context, q ledger.Lookup) (ledger.Result, error) {
 	body, err := codec.Marshal(ledger.Query{Lookup: &q})
 	if err != nil {
@@ -45,18 +45,18 @@
 	return codec.Unmarshal[ledger.Result](b)
 }
 
-// persist proposes a command that may be applied twice until its result is known or ctx ends.
+// persist proposes an idempotent command repeatedly until its result is known or ctx ends.
 func (c *client) persist(ctx context.Context, command ledger.Command) (ledger.Result, error) {
-	backoff := firstBackoff
+	backoff := minBackoff
 	for {
 		r, err := c.propose(ctx, command)
 		if err == nil {
 			return r, nil
 		}
 		if werr := c.Wait(ctx, backoff); werr != nil {
-			return ledger.Result{}, fmt.Errorf("service: give up the log: %w", err)
+			return ledger.Result{}, fmt.Errorf("service: stop retrying the log: %w", err)
 		}
-		backoff = min(2*backoff, lastBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
@@ -66,9 +66,10 @@
 	return r.Count, err
 }
 
-// ledgerDown is the refusal of a call whose record can't be reached. It doesn't
-// say not-run: an earlier send under the same key may have run.
-func ledgerDown(err error) verdict.Error {
+// ledgerUnavailable is the refusal of a call whose record can't be reached. Its
+// verdict is may-have-run, because an earlier send under the same key may have
+// run.
+func ledgerUnavailable(err error) verdict.Error {
 	e := verdict.New(verdict.MayHaveRun, 503, "ledger-unavailable",
 		"the record of calls can't be reached; this send dispatched nothing; send again under the same Idempotency-Key")
 	if cause, ok := verdict.As(err); ok && cause.RetryAfter > 0 {
--- a/internal/entry/service/not_run_test.go
+++ b/internal/entry/service/not_run_test.go
@@ -17,11 +17,11 @@
 	"hornbeamwood/internal/settings/rules"
 )
 
-// slack is more than the two ways of sending differ by; a fake that waited for
-// more bytes than come would hang.
+// slack exceeds the difference in bytes between the two ways of sending; a fake
+// service that waited for more bytes than are sent would block.
 const slack = 32
 
-// sizeOf returns the bytes of the request on the wire.
+// sizeOf returns the size of the request on the wire in bytes.
 func sizeOf(t testing.TB, r Request) int {
 	t.Helper()
 	request, err := newRequest(context.Background(), Server{Address: "127.0.0.1:10000"}, r, "0123456789abcdef0123456789abcdef")
@@ -36,7 +36,7 @@
 	return b.Len()
 }
 
-// breakOnce sends one call to a service that breaks and returns what is wrong, empty for nothing.
+// breakOnce sends one call to a breakingService and returns a description of what is wrong, or an empty string.
 func breakOnce(t testing.TB, seed uint64, nonIdempotent bool) string {
 	random := rand.New(rand.NewPCG(seed, 4))
 	r := callOf("w", "k", string(make([]byte, random.IntN(300))))
@@ -44,7 +44,7 @@
 	fake := newBreakingService(t, random, sizeOf(t, r)-slack)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	fake.leave = cancel
+	fake.disconnect = cancel
 	var serving sync.WaitGroup
 	address := fake.listener.Addr().String()
 	serving.Go(fake.serve)
@@ -63,9 +63,9 @@
 	case err != nil && verdict.Of(err) == verdict.NotRun && ran > 0:
 		return fmt.Sprintf("%s: it ran, and the verdict is %v", fake, err)
 	case err == nil && string(a.Body) != "done":
-		return fmt.Sprintf("%s: half an answer passed for a whole one: %q", fake, a.Body)
+		return fmt.Sprintf("%s: a truncated answer was returned as complete: %q", fake, a.Body)
 	case err == nil && fake.ending != endAnswer:
-		return fmt.Sprintf("%s: answered", fake)
+		return fmt.Sprintf("%s: got an answer", fake)
 	}
 	return ""
 }
@@ -79,10 +79,10 @@
 	return c.send(ctx, s, r, c.NewAttempt())
 }
 
-// A connection to a service is refused, reset before, during or after the
-// request, half closed, the answer is lost, cut or nonsense, or the service
-// refuses by its own word. A caller that reads "not run" issues the stamp by
-// another way; when it is false, two certificates are on one lot.
+// A connection to a service is refused, reset before, during or after the request,
+// or half closed; the answer is lost, truncated or malformed; or the service
+// refuses the call. A caller may run a call by other means after the verdict
+// not-run, so that a false one would make the call run twice.
 func TestNotRunIsTrueWhereverTheConnectionBreaks(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(*firstSeed)
 	parameters.MinSuccessfulTests = *breaks
@@ -96,9 +96,9 @@
 	properties.TestingRun(t)
 }
 
-// A service closes a connection that the entry kept, just as the next call is
-// sent on it. Sent again by the transport, the call could run twice; a
-// non-idempotent call therefore has its own connection each time.
+// A service closes a pooled connection just as the next call is sent on it. Resent
+// by the transport, the call could run twice; each non-idempotent call must
+// therefore use a new connection.
 func TestNonIdempotentCallsShareNoConnection(t *testing.T) {
 	log, fake := newFakeLog(), newFakeService(t)
 	c := New(Config{Log: log, Picker: onePicker(fake.address()), Entry: "e1", Incarnation: 1})
@@ -122,8 +122,8 @@
 	}
 }
 
-// A refusal of the service's own reaches the caller as it was meant: not run,
-// with its time to come back, and the key is free for the next send.
+// A refusal by the service must reach the caller with the verdict not-run and its
+// Retry-After, and the key must be free for the next send.
 func TestServicesOwnRefusalFreesTheKey(t *testing.T) {
 	log := newFakeLog()
 	s := newFakeService(t)
--- a/internal/entry/service/once.go
+++ b/internal/entry/service/once.go
@@ -12,7 +12,7 @@
 	"hornbeamwood/internal/control/ledger"
 )
 
-// flow is one non-idempotent call on its way.
+// flow is the state of one non-idempotent call.
 type flow struct {
 	client  *client
 	request Request
@@ -22,14 +22,14 @@
 	started time.Time
 }
 
-// reply is what a flow ends with.
+// reply is the result of a flow.
 type reply struct {
 	answer Answer
 	err    error
 }
 
-// callOnce runs the flow apart from the caller's context: a caller that goes
-// away must not turn a call that runs into one of which nobody knows.
+// callOnce runs the flow independently of the caller's context: a caller that
+// disconnects must not make the outcome of a running call unknown.
 func (c *client) callOnce(ctx context.Context, r Request) (Answer, error) {
 	f := &flow{
 		client:  c,
@@ -40,11 +40,11 @@
 		started: c.Now(),
 	}
 	replies := make(chan reply, 1)
-	kept := context.WithoutCancel(ctx)
+	detached := context.WithoutCancel(ctx)
 	c.begin()
 	go func() {
 		defer c.end()
-		f.run(kept, replies)
+		f.run(detached, replies)
 	}()
 	ctx, cancel := context.WithTimeout(ctx, c.deadline(r))
 	defer cancel()
@@ -58,7 +58,7 @@
 	}
 }
 
-// run claims, dispatches, records and replies, in this order.
+// run claims the call, dispatches it, records its outcome and replies, in this order.
 func (f *flow) run(ctx context.Context, replies chan<- reply) {
 	result, err := f.claim(ctx)
 	if err != nil {
@@ -66,7 +66,7 @@
 		return
 	}
 	if result.Kind != ledger.Granted || result.Attempt != f.attempt {
-		a, err := f.found(result)
+		a, err := f.refusedClaim(result)
 		replies <- reply{answer: a, err: err}
 		return
 	}
@@ -76,14 +76,14 @@
 		f.fail(ctx, err, replies)
 		return
 	}
-	f.settle(ctx, a, replies)
+	f.complete(ctx, a, replies)
 }
 
-// claim returns what the ledger says of this attempt.
+// claim returns the ledger's result for the claim of this attempt.
 //
-// An entry that was frozen for long is taken for dead and its incarnation is
-// refused. When it goes on it would refuse every call until its restart, so it
-// takes a new incarnation and claims once more.
+// An entry that was suspended for a long time is declared dead, and its
+// incarnation is refused. After it resumes, it would refuse every call until its
+// restart. It therefore takes a new incarnation and claims once more.
 func (f *flow) claim(ctx context.Context) (ledger.Result, error) {
 	incarnation := f.client.incarnation.Load()
 	result, err := f.claimAs(ctx, incarnation)
@@ -95,12 +95,12 @@
 	return f.claimAs(ctx, f.client.incarnation.Load())
 }
 
-// claimAs proposes the claim until the ledger answers or its time is over.
+// claimAs proposes the claim until the ledger answers or ClaimTimeout has passed.
 //
-// While the control log changes its leader, a proposal's commit is unknown or
-// refused for a moment. A caller that was sent away then would see a planned
-// restart as an error. The same claim may be proposed again: the ledger takes
-// it for the attempt that it already knows.
+// While the control log changes its leader, a proposal is refused or its commit
+// is unknown for a short time. Without retries, callers would see an error at
+// each planned restart. The same claim may be proposed again: the ledger
+// recognizes the attempt.
 func (f *flow) claimAs(ctx context.Context, incarnation uint64) (ledger.Result, error) {
 	claim := ledger.Command{Claim: &ledger.Claim{
 		Scope:       f.scope,
@@ -111,41 +111,41 @@
 		Keep:        f.request.Rules.LedgerKeep,
 	}}
 	unknown := false
-	for backoff := firstBackoff; ; backoff = min(2*backoff, lastBackoff) {
+	for backoff := minBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		result, err := f.client.propose(ctx, claim)
 		if err == nil {
 			return result, nil
 		}
 		unknown = unknown || verdict.Of(err) != verdict.NotRun
-		left := f.client.ClaimTimeout - f.client.Now().Sub(f.started)
-		if backoff < left && f.client.Wait(ctx, backoff) == nil {
+		remaining := f.client.ClaimTimeout - f.client.Now().Sub(f.started)
+		if backoff < remaining && f.client.Wait(ctx, backoff) == nil {
 			continue
 		}
 		if !unknown {
-			return ledger.Result{}, ledgerDown(err)
+			return ledger.Result{}, ledgerUnavailable(err)
 		}
 		return f.readBack(ctx, err)
 	}
 }
 
-// readBack finds out what became of a claim whose commit is unknown. When it
-// can't, or the claim isn't there yet, the attempt is released: without that,
-// a claim that arrives late would stay live and hold back every resend.
+// readBack looks up a claim whose commit is unknown. If the lookup fails or the
+// claim is not committed yet, it releases the attempt: otherwise a claim that is
+// committed late would stay in force and block every resend.
 func (f *flow) readBack(ctx context.Context, cause error) (ledger.Result, error) {
 	result, err := f.client.lookup(ctx, ledger.Lookup{Scope: f.scope, Digest: f.digest, Attempt: f.attempt})
 	if err == nil && result.Kind != ledger.Absent {
 		return result, nil
 	}
 	f.releaseLater(ctx)
-	return ledger.Result{}, ledgerDown(cause)
+	return ledger.Result{}, ledgerUnavailable(cause)
 }
 
-// found returns the reply to a call that this attempt may not dispatch.
-func (f *flow) found(r ledger.Result) (Answer, error) {
+// refusedClaim returns the reply to a call that this attempt may not dispatch.
+func (f *flow) refusedClaim(r ledger.Result) (Answer, error) {
 	f.client.write(event.CallFound, f.request, log.Fields{"attempt": f.attempt, "holder": r.Attempt, "found": string(r.Kind)})
 	switch r.Kind {
 	case ledger.Found:
-		return repeat(*r.Answer)
+		return recordedAnswer(*r.Answer)
 	case ledger.Busy:
 		return Answer{}, verdict.New(verdict.MayHaveRun, http.StatusConflict, "call-in-progress",
 			"the call runs already under this Idempotency-Key").WithRetryAfter(r.RetryAfter)
@@ -167,8 +167,8 @@
 		"the call may have run and its outcome can't be known; it is not dispatched again; an operator can resolve it")
 }
 
-// repeat returns the recorded answer, or says that it ran when the record has no body.
-func repeat(a ledger.Answer) (Answer, error) {
+// recordedAnswer returns the recorded answer, or an error with the verdict ran when its body was not kept.
+func recordedAnswer(a ledger.Answer) (Answer, error) {
 	if a.Dropped {
 		return Answer{}, verdict.New(verdict.Ran, http.StatusBadGateway, "answer-not-kept",
 			"the call ran; its answer was not kept")
--- a/internal/entry/service/request.go
+++ b/internal/entry/service/request.go
@@ -8,7 +8,7 @@
 
 // Request is one caller's call of a plain service.
 type Request struct {
-	// ID is the id in the header Hornbeamwood-Request.
+	// ID is the request ID in the header Hornbeamwood-Request.
 	ID string
 	// Workspace is the caller's workspace.
 	Workspace string
@@ -16,11 +16,11 @@
 	Service string
 	// Method is the HTTP method.
 	Method string
-	// Path is the path at the service with its query; it opens with a slash.
+	// Path is the path at the service with its query; it begins with a slash.
 	Path string
 	// Key is the caller's Idempotency-Key, empty for none.
 	Key string
-	// Header holds the caller's headers; only those of docs/interfaces/service.md go through.
+	// Header holds the caller's headers; only those that docs/interfaces/service.md lists are forwarded.
 	Header http.Header
 	// Body is the whole body.
 	Body []byte
--- a/internal/entry/service/send_once.go
+++ b/internal/entry/service/send_once.go
@@ -15,10 +15,10 @@
 
 // sendOnce sends a non-idempotent call on a connection of its own.
 //
-// The usual transport sends a request again by itself when a kept connection
-// turns out to be closed, and can't tell whether bytes of it left; here the
-// request is written once to a fresh connection, and until the first byte is
-// handed to the kernel a failure proves that nothing ran.
+// http.Transport resends a request by itself when a pooled connection turns out
+// to be closed, and does not report whether bytes of the request were sent. Here
+// the request is written once to a new connection, and a failure before the first
+// byte is handed to the kernel proves that nothing ran.
 func (c *client) sendOnce(ctx context.Context, s Server, r Request, attempt string) (Answer, error) {
 	request, err := newRequest(ctx, s, r, attempt)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return exchange(conn, request, b.Bytes())
 }
 
-// exchange writes the request and reads the answer; from its first byte on, a failure may have run.
+// exchange writes the request and reads the answer; after a failure the call may have run.
 func exchange(conn net.Conn, request *http.Request, b []byte) (Answer, error) {
 	written := make(chan error, 1)
 	go func() {
@@ -54,13 +54,13 @@
 	response, err := readResponse(bufio.NewReader(io.LimitReader(conn, limit)), request)
 	if err != nil {
 		conn.Close()
-		return Answer{}, broken(errors.Join(err, <-written))
+		return Answer{}, connectionLost(errors.Join(err, <-written))
 	}
 	defer response.Body.Close()
 	return readAnswer(response, ledger.MaxBody+1)
 }
 
-// readResponse returns the first final response; informational ones are passed over.
+// readResponse returns the first final response and skips informational ones.
 func readResponse(b *bufio.Reader, request *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(b, request)
--- a/internal/entry/service/settle.go
+++ b/internal/entry/service/settle.go
@@ -12,7 +12,7 @@
 	"hornbeamwood/internal/control/ledger"
 )
 
-// dispatch sends the call, more than once only while it is proved that it did not run.
+// dispatch sends the call; it retries only after failures that prove that the call did not run.
 func (f *flow) dispatch(ctx context.Context) (Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.client.DispatchTimeout)
 	defer cancel()
@@ -22,9 +22,9 @@
 		if err != nil {
 			return Answer{}, asNotRun(err)
 		}
-		// An entry that was frozen after its claim may have been declared dead,
-		// and an operator may have let the call run elsewhere; a claim that old
-		// isn't dispatched any more.
+		// An entry that was suspended after its claim may have been declared dead,
+		// and an operator may have allowed the call to run elsewhere. A claim that
+		// old is not dispatched any more.
 		if f.client.Now().Sub(f.started) > f.client.DispatchWindow {
 			return Answer{}, verdict.New(verdict.NotRun, http.StatusServiceUnavailable, "claim-too-old",
 				"the call was not dispatched in time").WithRetryAfter(time.Second)
@@ -41,7 +41,7 @@
 	}
 }
 
-// asNotRun returns the error of a picker, after which nothing was dispatched.
+// asNotRun returns a picker's error with the verdict not-run, because nothing was dispatched.
 func asNotRun(err error) verdict.Error {
 	if e, ok := verdict.As(err); ok {
 		return e.WithVerdict(verdict.NotRun)
@@ -50,10 +50,10 @@
 		WithRetryAfter(time.Second).WithCause(err)
 }
 
-// fail records that the call did not run, or that nobody knows, and replies.
+// fail records that the call did not run or that its outcome is unknown, and replies.
 //
-// The caller gets its verdict only after the log has it, within OutcomeWait: a
-// resend that comes at once must not be told that the call is in progress.
+// The caller gets its verdict only after the log has recorded it, or after
+// OutcomeWait: an immediate resend must not be refused as a call in progress.
 func (f *flow) fail(ctx context.Context, cause error, replies chan<- reply) {
 	command := ledger.Command{MarkUnknown: &ledger.MarkUnknown{Scope: f.scope, Attempt: f.attempt}}
 	if verdict.Of(cause) == verdict.NotRun {
@@ -65,49 +65,49 @@
 	f.record(ctx, command, replies, reply{err: cause})
 }
 
-// settle records the outcome and replies.
-func (f *flow) settle(ctx context.Context, a Answer, replies chan<- reply) {
-	kept := a.record()
+// complete records the outcome and replies.
+func (f *flow) complete(ctx context.Context, a Answer, replies chan<- reply) {
+	recorded := a.record()
 	p := reply{answer: a}
-	if len(kept.Body) > ledger.MaxBody {
-		kept.Body, kept.Dropped = nil, true
-		p.answer, p.err = repeat(kept)
+	if len(recorded.Body) > ledger.MaxBody {
+		recorded.Body, recorded.Dropped = nil, true
+		p.answer, p.err = recordedAnswer(recorded)
 	}
 	command := ledger.Command{Outcome: &ledger.Outcome{
-		Scope: f.scope, Attempt: f.attempt, Digest: f.digest, Answer: kept,
+		Scope: f.scope, Attempt: f.attempt, Digest: f.digest, Answer: recorded,
 	}}
 	f.client.write(event.CallSettled, f.request, log.Fields{"attempt": f.attempt, "status": a.Status})
 	f.record(ctx, command, replies, p)
 }
 
-// record commits the command and then replies; when the log doesn't answer
-// within OutcomeWait it replies first, with what this entry knows for certain,
-// and goes on until the log has it.
+// record commits the command and then replies. If the log doesn't answer within
+// OutcomeWait, it replies first with the result known to this entry, and retries
+// until the command is committed.
 func (f *flow) record(ctx context.Context, command ledger.Command, replies chan<- reply, p reply) {
 	short, cancel := context.WithTimeout(ctx, f.client.OutcomeWait)
 	result, err := f.client.persist(short, command)
 	cancel()
-	// A claim that can't be released was taken away meanwhile, and the call may
-	// have run under another one; not-run would speak of this attempt only.
+	// A claim that can't be released was revoked meanwhile, and the call may have
+	// run under another claim; not-run would be true of this attempt only.
 	if err == nil && command.Release != nil && result.Kind == ledger.Stale {
 		p.err = outcomeUnknown()
 	}
 	replies <- p
 	if err != nil {
-		f.persistLong(ctx, command)
+		f.persistWithTimeout(ctx, command)
 	}
 }
 
-// releaseLater takes the claim back, for as long as that takes, without holding the caller.
+// releaseLater releases the claim in the background, so that the caller need not wait for it.
 func (f *flow) releaseLater(ctx context.Context) {
 	f.client.begin()
 	go func() {
 		defer f.client.end()
-		f.persistLong(ctx, ledger.Command{Release: &ledger.Release{Scope: f.scope, Attempt: f.attempt}})
+		f.persistWithTimeout(ctx, ledger.Command{Release: &ledger.Release{Scope: f.scope, Attempt: f.attempt}})
 	}()
 }
 
-func (f *flow) persistLong(ctx context.Context, command ledger.Command) {
+func (f *flow) persistWithTimeout(ctx context.Context, command ledger.Command) {
 	ctx, cancel := context.WithTimeout(ctx, f.client.DispatchTimeout)
 	defer cancel()
 	if _, err := f.client.persist(ctx, command); err != nil {
--- a/internal/entry/service/suspended_entry_test.go
+++ b/internal/entry/service/suspended_entry_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// An entry's VM is frozen for so long that its claims are abandoned. When it
-// goes on, its callers must be served again without a restart of the entry.
-func TestEntryThatWasTakenForDeadServesAgain(t *testing.T) {
+// An entry's VM is suspended for so long that its claims are abandoned. After it
+// resumes, the entry must serve its callers without a restart.
+func TestEntryThatWasDeclaredDeadServesAgain(t *testing.T) {
 	log, fake := newFakeLog(), newFakeService(t)
 	c := New(Config{Log: log, Picker: onePicker(fake.address()), Entry: "e1", Incarnation: 7})
 	if _, err := c.Abandon(context.Background(), "e1", 7); err != nil {
--- a/internal/entry/service/wire.go
+++ b/internal/entry/service/wire.go
@@ -12,7 +12,7 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-// Headers of docs/interfaces/service.md.
+// Headers that docs/interfaces/service.md specifies, and a bound on Retry-After.
 const (
 	headerRequest   = "Hornbeamwood-Request"
 	headerAttempt   = "Hornbeamwood-Attempt"
@@ -21,17 +21,17 @@
 	maxRetryAfter   = time.Hour
 )
 
-var errNoLength = errors.New("the answer has neither Content-Length nor chunks")
+var errNoLength = errors.New("the answer has neither Content-Length nor chunked encoding")
 
-// forwarded are the caller's headers that go to the service.
-var forwarded = []string{"Content-Type", "Accept", "Accept-Language"}
+// forwardedHeaders lists the caller's headers that are sent to the service.
+var forwardedHeaders = []string{"Content-Type", "Accept", "Accept-Language"}
 
 func newRequest(ctx context.Context, s Server, r Request, attempt string) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, r.Method, "http://"+s.Address+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
 		return nil, err
 	}
-	for _, n := range forwarded {
+	for _, n := range forwardedHeaders {
 		if v := r.Header.Values(n); len(v) > 0 {
 			request.Header[n] = v
 		}
@@ -45,28 +45,28 @@
 	return request, nil
 }
 
-// readAnswer returns the whole answer, cut at limit bytes, or the server's own statement that nothing ran.
+// readAnswer returns the answer with at most limit bytes of its body, or the service's refusal with the verdict not-run.
 func readAnswer(response *http.Response, limit int64) (Answer, error) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, limit))
 	if response.Header.Get(verdict.Header) == verdict.NotRun.String() {
 		return Answer{}, refused(response)
 	}
 	if err != nil {
-		return Answer{}, broken(err)
+		return Answer{}, connectionLost(err)
 	}
 	if !bounded(response) {
-		return Answer{}, broken(errNoLength)
+		return Answer{}, connectionLost(errNoLength)
 	}
 	a := Answer{
 		Status:  response.StatusCode,
-		Header:  make(http.Header, len(returned)),
+		Header:  make(http.Header, len(returnedHeaders)),
 		Body:    body,
 		Verdict: verdictOf(response.StatusCode),
 	}
 	if response.Header.Get(verdict.Header) == verdict.Ran.String() {
 		a.Verdict = verdict.Ran
 	}
-	for _, n := range returned {
+	for _, n := range returnedHeaders {
 		if v := response.Header.Values(n); len(v) > 0 {
 			a.Header[n] = v
 		}
@@ -74,14 +74,14 @@
 	return a, nil
 }
 
-// bounded reports whether the end of the body is marked. A body that ends with
-// the connection looks whole when the server died half-way, and half an answer
-// would be recorded and repeated as the outcome.
+// bounded reports whether the body's end is delimited. A body that ends with the
+// connection looks complete when the server crashes in the middle, and a truncated
+// answer would be recorded and returned as the outcome.
 func bounded(response *http.Response) bool {
 	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 }
 
-// refused is the server's own statement that the call did not run.
+// refused returns the service's refusal, which states that the call did not run.
 func refused(response *http.Response) verdict.Error {
 	status := response.StatusCode
 	if status < http.StatusBadRequest {
@@ -95,14 +95,14 @@
 	return e.WithRetryAfter(min(time.Duration(seconds)*time.Second, maxRetryAfter))
 }
 
-// unreachable is the failure to connect, before any byte of the call left.
+// unreachable is the error for a failure to connect, before any byte of the call was sent.
 func unreachable(err error) verdict.Error {
 	return verdict.New(verdict.NotRun, http.StatusServiceUnavailable, "service-unreachable",
 		"no connection to the service could be made").WithRetryAfter(time.Second).WithCause(err)
 }
 
-// broken is a connection that failed after the call may have left.
-func broken(err error) verdict.Error {
+// connectionLost is the error for a connection that failed after the call may have been sent.
+func connectionLost(err error) verdict.Error {
 	return verdict.New(verdict.MayHaveRun, http.StatusBadGateway, "connection-lost",
 		"the connection to the service was lost; the call may have run").WithCause(err)
 }
