--- a/internal/entry/caller/fixture_test.go
+++ b/internal/entry/caller/fixture_test.go
@@ -166,7 +166,7 @@
 	return append(events, `{"id":"c","object":"chat.completion.chunk","created":1,"model":"draft","choices":[],"usage":{"total_tokens":9}}`)
 }
 
-// answer is a whole HTTP answer.
+// answer is a complete HTTP response.
 type answer struct {
 	status int
 	header http.Header
--- a/internal/entry/caller/interfaces.go
+++ b/internal/entry/caller/interfaces.go
@@ -21,7 +21,8 @@
 
 // Stream is one completion's answer.
 type Stream interface {
-	// Next returns the JSON of the next event, valid until the next call. Its error is io.EOF after a complete answer, otherwise a verdict.Error.
+	// Next returns the JSON of the next event, valid until the next call. Its error
+	// is io.EOF after a complete answer, otherwise a verdict.Error.
 	Next() ([]byte, error)
 	// Close ends the stream and cancels the run if it isn't complete.
 	Close()
@@ -29,7 +30,7 @@
 
 // Services calls plain services.
 type Services interface {
-	// Call returns the whole answer to r or a verdict.Error.
+	// Call returns the complete answer to r or a verdict.Error.
 	Call(ctx context.Context, r service.Request) (service.Answer, error)
 }
 
--- a/internal/entry/caller/whole_answer.go
+++ b/internal/entry/caller/whole_answer.go
@@ -103,7 +103,9 @@
 // repeatedFields lists the text fields that each event repeats instead of continuing them.
 var repeatedFields = []string{"role", "id", "type", "finish_reason", "stop_reason"}
 
-// merge returns the value of a field after an event: texts are concatenated, objects and lists are merged, other values are replaced.
+// merge returns the value of a field after an event: texts are concatenated,
+// objects and lists are merged, and other values are replaced. Texts of
+// repeatedFields are replaced, too.
 func merge(name string, old, v any) any {
 	if v == nil {
 		return old
--- a/internal/entry/completion/attempt.go
+++ b/internal/entry/completion/attempt.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// firstTokenFactor, a multiple of the expected time, and minFirstTokenTimeout set the timeout for the
-	// first token. Without it a suspended server would hold the request until the caller's deadline.
+	// The timeout for the first token is firstTokenFactor times the expected time, at least minFirstTokenTimeout.
+	// Without it, a suspended server would hold the request until the caller's deadline.
 	firstTokenFactor     = 4
 	minFirstTokenTimeout = 3 * time.Second
 	// pinDuration is the longest time that an import may take.
--- a/internal/entry/completion/retry.go
+++ b/internal/entry/completion/retry.go
@@ -9,7 +9,7 @@
 	"hornbeamwood/internal/policy/retry"
 )
 
-// Codes of failures that are no error reported by the server itself.
+// Codes of failures that do not indicate whether the server is healthy.
 const (
 	codeCancelled = "caller-gone"
 	codeSilent    = "engine-silent"
--- a/internal/entry/completion/router.go
+++ b/internal/entry/completion/router.go
@@ -81,7 +81,8 @@
 	return newStream(ctx, r, j, a), nil
 }
 
-// checkContext refuses a prompt that is longer than its model's context; an engine would refuse it only after reading and queueing it.
+// checkContext refuses a prompt that is longer than its model's context. An
+// engine would refuse it only after reading and queueing it.
 func checkContext(q caller.Request) error {
 	limit := q.Model.ContextTokens
 	if limit <= 0 || len(q.Tokens) <= limit {
--- a/internal/entry/engine/client.go
+++ b/internal/entry/engine/client.go
@@ -9,7 +9,8 @@
 
 // Client runs attempts at engines.
 type Client interface {
-	// Run starts the attempt at the engine with the given IP and port and returns its stream, or a verdict.Error; when ctx ends, the run is cancelled.
+	// Run starts the attempt at the engine with the given IP and port and returns
+	// its stream, or a verdict.Error. When ctx ends, the run is cancelled.
 	Run(ctx context.Context, address string, r Request) (Stream, error)
 	// Wait returns when all cancel requests have been answered or have timed out.
 	Wait()
--- a/internal/entry/engine/stream.go
+++ b/internal/entry/engine/stream.go
@@ -20,7 +20,8 @@
 // Events are read from the connection only on demand, so that a slow caller
 // causes backpressure on the engine instead of filling this VM's memory.
 type Stream interface {
-	// Next returns the JSON of the next event, valid until the next call. Its error is io.EOF after a complete answer, otherwise a verdict.Error.
+	// Next returns the JSON of the next event, valid until the next call. Its error
+	// is io.EOF after a complete answer, otherwise a verdict.Error.
 	Next() ([]byte, error)
 	// Position returns the number of events that Next has returned.
 	Position() int
@@ -170,7 +171,8 @@
 		"the model engine failed during the run").WithCause(fmt.Errorf("%.200s", value))
 }
 
-// recover resumes the stream after a failed connection or an invalid event. If that fails, it returns the final error of the stream.
+// recover resumes the stream after a failed connection or an invalid event. If
+// that fails, it returns the final error of the stream.
 func (s *stream) recover(cause error) error {
 	if errors.Is(cause, io.EOF) {
 		return io.EOF
--- a/internal/entry/service/answer.go
+++ b/internal/entry/service/answer.go
@@ -13,7 +13,7 @@
 	Status int
 	// Header holds the headers that go to the caller.
 	Header http.Header
-	// Body is the whole body.
+	// Body is the complete body.
 	Body []byte
 	// Verdict is Ran, or MayHaveRun for a server error without a verdict of the service.
 	Verdict verdict.Verdict
--- a/internal/entry/service/client.go
+++ b/internal/entry/service/client.go
@@ -17,7 +17,7 @@
 
 // Client calls plain services.
 type Client interface {
-	// Call returns the whole answer to r, or a verdict.Error.
+	// Call returns the complete answer to r, or a verdict.Error.
 	Call(ctx context.Context, r Request) (Answer, error)
 	// Abandon marks the claims of an entry's incarnations up to the given one as unknown and returns their number.
 	Abandon(ctx context.Context, entry string, incarnation uint64) (int, error)
@@ -111,7 +111,7 @@
 	e.Write(c.Logger, f)
 }
 
-// deadline returns how long the caller of r waits.
+// deadline returns the time limit for the answer to r.
 func (c *client) deadline(r Request) time.Duration {
 	if r.Rules.Deadline > 0 {
 		return r.Rules.Deadline
--- a/internal/entry/service/request.go
+++ b/internal/entry/service/request.go
@@ -22,7 +22,7 @@
 	Key string
 	// Header holds the caller's headers; only those that docs/interfaces/service.md lists are forwarded.
 	Header http.Header
-	// Body is the whole body.
+	// Body is the complete body.
 	Body []byte
 	// Rules are the workspace's rules for the service.
 	Rules rules.Rules
