--- a/internal/control/quic/server.go
+++ b/internal/control/quic/server.go
@@ -224,7 +224,7 @@
 	}
 	change, ok := changes[c.Kind]
 	if !ok {
-		return protocol.Empty{}, verdict.New(verdict.NotRun, http.StatusBadRequest, "unknown-change", "unknown member change %q", c.Kind)
+		return protocol.Empty{}, verdict.New(verdict.NotRun, http.StatusBadRequest, "unknown-change", "no member change is named %q", c.Kind)
 	}
 	return protocol.Empty{}, change()
 }
--- a/internal/control/replica/errors.go
+++ b/internal/control/replica/errors.go
@@ -29,11 +29,11 @@
 }
 
 func errNotLeader(cause NotLeaderError) error {
-	return unavailable(CodeNotLeader, "this replica is not the leader of the control log").WithCause(cause)
+	return unavailable(CodeNotLeader, "this replica does not lead the control log").WithCause(cause)
 }
 
 func errNotFormed() error {
-	return unavailable(CodeNotFormed, "this replica has not joined a group yet")
+	return unavailable(CodeNotFormed, "this replica belongs to no group yet")
 }
 
 func errStopped(cause error) error {
@@ -41,29 +41,29 @@
 }
 
 func errQueueFull() error {
-	return unavailable(CodeQueueFull, "the command queue is full")
+	return unavailable(CodeQueueFull, "too many commands are waiting")
 }
 
 func errDiskLow() error {
-	return verdict.New(verdict.NotRun, http.StatusInsufficientStorage, CodeDiskLow, "the disk of the control log has less than %d MiB free; commands are rejected until an operator frees disk space", minFreeBytes>>20)
+	return verdict.New(verdict.NotRun, http.StatusInsufficientStorage, CodeDiskLow, "the disk of the control log has less than %d MiB left; nothing is accepted until an operator makes room", minFreeBytes>>20)
 }
 
 func errTooLarge() error {
-	return verdict.New(verdict.NotRun, http.StatusRequestEntityTooLarge, CodeTooLarge, "the command is larger than %d bytes", MaxCommand)
+	return verdict.New(verdict.NotRun, http.StatusRequestEntityTooLarge, CodeTooLarge, "a command may have %d bytes at most", MaxCommand)
 }
 
 func errTimeout(cause error) error {
-	return unavailable(CodeTimeout, "the call timed out before the command was appended").WithCause(cause)
+	return unavailable(CodeTimeout, "the time ran out before the command was taken").WithCause(cause)
 }
 
 // errCommitUnknown means that a command was appended to the log and may still be committed or dropped.
 func errCommitUnknown(cause error) error {
-	return verdict.New(verdict.MayHaveRun, http.StatusServiceUnavailable, CodeCommitUnknown, "the command was appended, but it is unknown whether it is committed").
+	return verdict.New(verdict.MayHaveRun, http.StatusServiceUnavailable, CodeCommitUnknown, "the command was taken, but whether it is committed is not known").
 		WithRetryAfter(retryAfter).WithCause(cause)
 }
 
 func errChangeRefused(cause error) error {
-	return verdict.New(verdict.NotRun, http.StatusConflict, CodeRefused, "the membership change is rejected").WithCause(cause)
+	return verdict.New(verdict.NotRun, http.StatusConflict, CodeRefused, "the membership change is refused").WithCause(cause)
 }
 
 func errChangePending(cause error) error {
--- a/internal/process/entry/entry.go
+++ b/internal/process/entry/entry.go
@@ -144,10 +144,10 @@
 // ready returns nil while the entry accepts new work, and otherwise why it doesn't.
 func (p *process) ready() error {
 	if p.stopping.Load() {
-		return errors.New("the entry is stopping")
+		return errors.New("the entry stops")
 	}
 	if time.Since(p.started) < warmUp {
-		return errors.New("the entry is still discovering the backend servers")
+		return errors.New("the entry is learning of the backend servers")
 	}
 	return p.components.settings.Check()
 }
--- a/internal/process/sitecontrol/announcements.go
+++ b/internal/process/sitecontrol/announcements.go
@@ -120,7 +120,7 @@
 // longer runs. Without an acknowledgement the server retries at the next replica.
 func (a *announcements) leave(ctx context.Context, s directory.Server) error {
 	if !a.caughtUp() {
-		return a.refuse(s, "this replica has not caught up with a leader")
+		return a.refuse(s, "this replica hears no leader")
 	}
 	a.merge(s)
 	known, _ := a.directory.Get(s.ID)
@@ -132,7 +132,7 @@
 	ctx, cancel := context.WithTimeout(ctx, replicationTimeout)
 	defer cancel()
 	if !a.watchServer.AwaitReplicas(ctx, revision, 1) {
-		return a.refuse(s, "no other replica has acknowledged the change yet")
+		return a.refuse(s, "no other replica has the news yet")
 	}
 	return nil
 }
--- a/internal/process/siteentry/entry.go
+++ b/internal/process/siteentry/entry.go
@@ -296,7 +296,7 @@
 
 func (p *process) readinessError() error {
 	if !p.ready() {
-		return errors.New("entry: no document is in force yet, or the process is stopping")
+		return errors.New("the entry has no document yet, or stops")
 	}
 	return nil
 }
--- a/internal/site/document/validate.go
+++ b/internal/site/document/validate.go
@@ -21,7 +21,7 @@
 	seen := map[string]bool{}
 	for _, s := range d.Services {
 		if s.Name == "" || seen[s.Name] {
-			return invalid("service %q is defined twice or has no name", s.Name)
+			return invalid("service %q stands twice or has no name", s.Name)
 		}
 		seen[s.Name] = true
 	}
@@ -59,7 +59,7 @@
 	}
 	for _, s := range r.Shares {
 		if !services[s.Service] {
-			return invalid("route %s refers to the unknown service %q", r.Name, s.Service)
+			return invalid("route %s names the unknown service %q", r.Name, s.Service)
 		}
 		if s.Weight < 0 {
 			return invalid("route %s: the weight of %s is negative", r.Name, s.Service)
