--- a/internal/settings/tree/bench_test.go
+++ b/internal/settings/tree/bench_test.go
@@ -9,8 +9,8 @@
 
 var sizes = []int{10, 350, 1400}
 
-// sized returns a valid tree with n workspaces, each with two models and a service.
-func sized(tb testing.TB, n int) Tree {
+// treeWithWorkspaces returns a valid tree with n workspaces, each with two models and one service.
+func treeWithWorkspaces(tb testing.TB, n int) Tree {
 	tb.Helper()
 	changes := []Change{
 		{Action: Create, Path: "/models/a"},
@@ -42,7 +42,7 @@
 
 func BenchmarkEdit(b *testing.B) {
 	for _, n := range sizes {
-		t := sized(b, n)
+		t := treeWithWorkspaces(b, n)
 		c := []Change{set("/workspaces/w3/models/a", "priority", IntValue(5))}
 		b.Run(fmt.Sprintf("apply/workspaces=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
@@ -61,7 +61,7 @@
 
 func BenchmarkBuild(b *testing.B) {
 	for _, n := range sizes {
-		t := sized(b, n)
+		t := treeWithWorkspaces(b, n)
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/settings/tree/branch.go
+++ b/internal/settings/tree/branch.go
@@ -1,22 +1,22 @@
 package tree
 
-// Branch is one branch with the values that it sets itself.
+// Branch is a branch with its own values, without inherited ones.
 type Branch struct {
-	// Path names the branch.
+	// Path identifies the branch.
 	Path Path `cbor:"path"`
 	// Values are sorted by key.
 	Values []Assignment `cbor:"values,omitempty"`
 }
 
-// Assignment is one key with its value.
+// Assignment is a key with its value.
 type Assignment struct {
-	// Key names the setting.
+	// Key is the name of the setting.
 	Key string `cbor:"key"`
 	// Value is the setting's value.
 	Value Value `cbor:"value"`
 }
 
-// Branches returns branch p and those below it, parents first and sorted.
+// Branches returns branch p and its descendants, sorted, parents first.
 func (t Tree) Branches(p Path) []Branch {
 	paths := t.Paths(p)
 	all := make([]Branch, len(paths))
@@ -27,7 +27,7 @@
 	return all
 }
 
-// FromBranches returns the tree that Branches of its root gave.
+// FromBranches returns the tree made of branches, as returned by Branches for the root.
 func FromBranches(branches []Branch) (Tree, error) {
 	t, _, err := Tree{}.Apply([]Change{{Action: Replace, Path: RootPath, Branches: branches}})
 	return t, err
--- a/internal/settings/tree/build.go
+++ b/internal/settings/tree/build.go
@@ -4,14 +4,14 @@
 	"hornbeamwood/internal/settings/rules"
 )
 
-// builder holds what all workspaces share while a snapshot is built.
+// builder holds the data that all workspaces share while a snapshot is built.
 type builder struct {
 	tree     Tree
 	defaults rules.Rules
 	services map[string]values
 }
 
-// Build returns the rules that entries serve under at the given revision.
+// Build returns the effective rules that entries apply at the given revision.
 func (t Tree) Build(revision uint64) rules.Snapshot {
 	b := builder{tree: t, services: map[string]values{}}
 	b.defaults = b.rootRules()
--- a/internal/settings/tree/deep_test.go
+++ b/internal/settings/tree/deep_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A text nests tables or arrays so deep that a parser which follows them runs
-// out of stack. The process would end, and with it every request that runs.
+// Deeply nested tables or arrays must not exhaust the stack of the parser: that
+// would end the process and every running request.
 func TestDeepNestingIsRefused(t *testing.T) {
 	const depth = 1 << 18
 	for name, text := range map[string]string{
@@ -18,7 +18,7 @@
 		"header":        "[" + strings.Repeat("a.", depth) + "a]",
 	} {
 		if _, err := ParseTOML(RootPath, "deep", []byte(text)); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 	for name, text := range map[string]string{
@@ -26,7 +26,7 @@
 		"objects": strings.Repeat(`{"a": `, depth/2),
 	} {
 		if _, err := ParseJSON(RootPath, []byte(text)); err == nil {
-			t.Errorf("%s as JSON: taken", name)
+			t.Errorf("%s as JSON: accepted", name)
 		}
 	}
 }
--- a/internal/settings/tree/doc.go
+++ b/internal/settings/tree/doc.go
@@ -1,6 +1,7 @@
-// Package tree holds the settings tree: branches whose values the branches
-// below them inherit, the schema of all settings, validation of the whole
-// effective tree, and the build of the rules that entries serve under.
+// Package tree implements the settings tree, in which each branch inherits the
+// values of its parent. It contains the schema of all settings, validates the
+// whole effective tree and builds the rules that entries apply.
 //
-// A Tree is immutable; an edit shares all branches that it does not touch.
+// A Tree is immutable. The result of an edit shares all branches that the edit
+// does not change.
 package tree
--- a/internal/settings/tree/document.go
+++ b/internal/settings/tree/document.go
@@ -5,17 +5,17 @@
 	"fmt"
 )
 
-// document is the nested form that the encoders of TOML and JSON take.
+// document is the nested form that the TOML and JSON encoders accept.
 type document map[string]any
 
-// documentOf returns branches, the first of which is p and above all others, in nested form.
+// documentOf returns branches in nested form; the first one is p, the ancestor of all others.
 func documentOf(p Path, branches []Branch) document {
 	top := document{}
 	at := map[Path]document{p: top}
 	for _, b := range branches {
 		d, ok := at[b.Path]
 		if !ok {
-			d = place(b.Path, at)
+			d = addTable(b.Path, at)
 		}
 		for _, a := range b.Values {
 			d[a.Key] = a.Value.Document()
@@ -24,8 +24,8 @@
 	return top
 }
 
-// place returns the table for branch q below its parent's, made if it is missing.
-func place(q Path, at map[Path]document) document {
+// addTable adds the table of branch q to its parent's table and returns it.
+func addTable(q Path, at map[Path]document) document {
 	d := document{}
 	at[q] = d
 	parent, _ := q.Parent()
@@ -59,7 +59,8 @@
 	return ""
 }
 
-// FormatJSON returns branches, the first of which is p and above all others, as JSON, sorted, in the form that ParseJSON reads.
+// FormatJSON returns branches as sorted JSON in the form that ParseJSON reads.
+// The first branch is p, the ancestor of all others.
 func FormatJSON(p Path, branches []Branch) ([]byte, error) {
 	b, err := json.MarshalIndent(documentOf(p, branches), "", "  ")
 	if err != nil {
--- a/internal/settings/tree/edit.go
+++ b/internal/settings/tree/edit.go
@@ -7,15 +7,15 @@
 	"hornbeamwood/internal/settings/tomlfile"
 )
 
-// editor applies changes one after the other and keeps what they did.
+// editor applies changes in order and records their effects.
 type editor struct {
 	tree     Tree
 	effects  []Effect
 	problems tomlfile.Problems
 }
 
-// Edit returns the tree after all changes and what they did to it; the whole
-// tree is valid afterwards, or the error is Problems and the tree is unchanged.
+// Edit returns the tree after all changes, and their effects. It validates the
+// whole resulting tree; an error is of type tomlfile.Problems, and the tree is unchanged.
 func (t Tree) Edit(changes []Change) (Tree, []Effect, error) {
 	next, effects, err := t.Apply(changes)
 	if err != nil {
@@ -27,8 +27,8 @@
 	return next, effects, nil
 }
 
-// Apply returns the tree after changes that need no validation of the whole
-// tree, as those of an accepted edit; each single change is checked.
+// Apply returns the tree after changes, and their effects. It checks each
+// change but not the whole resulting tree, which suits the changes of an accepted edit.
 func (t Tree) Apply(changes []Change) (Tree, []Effect, error) {
 	e := &editor{tree: t}
 	for _, c := range changes {
@@ -40,11 +40,11 @@
 	return e.tree, e.effects, nil
 }
 
-func (e *editor) refuse(p Path, key, format string, args ...any) {
+func (e *editor) addProblem(p Path, key, format string, args ...any) {
 	e.problems = append(e.problems, tomlfile.Problem{Key: Label(p, key), Message: fmt.Sprintf(format, args...)})
 }
 
-// Label returns how problems name a setting: the branch's path and the key, the path alone without a key.
+// Label returns the name of a setting in problems: the branch's path and the key, or the path alone if key is empty.
 func Label(p Path, key string) string {
 	if key == "" {
 		return string(p)
@@ -55,7 +55,7 @@
 func (e *editor) apply(c Change) {
 	p, err := ParsePath(string(c.Path))
 	if err != nil || p != c.Path {
-		e.refuse(c.Path, "", "not a path of a branch: %v", err)
+		e.addProblem(c.Path, "", "not a path of a branch: %v", err)
 		return
 	}
 	switch c.Action {
@@ -70,13 +70,13 @@
 	case Replace:
 		e.replace(p, c.Branches)
 	default:
-		e.refuse(p, c.Key, "unknown action %q", c.Action)
+		e.addProblem(p, c.Key, "unknown action %q", c.Action)
 	}
 }
 
-// exists refuses a change of a missing branch: a mistyped name must not make
-// a second workspace beside the one that was meant.
-func (e *editor) exists(p Path) bool {
+// checkExists reports whether branch p exists and adds a problem if it does not.
+// Only Create adds branches, so that a mistyped name can't create a second workspace.
+func (e *editor) checkExists(p Path) bool {
 	if e.tree.Has(p) {
 		return true
 	}
@@ -86,10 +86,10 @@
 		name = second
 	}
 	if n, ok := tomlfile.Nearest(name, e.tree.siblings(p)); ok {
-		e.refuse(p, "", "there is no such branch; the nearest one is named %s", n)
+		e.addProblem(p, "", "there is no such branch; the nearest one is named %s", n)
 		return false
 	}
-	e.refuse(p, "", "there is no such branch")
+	e.addProblem(p, "", "there is no such branch")
 	return false
 }
 
@@ -99,10 +99,10 @@
 		err = s.check(v)
 	}
 	if err != nil {
-		e.refuse(p, key, "%v", err)
+		e.addProblem(p, key, "%v", err)
 		return
 	}
-	if !e.exists(p) {
+	if !e.checkExists(p) {
 		return
 	}
 	own, _ := e.tree.at(p)
@@ -116,10 +116,10 @@
 
 func (e *editor) unset(p Path, key string) {
 	if _, err := Lookup(p.Kind(), key); err != nil {
-		e.refuse(p, key, "%v", err)
+		e.addProblem(p, key, "%v", err)
 		return
 	}
-	if !e.exists(p) {
+	if !e.checkExists(p) {
 		return
 	}
 	own, _ := e.tree.at(p)
@@ -135,7 +135,7 @@
 	if e.tree.Has(p) {
 		return
 	}
-	if parent, _ := p.Parent(); !e.exists(parent) {
+	if parent, _ := p.Parent(); !e.checkExists(parent) {
 		return
 	}
 	e.tree = e.tree.with(p, nil)
@@ -144,16 +144,16 @@
 
 func (e *editor) remove(p Path) {
 	if p == RootPath {
-		e.refuse(p, "", "the root can't be removed")
+		e.addProblem(p, "", "the root can't be removed")
 		return
 	}
-	if !e.exists(p) {
+	if !e.checkExists(p) {
 		return
 	}
 	e.removeAll(e.tree.Paths(p))
 }
 
-// removeAll removes branches from the last to the first, so that no branch outlives its parent.
+// removeAll removes branches in reverse order, so that each is removed before its parent.
 func (e *editor) removeAll(paths []Path) {
 	for _, p := range slices.Backward(paths) {
 		own, _ := e.tree.at(p)
@@ -171,34 +171,34 @@
 func (e *editor) replace(p Path, branches []Branch) {
 	wanted := make(map[Path]values, len(branches))
 	for _, b := range branches {
-		if !e.collect(p, b, wanted) {
+		if !e.addWanted(p, b, wanted) {
 			return
 		}
 	}
 	if _, ok := wanted[p]; !ok {
-		e.refuse(p, "", "the new branches lack this one")
+		e.addProblem(p, "", "the new branches lack this one")
 		return
 	}
-	var gone []Path
+	var removed []Path
 	for _, q := range e.tree.Paths(p) {
 		if _, ok := wanted[q]; !ok {
-			gone = append(gone, q)
+			removed = append(removed, q)
 		}
 	}
-	e.removeAll(gone)
+	e.removeAll(removed)
 	for _, b := range branches {
-		e.become(b.Path, wanted[b.Path])
+		e.replaceValues(b.Path, wanted[b.Path])
 	}
 }
 
-// collect puts b into wanted and refuses one that is no part of p or stands twice.
-func (e *editor) collect(p Path, b Branch, wanted map[Path]values) bool {
+// addWanted adds the values of b to wanted. It adds a problem and returns false if b is not p or a descendant of p, or is a duplicate.
+func (e *editor) addWanted(p Path, b Branch, wanted map[Path]values) bool {
 	if q, err := ParsePath(string(b.Path)); err != nil || q != b.Path || !b.Path.within(p) {
-		e.refuse(b.Path, "", "is no branch at or below %s", p)
+		e.addProblem(b.Path, "", "is no branch at or below %s", p)
 		return false
 	}
 	if _, ok := wanted[b.Path]; ok {
-		e.refuse(b.Path, "", "stands twice")
+		e.addProblem(b.Path, "", "stands twice")
 		return false
 	}
 	v := values{}
@@ -209,8 +209,8 @@
 	return true
 }
 
-// become makes branch p have exactly the values v.
-func (e *editor) become(p Path, v values) {
+// replaceValues replaces all values of branch p with v and creates the branch if it is missing.
+func (e *editor) replaceValues(p Path, v values) {
 	e.create(p)
 	own, _ := e.tree.at(p)
 	for _, key := range own.keys() {
--- a/internal/settings/tree/effect.go
+++ b/internal/settings/tree/effect.go
@@ -2,26 +2,26 @@
 
 import "fmt"
 
-// Effect is one difference that an edit made.
+// Effect is one difference made by an edit.
 type Effect struct {
-	// Action is Set, Unset, Create or Remove of one branch.
+	// Action is Set, Unset, Create or Remove; Remove deletes one branch only.
 	Action Action `cbor:"action" json:"action"`
-	// Path names the branch.
+	// Path identifies the branch.
 	Path Path `cbor:"path" json:"path"`
-	// Key names the setting, for Set and Unset.
+	// Key is the name of the setting, for Set and Unset.
 	Key string `cbor:"key,omitempty" json:"key,omitempty"`
-	// Before is the branch's own value before, zero when there was none.
+	// Before is the branch's own value before the edit, zero if there was none.
 	Before Value `cbor:"before,omitzero" json:"before,omitzero"`
-	// After is the branch's own value after, zero when there is none.
+	// After is the branch's own value after the edit, zero if there is none.
 	After Value `cbor:"after,omitzero" json:"after,omitzero"`
 }
 
-// Change returns the Change that makes e's difference on another copy of the tree.
+// Change returns the Change that reproduces e on another copy of the tree.
 func (e Effect) Change() Change {
 	return Change{Action: e.Action, Path: e.Path, Key: e.Key, Value: e.After}
 }
 
-// String returns e as one line for people.
+// String returns a one-line description of e.
 func (e Effect) String() string {
 	label := Label(e.Path, e.Key)
 	switch {
@@ -33,7 +33,7 @@
 	return fmt.Sprintf("set %s from %s to %s", label, e.Before, e.After)
 }
 
-// Net returns the differences between the tree before all effects and the tree after them, in the order in which they first appear.
+// Net returns the differences between the tree before all effects and the tree after them, in order of first appearance.
 func Net(effects []Effect) []Effect {
 	order := []string{}
 	net := map[string]Effect{}
@@ -45,7 +45,7 @@
 			net[label] = e
 			continue
 		}
-		net[label] = first.then(e)
+		net[label] = first.merge(e)
 	}
 	var all []Effect
 	for _, label := range order {
@@ -56,11 +56,11 @@
 	return all
 }
 
-// then returns the difference that e and a later effect on the same setting or
-// branch make together; its action is empty when they undo each other.
-func (e Effect) then(later Effect) Effect {
+// merge returns the combined difference of e and a later effect on the same
+// setting or branch. Its action is empty if the two cancel each other out.
+func (e Effect) merge(later Effect) Effect {
 	if e.Key == "" {
-		return e.thenBranch(later)
+		return e.mergeBranch(later)
 	}
 	e.After = later.After
 	e.Action = Set
@@ -73,7 +73,7 @@
 	return e
 }
 
-func (e Effect) thenBranch(later Effect) Effect {
+func (e Effect) mergeBranch(later Effect) Effect {
 	if e.Action == "" {
 		return later
 	}
--- a/internal/settings/tree/explain.go
+++ b/internal/settings/tree/explain.go
@@ -1,16 +1,16 @@
 package tree
 
-// Explained is one effective value and where it comes from.
+// Explained is an effective value with its origin.
 type Explained struct {
-	// Setting is the row of the schema.
+	// Setting is the setting's schema entry.
 	Setting Setting
 	// Value is the effective value.
 	Value Value
-	// From is the branch that sets it, empty for the default.
+	// From is the branch that sets the value, empty for the default.
 	From Path
 }
 
-// Effective returns the value under key at branch p with the branch that it comes from.
+// Effective returns the effective value of s at branch p and the branch that sets it.
 func (t Tree) Effective(p Path, s Setting) Explained {
 	for q, ok := p, true; ok; q, ok = q.Parent() {
 		if v, set := t.Value(q, s.Name); set && s.allowed(q.Kind()) {
@@ -20,8 +20,8 @@
 	return Explained{Setting: s, Value: s.Default}
 }
 
-// Explain returns all effective values at branch p; a workspace's branch for
-// a model or service also shows those of the model or service itself.
+// Explain returns all effective values at branch p. For a workspace's branch of
+// a model or service it also returns those of the model or service itself.
 func (t Tree) Explain(p Path) []Explained {
 	var all []Explained
 	k, _, second := p.split()
--- a/internal/settings/tree/format_toml.go
+++ b/internal/settings/tree/format_toml.go
@@ -8,7 +8,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// FormatTOML returns branches, the first of which is p and above all others, as TOML, one table each, in the form that ParseTOML reads.
+// FormatTOML returns branches as TOML, one table each, in the form that ParseTOML reads.
+// The first branch is p, the ancestor of all others.
 func FormatTOML(p Path, branches []Branch) ([]byte, error) {
 	var b bytes.Buffer
 	for _, branch := range branches {
@@ -26,7 +27,7 @@
 	return b.Bytes(), nil
 }
 
-// writeHeader opens the table of branch q in a text whose top is branch p.
+// writeHeader writes the table header of branch q in a document whose root is branch p.
 func writeHeader(b *bytes.Buffer, p, q Path) {
 	if b.Len() > 0 {
 		b.WriteByte('\n')
--- a/internal/settings/tree/fuzz_test.go
+++ b/internal/settings/tree/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A text that an operator sends must never end the process, and what is
-// accepted must come out again as the same tree.
+// No text that an operator sends may end the process. An accepted text must give
+// the same tree again after formatting and parsing.
 func FuzzParseTOML(f *testing.F) {
 	b, err := os.ReadFile("testdata/small.toml")
 	if err != nil {
--- a/internal/settings/tree/kind.go
+++ b/internal/settings/tree/kind.go
@@ -1,12 +1,12 @@
 package tree
 
-// Kind is the place of a branch in the tree; it decides which settings the branch may have.
+// Kind is the kind of a branch, given by its position in the tree. It determines which settings the branch may have.
 type Kind uint8
 
 const (
-	// Root is the branch "/" from which all others inherit.
+	// Root is the branch "/", from which all others inherit.
 	Root Kind = iota
-	// Fleet is the branch "/fleet", for what belongs to no workspace.
+	// Fleet is the branch "/fleet", for settings that belong to no workspace.
 	Fleet
 	// Model is a branch "/models/{model}".
 	Model
@@ -22,7 +22,7 @@
 	WorkspaceService
 )
 
-// The names of the tables that hold branches.
+// Names of the tables that contain branches.
 const (
 	fleetTable      = "fleet"
 	modelsTable     = "models"
@@ -31,7 +31,7 @@
 	workspacesTable = "workspaces"
 )
 
-// Pattern returns the form of the paths of branches of kind k.
+// Pattern returns the path pattern of branches of kind k.
 func (k Kind) Pattern() string {
 	return patterns[k]
 }
@@ -47,7 +47,7 @@
 	WorkspaceService: "/workspaces/{workspace}/services/{service}",
 }
 
-// collections maps the tables below a branch to the kind of the branches in them.
+// collections maps each kind of branch to its tables and the kind of the branches in them.
 var collections = map[Kind]map[string]Kind{
 	Root:      {modelsTable: Model, servicesTable: Service, operatorsTable: Operator, workspacesTable: Workspace},
 	Workspace: {modelsTable: WorkspaceModel, servicesTable: WorkspaceService},
--- a/internal/settings/tree/naive_test.go
+++ b/internal/settings/tree/naive_test.go
@@ -11,7 +11,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// naive is the tree as one flat map, with every rule spelled out by search.
+// naive is a reference implementation of the tree: a flat map that every operation searches.
 type naive map[Path]map[string]Value
 
 func (n naive) apply(c Change) bool {
@@ -56,8 +56,8 @@
 	return c
 }
 
-// flat returns the naive form of t.
-func flat(t Tree) naive {
+// flatten returns the naive form of t.
+func flatten(t Tree) naive {
 	n := naive{}
 	for _, p := range t.Paths(RootPath) {
 		own, _ := t.at(p)
@@ -72,7 +72,7 @@
 	actions = []Action{Set, Set, Set, Unset, Create, Create, Remove}
 )
 
-// changeOf turns a random number into a change that the schema allows.
+// changeOf derives from a random number a change that the schema allows.
 func changeOf(n uint32) Change {
 	p := paths[n%uint32(len(paths))]
 	n /= uint32(len(paths))
@@ -102,19 +102,18 @@
 	return c
 }
 
-// The tree shares branches between versions. A shared branch that is changed
-// in place would alter an older revision, and an operator would read a history
-// that never was.
+// Trees share branches between revisions. Changing a shared branch in place
+// would alter an older revision, and operators would see a wrong history.
 func TestEditsAgreeWithNaiveTree(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20261203)
 	parameters.MinSuccessfulTests = 300
 	p := gopter.NewProperties(parameters)
-	p.Property("same branches, effects replay, old versions unchanged", prop.ForAll(func(numbers []uint32) bool {
+	p.Property("same branches, replayable effects, old versions unchanged", prop.ForAll(func(numbers []uint32) bool {
 		model := naive{RootPath: {}, FleetPath: {}}
 		var current, replayed Tree
 		for _, n := range numbers {
 			c := changeOf(n)
-			old, oldFlat := current, flat(current)
+			old, oldFlat := current, flatten(current)
 			next, effects, err := current.Apply([]Change{c})
 			trial := model.clone()
 			if trial.apply(c) != (err == nil) {
@@ -129,15 +128,15 @@
 					return false
 				}
 			}
-			same := reflect.DeepEqual(flat(current), model) && reflect.DeepEqual(flat(replayed), model)
-			if !same || !reflect.DeepEqual(flat(old), oldFlat) {
+			same := reflect.DeepEqual(flatten(current), model) && reflect.DeepEqual(flatten(replayed), model)
+			if !same || !reflect.DeepEqual(flatten(old), oldFlat) {
 				return false
 			}
 		}
 		return true
 	}, gen.SliceOfN(40, gen.UInt32())))
-	p.Property("a replacement makes the tree equal", prop.ForAll(func(a, b []uint32) bool {
-		from, to := grow(a), grow(b)
+	p.Property("after a replacement the trees are equal", prop.ForAll(func(a, b []uint32) bool {
+		from, to := applyAll(a), applyAll(b)
 		text, err := FormatTOML(RootPath, to.Branches(RootPath))
 		if err != nil {
 			return false
@@ -147,10 +146,10 @@
 			return false
 		}
 		got, _, err := from.Apply([]Change{s.Replace()})
-		return err == nil && reflect.DeepEqual(flat(got), flat(to))
+		return err == nil && reflect.DeepEqual(flatten(got), flatten(to))
 	}, gen.SliceOfN(30, gen.UInt32()), gen.SliceOfN(30, gen.UInt32())))
 	p.Property("net differences lead from the first tree to the last", prop.ForAll(func(a, b []uint32) bool {
-		from := grow(a)
+		from := applyAll(a)
 		to, all := from, []Effect(nil)
 		for _, n := range b {
 			next, effects, err := to.Apply([]Change{changeOf(n)})
@@ -164,12 +163,12 @@
 			changes = append(changes, e.Change())
 		}
 		got, effects, err := from.Apply(changes)
-		return err == nil && len(effects) == len(net) && reflect.DeepEqual(flat(got), flat(to))
+		return err == nil && len(effects) == len(net) && reflect.DeepEqual(flatten(got), flatten(to))
 	}, gen.SliceOfN(30, gen.UInt32()), gen.SliceOfN(30, gen.UInt32())))
 	p.TestingRun(t)
 }
 
-func grow(numbers []uint32) Tree {
+func applyAll(numbers []uint32) Tree {
 	var t Tree
 	for _, n := range numbers {
 		t, _, _ = t.Apply([]Change{changeOf(n)})
--- a/internal/settings/tree/page_test.go
+++ b/internal/settings/tree/page_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// page is where operators look a setting up.
+// page is the operators' reference of all settings.
 const page = "../../../docs/operators/settings.md"
 
-// row returns the line of the operators' page that describes s.
+// row returns the line of the page that describes s.
 func row(s Setting) string {
 	unit := s.Unit
 	if unit == "" {
@@ -19,8 +19,8 @@
 	return fmt.Sprintf("| %s | %s | %s | %s | %s | %s |", s.Name, unit, s.Default, s.Bounds(), kindList(s.Kinds), s.Meaning)
 }
 
-// A setting that is missing from the page can't be found by operators; one
-// that the page has and the code has not is refused when they use it.
+// Operators can't find a setting that is missing from the page. A setting that
+// is on the page but not in the schema is refused when they use it.
 func TestPageListsAllSettings(t *testing.T) {
 	b, err := os.ReadFile(page)
 	if err != nil {
@@ -43,6 +43,6 @@
 		delete(listed, row(s))
 	}
 	for line := range listed {
-		t.Errorf("the page lists what the code has not: %s", line)
+		t.Errorf("on the page but not in the schema: %s", line)
 	}
 }
--- a/internal/settings/tree/parse.go
+++ b/internal/settings/tree/parse.go
@@ -15,24 +15,24 @@
 	"hornbeamwood/internal/settings/tomlfile"
 )
 
-// Subtree is a branch and those below it as they stand in a file or a request.
+// Subtree is a branch and its descendants as given in a file or a request.
 type Subtree struct {
-	// Path names the uppermost branch.
+	// Path is the path of the root of the subtree.
 	Path Path
 	// Branches are all branches, parents first.
 	Branches []Branch
-	// Unset are the settings that the text takes from their branches, by null in JSON.
+	// Unset are the settings that the text removes from their branches, by null in JSON.
 	Unset []Change
-	// Lines maps labels of branches and settings to lines; empty for JSON.
+	// Lines maps labels of branches and settings to line numbers; empty for JSON.
 	Lines map[string]int
 }
 
-// Replace returns the change that makes the branch and all below it equal to s.
+// Replace returns the change that replaces the branch and its descendants with s.
 func (s Subtree) Replace() Change {
 	return Change{Action: Replace, Path: s.Path, Branches: s.Branches}
 }
 
-// Merge returns the changes that set what s sets, take what s takes, and leave all else.
+// Merge returns the changes that set the values in s and unset those that s unsets; all other values stay.
 func (s Subtree) Merge() []Change {
 	var all []Change
 	for _, b := range s.Branches {
@@ -43,7 +43,7 @@
 	return append(all, s.Unset...)
 }
 
-// Locate returns problems with file and the lines that s knows of their keys.
+// Locate returns a copy of problems with file and, where known, the lines of their keys.
 func (s Subtree) Locate(file string, problems tomlfile.Problems) tomlfile.Problems {
 	located := slices.Clone(problems)
 	for i, p := range located {
@@ -63,11 +63,11 @@
 	return s.Lines[path]
 }
 
-// ParseTOML returns the branch p and those below it that a TOML text holds, or Problems.
+// ParseTOML parses a TOML text as branch p and its descendants. An error is of type tomlfile.Problems.
 func ParseTOML(p Path, file string, data []byte) (Subtree, error) {
 	var d map[string]any
 	if err := toml.Unmarshal(data, &d); err != nil {
-		return Subtree{}, tomlFault(file, err)
+		return Subtree{}, tomlProblems(file, err)
 	}
 	r := newReader(p, file)
 	r.lines = tomlfile.LinesOf(data)
@@ -75,21 +75,22 @@
 	return r.result()
 }
 
-func tomlFault(file string, err error) tomlfile.Problems {
-	var wrong *toml.DecodeError
-	if !errors.As(err, &wrong) {
+func tomlProblems(file string, err error) tomlfile.Problems {
+	var decodeErr *toml.DecodeError
+	if !errors.As(err, &decodeErr) {
 		return tomlfile.Problems{{File: file, Message: err.Error()}}
 	}
-	line, _ := wrong.Position()
+	line, _ := decodeErr.Position()
 	return tomlfile.Problems{{
 		File:    file,
 		Line:    line,
-		Key:     strings.Join(wrong.Key(), "."),
-		Message: strings.TrimPrefix(wrong.Error(), "toml: "),
+		Key:     strings.Join(decodeErr.Key(), "."),
+		Message: strings.TrimPrefix(decodeErr.Error(), "toml: "),
 	}}
 }
 
-// ParseJSON returns the branch p and those below it that a JSON text holds, or Problems; null takes a setting from its branch.
+// ParseJSON parses a JSON text as branch p and its descendants; null unsets a setting.
+// An error is of type tomlfile.Problems.
 func ParseJSON(p Path, data []byte) (Subtree, error) {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.UseNumber()
@@ -109,7 +110,7 @@
 	return r.result()
 }
 
-// reader turns the nested form of a text into branches.
+// reader converts the nested form of a text to branches.
 type reader struct {
 	file     string
 	lines    tomlfile.Lines
@@ -137,21 +138,21 @@
 	})
 }
 
-// branch reads the table d, which stands under the dotted key at, as branch p.
-func (r *reader) branch(p Path, at string, d map[string]any) {
+// branch reads the table d, whose dotted key is prefix, as branch p.
+func (r *reader) branch(p Path, prefix string, d map[string]any) {
 	b := Branch{Path: p}
-	r.subtree.Lines[Label(p, "")] = r.lines.Of(at)
+	r.subtree.Lines[Label(p, "")] = r.lines.Of(prefix)
 	i := len(r.subtree.Branches)
 	r.subtree.Branches = append(r.subtree.Branches, b)
 	k := p.Kind()
 	for _, key := range slices.Sorted(maps.Keys(d)) {
-		dotted := dot(at, key)
+		dotted := joinKey(prefix, key)
 		if _, ok := collections[k][key]; ok {
 			r.table(p, key, dotted, d[key])
 			continue
 		}
 		if k == Root && key == fleetTable {
-			r.below(FleetPath, dotted, d[key])
+			r.childBranch(FleetPath, dotted, d[key])
 			continue
 		}
 		if a, ok := r.assignment(p, key, dotted, d[key]); ok {
@@ -161,7 +162,7 @@
 	r.subtree.Branches[i] = b
 }
 
-// table reads the branches of one kind below p.
+// table reads the child branches of p in one table.
 func (r *reader) table(p Path, table, dotted string, x any) {
 	d, ok := x.(map[string]any)
 	if !ok {
@@ -170,14 +171,14 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(d)) {
 		if err := checkName(name); err != nil {
-			r.add(dot(dotted, name), p, table, err.Error())
+			r.add(joinKey(dotted, name), p, table, err.Error())
 			continue
 		}
-		r.below(Path(strings.TrimSuffix(string(p), "/")+"/"+table+"/"+name), dot(dotted, name), d[name])
+		r.childBranch(Path(strings.TrimSuffix(string(p), "/")+"/"+table+"/"+name), joinKey(dotted, name), d[name])
 	}
 }
 
-func (r *reader) below(p Path, dotted string, x any) {
+func (r *reader) childBranch(p Path, dotted string, x any) {
 	d, ok := x.(map[string]any)
 	if !ok {
 		r.add(dotted, p, "", "a table is expected")
@@ -208,7 +209,7 @@
 	return Assignment{Key: key, Value: v}, true
 }
 
-func dot(prefix, key string) string {
+func joinKey(prefix, key string) string {
 	if prefix == "" {
 		return key
 	}
--- a/internal/settings/tree/parse_text.go
+++ b/internal/settings/tree/parse_text.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// ParseText returns the value of setting s that a word of a command line holds; key digests are separated by commas.
+// ParseText parses a command-line argument as a value of setting s; key digests are separated by commas.
 func ParseText(s Setting, text string) (Value, error) {
-	v, err := ParseValue(s.Type(), wordOf(s.Type(), text))
+	v, err := ParseValue(s.Type(), decodedForm(s.Type(), text))
 	if err != nil {
 		return v, err
 	}
 	return v, s.check(v)
 }
 
-// wordOf returns text as a decoder of a value of type t would give it.
-func wordOf(t Type, text string) any {
+// decodedForm returns text in the form in which a decoder returns a value of type t.
+func decodedForm(t Type, text string) any {
 	switch t {
 	case Int, Float:
 		return json.Number(text)
--- a/internal/settings/tree/path.go
+++ b/internal/settings/tree/path.go
@@ -7,19 +7,19 @@
 	"hornbeamwood/internal/settings/tomlfile"
 )
 
-// Path names a branch, for example "/workspaces/gate/models/status"; only ParsePath makes one from outside text.
+// Path identifies a branch, for example "/workspaces/gate/models/status". Text from outside must go through ParsePath.
 type Path string
 
-// RootPath is the path of the branch from which all others inherit.
+// RootPath is the path of the root, from which all branches inherit.
 const RootPath Path = "/"
 
-// FleetPath is the path of the branch for what belongs to no workspace.
+// FleetPath is the path of the branch for settings that belong to no workspace.
 const FleetPath Path = "/fleet"
 
-// maxName is the longest name of a branch in bytes.
+// maxName is the maximum length of a branch name in bytes.
 const maxName = 63
 
-// ParsePath returns the Path that text names, or an error that says what stands in its way.
+// ParsePath returns the Path for text, or an error with the part that is invalid.
 func ParsePath(text string) (Path, error) {
 	if text == "" || text == "/" {
 		return RootPath, nil
@@ -30,7 +30,7 @@
 	}
 	kind := Root
 	for len(parts) > 0 {
-		next, err := step(kind, parts)
+		next, err := nextKind(kind, parts)
 		if err != nil {
 			return "", fmt.Errorf("path %q: %w", text, err)
 		}
@@ -39,8 +39,8 @@
 	return Path("/" + strings.TrimPrefix(text, "/")), nil
 }
 
-// step returns the kind of the branch that the first two parts name below a branch of kind k.
-func step(k Kind, parts []string) (Kind, error) {
+// nextKind returns the kind of the child branch that the first two parts identify below a branch of kind k.
+func nextKind(k Kind, parts []string) (Kind, error) {
 	tables := collections[k]
 	if len(tables) == 0 {
 		return 0, fmt.Errorf("a branch %s has none below it", k.Pattern())
@@ -55,27 +55,27 @@
 	return next, checkName(parts[1])
 }
 
-// checkName refuses names that would need quoting in paths, headers or log lines.
+// checkName rejects names that would need quoting in paths, headers or log lines.
 func checkName(name string) error {
 	if name == "" || len(name) > maxName {
 		return fmt.Errorf("a branch name has 1 to %d characters", maxName)
 	}
 	for i := range len(name) {
-		if !nameByte(name[i], i) {
+		if !allowedInName(name[i], i) {
 			return fmt.Errorf("name %q: only a to z, 0 to 9 and, after the first, '-', '_' and '.' are allowed", name)
 		}
 	}
 	return nil
 }
 
-func nameByte(c byte, at int) bool {
+func allowedInName(c byte, at int) bool {
 	if c >= 'a' && c <= 'z' || c >= '0' && c <= '9' {
 		return true
 	}
 	return at > 0 && (c == '-' || c == '_' || c == '.')
 }
 
-// Kind returns the kind of the branch that p names.
+// Kind returns the kind of branch p.
 func (p Path) Kind() Kind {
 	k, _, _ := p.split()
 	return k
@@ -93,7 +93,7 @@
 	return RootPath, true
 }
 
-// split returns the kind of p and the one or two names in it.
+// split returns the kind of p and the names in it, at most two.
 func (p Path) split() (k Kind, first, second string) {
 	if p == RootPath {
 		return Root, "", ""
@@ -116,7 +116,7 @@
 	return Path("/" + modelsTable + "/" + name)
 }
 
-// ServicePath returns the path of a plain service's branch.
+// ServicePath returns the path of a service's branch.
 func ServicePath(name string) Path {
 	return Path("/" + servicesTable + "/" + name)
 }
@@ -131,17 +131,17 @@
 	return Path("/" + workspacesTable + "/" + name)
 }
 
-// WithModel returns the path of a model's branch below the workspace p.
+// WithModel returns the path of a model's branch in workspace p.
 func (p Path) WithModel(name string) Path {
 	return p + Path("/"+modelsTable+"/"+name)
 }
 
-// WithService returns the path of a plain service's branch below the workspace p.
+// WithService returns the path of a service's branch in workspace p.
 func (p Path) WithService(name string) Path {
 	return p + Path("/"+servicesTable+"/"+name)
 }
 
-// within says whether p is q or a branch below it.
+// within reports whether p is q or a descendant of q.
 func (p Path) within(q Path) bool {
 	return p == q || q == RootPath || strings.HasPrefix(string(p), string(q)+"/")
 }
--- a/internal/settings/tree/schema.go
+++ b/internal/settings/tree/schema.go
@@ -14,7 +14,7 @@
 	fleetKinds     = []Kind{Fleet}
 )
 
-// schema is the table of all settings, by the place where they are used.
+// schema lists all settings, grouped by the code that uses them.
 var schema = []Setting{
 	{
 		Name: "priority", Default: IntValue(0), Min: IntValue(-100), Max: IntValue(100), Kinds: ruleKinds,
--- a/internal/settings/tree/setting.go
+++ b/internal/settings/tree/setting.go
@@ -10,22 +10,23 @@
 	"hornbeamwood/internal/settings/tomlfile"
 )
 
-// Setting is one row of the schema.
+// Setting describes one setting.
 type Setting struct {
-	// Name is the kebab-case key.
+	// Name is the key, in kebab case.
 	Name string
-	// Default is the value where no branch says otherwise; its type is the setting's type.
+	// Default is the value if no branch sets one; its type is the setting's type.
 	Default Value
-	// Unit is the unit of numbers, empty for others.
+	// Unit is the unit of a number, empty for other types.
 	Unit string
-	// Min and Max are the bounds of numbers and durations, both included; a zero Value is no bound.
+	// Min and Max are the inclusive bounds of numbers and durations; the zero Value means no bound.
 	Min, Max Value
-	// Kinds are the branches that may set the value; those below inherit it.
+	// Kinds are the kinds of branches that may set the value; their descendants inherit it.
 	Kinds []Kind
-	// Meaning is the sentence that the operators' page shows.
+	// Meaning is the description on the operators' page.
 	Meaning string
 
-	// Exactly one of these carries the value into the rules.
+	// These functions copy the value to the rules. Each setting has one; key-digests
+	// has two, for workspaces and operators.
 	rule      func(*rules.Rules, Value)
 	fleet     func(*rules.Fleet, Value)
 	model     func(*rules.Model, Value)
@@ -38,12 +39,12 @@
 	return s.Default.Type
 }
 
-// allowed says whether branches of kind k may set s.
+// allowed reports whether branches of kind k may set s.
 func (s Setting) allowed(k Kind) bool {
 	return slices.Contains(s.Kinds, k)
 }
 
-// check refuses values of another type or out of bounds.
+// check rejects values of another type and values out of bounds.
 func (s Setting) check(v Value) error {
 	if v.Type != s.Type() {
 		return fmt.Errorf("a %s is expected, not a %s", s.Type(), v.Type)
@@ -65,8 +66,8 @@
 	return checkDigests(v)
 }
 
-// checkDigests refuses a list that an unsorted or doubled element would make
-// unequal to the same list elsewhere.
+// checkDigests rejects unsorted lists and duplicates, so that equal lists have
+// equal encodings.
 func checkDigests(v Value) error {
 	for i, d := range v.Digests {
 		if d.IsZero() {
@@ -84,7 +85,7 @@
 	maxDigests = 32
 )
 
-// Bounds returns the bounds for people, empty when there are none.
+// Bounds returns a description of the bounds, empty if there are none.
 func (s Setting) Bounds() string {
 	switch {
 	case s.Min.Type != 0 && s.Max.Type != 0:
@@ -97,7 +98,7 @@
 	return ""
 }
 
-// Lookup returns the setting that branches of kind k know under name, or an error that names the nearest one.
+// Lookup returns the setting of branches of kind k with the given name, or an error that suggests the nearest one.
 func Lookup(k Kind, name string) (Setting, error) {
 	if s, ok := byName[name]; ok && s.allowed(k) {
 		return s, nil
@@ -108,7 +109,7 @@
 	return Setting{}, fmt.Errorf("%s", tomlfile.Unknown(name, knownNames(k)))
 }
 
-// Schema returns all settings in the order of the operators' page.
+// Schema returns all settings in the order of the schema.
 func Schema() []Setting {
 	return slices.Clone(schema)
 }
@@ -124,7 +125,7 @@
 	return text
 }
 
-// knownNames returns the settings and tables that a branch of kind k may have.
+// knownNames returns the names of the settings and tables that a branch of kind k may have.
 func knownNames(k Kind) []string {
 	names := tableNames(k)
 	for _, s := range schema {
--- a/internal/settings/tree/tree.go
+++ b/internal/settings/tree/tree.go
@@ -5,23 +5,23 @@
 	"slices"
 )
 
-// Tree is an immutable settings tree; the zero Tree has only the root and the fleet, without values.
+// Tree is an immutable settings tree. The zero Tree has only the root and the fleet branch, without values.
 type Tree struct {
 	root       values
 	fleet      values
-	models     *shards[values]
-	services   *shards[values]
-	operators  *shards[values]
-	workspaces *shards[*workspaceBranch]
+	models     *shardedMap[values]
+	services   *shardedMap[values]
+	operators  *shardedMap[values]
+	workspaces *shardedMap[*workspaceBranch]
 }
 
-// Has says whether the tree has the branch p.
+// Has reports whether the tree has branch p.
 func (t Tree) Has(p Path) bool {
 	_, ok := t.at(p)
 	return ok
 }
 
-// Value returns what branch p itself sets under key.
+// Value returns the value that branch p itself sets for key.
 func (t Tree) Value(p Path, key string) (Value, bool) {
 	v, _ := t.at(p)
 	x, ok := v[key]
@@ -33,7 +33,7 @@
 	return t.operators.size()
 }
 
-// at returns the values of branch p and whether there is such a branch.
+// at returns the values of branch p and whether it exists.
 func (t Tree) at(p Path) (values, bool) {
 	k, first, second := p.split()
 	switch k {
@@ -42,12 +42,12 @@
 	case Fleet:
 		return t.fleet, true
 	case Workspace, WorkspaceModel, WorkspaceService:
-		return t.inWorkspace(k, first, second)
+		return t.atWorkspace(k, first, second)
 	}
 	return t.table(k).get(first)
 }
 
-func (t Tree) inWorkspace(k Kind, first, second string) (values, bool) {
+func (t Tree) atWorkspace(k Kind, first, second string) (values, bool) {
 	w, ok := t.workspaces.get(first)
 	if !ok {
 		return nil, false
@@ -55,11 +55,11 @@
 	if k == Workspace {
 		return w.values, true
 	}
-	v, ok := w.below(k)[second]
+	v, ok := w.children(k)[second]
 	return v, ok
 }
 
-func (t Tree) table(k Kind) *shards[values] {
+func (t Tree) table(k Kind) *shardedMap[values] {
 	switch k {
 	case Model:
 		return t.models
@@ -69,7 +69,7 @@
 	return t.operators
 }
 
-// with returns a copy in which branch p has v; a branch that is missing is made.
+// with returns a copy in which branch p has the values v; a missing branch is added.
 func (t Tree) with(p Path, v values) Tree {
 	if v == nil {
 		v = values{}
@@ -88,14 +88,14 @@
 		t.workspaces = t.workspaces.with(first, w.withValues(v))
 	case WorkspaceModel, WorkspaceService:
 		w, _ := t.workspaces.get(first)
-		t.workspaces = t.workspaces.with(first, w.withBelow(k, second, v))
+		t.workspaces = t.workspaces.with(first, w.withChild(k, second, v))
 	default:
 		t = t.withTable(k, t.table(k).with(first, v))
 	}
 	return t
 }
 
-// without returns a copy that lacks branch p; the root and the fleet lose their values only.
+// without returns a copy without branch p. The root and the fleet branch stay and lose their values.
 func (t Tree) without(p Path) Tree {
 	k, first, second := p.split()
 	switch k {
@@ -105,14 +105,14 @@
 		t.workspaces = t.workspaces.without(first)
 	case WorkspaceModel, WorkspaceService:
 		w, _ := t.workspaces.get(first)
-		t.workspaces = t.workspaces.with(first, w.withBelow(k, second, nil))
+		t.workspaces = t.workspaces.with(first, w.withChild(k, second, nil))
 	default:
 		t = t.withTable(k, t.table(k).without(first))
 	}
 	return t
 }
 
-func (t Tree) withTable(k Kind, s *shards[values]) Tree {
+func (t Tree) withTable(k Kind, s *shardedMap[values]) Tree {
 	switch k {
 	case Model:
 		t.models = s
@@ -124,7 +124,7 @@
 	return t
 }
 
-// Paths returns all branches at and below p, parents first and sorted.
+// Paths returns the paths of p and its descendants, sorted, parents first.
 func (t Tree) Paths(p Path) []Path {
 	if !t.Has(p) {
 		return nil
@@ -156,7 +156,7 @@
 	return paths
 }
 
-// siblings returns the names of the branches beside p, for errors that name the nearest one.
+// siblings returns the names of the siblings of p, for errors that suggest the nearest one.
 func (t Tree) siblings(p Path) []string {
 	k, first, _ := p.split()
 	switch k {
@@ -166,7 +166,7 @@
 		return t.workspaces.names()
 	case WorkspaceModel, WorkspaceService:
 		if w, ok := t.workspaces.get(first); ok {
-			return slices.Sorted(maps.Keys(w.below(k)))
+			return slices.Sorted(maps.Keys(w.children(k)))
 		}
 		return nil
 	}
--- a/internal/settings/tree/tree_test.go
+++ b/internal/settings/tree/tree_test.go
@@ -89,20 +89,20 @@
 	}
 }
 
-// A setting that reaches no field of the rules would be accepted and shown to
-// an operator, and nothing would run by it; a field without a setting would
-// run by a value that no operator can see.
+// A setting that is copied to no field of the rules would be accepted and shown
+// to operators without any effect. A field without a setting would have a value
+// that no operator can see.
 func TestEachSettingReachesOneField(t *testing.T) {
 	reached := map[string]bool{}
 	for _, s := range schema {
-		v := other(s.Default)
+		v := otherValue(s.Default)
 		fields := 0
-		fields += changed(t, s.Name, s.rule, v, reached)
-		fields += changed(t, s.Name, s.fleet, v, reached)
-		fields += changed(t, s.Name, s.model, v, reached)
-		fields += changed(t, s.Name, s.workspace, v, reached)
+		fields += countChanged(t, s.Name, s.rule, v, reached)
+		fields += countChanged(t, s.Name, s.fleet, v, reached)
+		fields += countChanged(t, s.Name, s.model, v, reached)
+		fields += countChanged(t, s.Name, s.workspace, v, reached)
 		if fields != 1 {
-			t.Errorf("%s reaches %d fields", s.Name, fields)
+			t.Errorf("%s is copied to %d fields", s.Name, fields)
 		}
 	}
 	for _, r := range []reflect.Type{reflect.TypeFor[rules.Rules](), reflect.TypeFor[rules.Fleet](), reflect.TypeFor[rules.Model](), reflect.TypeFor[rules.Workspace]()} {
@@ -110,18 +110,18 @@
 			name := r.Name() + "." + r.Field(i).Name
 			structural := name == "Model.Name" || name == "Workspace.Name" || name == "Workspace.Models" || name == "Workspace.Services"
 			if !structural && !reached[name] {
-				t.Errorf("no setting reaches %s", name)
+				t.Errorf("no setting is copied to %s", name)
 			}
 		}
 	}
 }
 
-func other(v Value) Value {
+func otherValue(v Value) Value {
 	return Value{Type: v.Type, Number: 1, Float: 0.5, Text: "other", Digests: []digest.Digest{{1}}}
 }
 
-// changed counts the fields that differ after set and notes their names.
-func changed[T any](t *testing.T, name string, set func(*T, Value), v Value, reached map[string]bool) int {
+// countChanged returns the number of fields that set changes and adds their names to reached.
+func countChanged[T any](t *testing.T, name string, set func(*T, Value), v Value, reached map[string]bool) int {
 	t.Helper()
 	if set == nil {
 		return 0
@@ -143,9 +143,9 @@
 	return count
 }
 
-// An operator mistypes a setting or writes a value of another type. Taken
-// silently, the tree would show one thing and another would run; the error
-// names the line, the key and the nearest known one.
+// A mistyped setting or a value of the wrong type that was accepted silently
+// would make the tree differ from the rules that run. The error must name the
+// line, the key and the nearest known key.
 func TestFaultsNameLineKeyAndNearest(t *testing.T) {
 	b, err := os.ReadFile("testdata/small.toml")
 	if err != nil {
--- a/internal/settings/tree/validate.go
+++ b/internal/settings/tree/validate.go
@@ -10,7 +10,7 @@
 	"hornbeamwood/internal/settings/tomlfile"
 )
 
-// validator collects the faults of a whole effective tree.
+// validator collects the problems of the whole effective tree.
 type validator struct {
 	tree     Tree
 	snapshot rules.Snapshot
@@ -18,10 +18,10 @@
 	problems tomlfile.Problems
 }
 
-// Validate returns the faults of the whole effective tree, those on branches that inherit a value included.
+// Validate returns the problems of the whole effective tree, including those caused by inherited values.
 func (t Tree) Validate() tomlfile.Problems {
 	v := &validator{tree: t, snapshot: t.Build(0), keys: map[digest.Digest]Path{}}
-	v.own(FleetPath, "announce-key-digests")
+	v.checkKeyDigests(FleetPath, "announce-key-digests")
 	for _, n := range t.operators.names() {
 		v.operator(n)
 	}
@@ -38,8 +38,8 @@
 	v.problems = append(v.problems, tomlfile.Problem{Key: Label(p, key), Message: fmt.Sprintf(format, args...)})
 }
 
-// value returns an effective value for people, with the branch that it comes from.
-func (v *validator) value(p Path, key string) string {
+// describe returns a description of an effective value and the branch that sets it.
+func (v *validator) describe(p Path, key string) string {
 	e := v.tree.Effective(p, byName[key])
 	if e.From == "" {
 		return fmt.Sprintf("%s %s (default)", key, e.Value)
@@ -47,9 +47,9 @@
 	return fmt.Sprintf("%s %s (from %s)", key, e.Value, e.From)
 }
 
-// own refuses a key digest that stands on two branches: a caller with that
-// key would be taken for either workspace.
-func (v *validator) own(p Path, key string) {
+// checkKeyDigests rejects a key digest that two branches have: a caller with that
+// key could be identified as either workspace.
+func (v *validator) checkKeyDigests(p Path, key string) {
 	x, _ := v.tree.Value(p, key)
 	for _, d := range x.Digests {
 		if other, ok := v.keys[d]; ok {
@@ -65,7 +65,7 @@
 	if len(v.snapshot.Operators[name]) == 0 {
 		v.add(p, "key-digests", "an operator has at least one key")
 	}
-	v.own(p, "key-digests")
+	v.checkKeyDigests(p, "key-digests")
 }
 
 func (v *validator) model(name string) {
@@ -75,17 +75,17 @@
 		v.add(p, "weight-version", "is required")
 	}
 	if m.PieceTokens > m.ContextTokens {
-		v.add(p, "piece-tokens", "%s is above %s", v.value(p, "piece-tokens"), v.value(p, "context-tokens"))
+		v.add(p, "piece-tokens", "%s is above %s", v.describe(p, "piece-tokens"), v.describe(p, "context-tokens"))
 	}
 }
 
 func (v *validator) workspace(name string) {
 	p := WorkspacePath(name)
-	v.own(p, "key-digests")
+	v.checkKeyDigests(p, "key-digests")
 	w := v.snapshot.Workspaces[name]
 	for _, n := range sortedNames(w.Models) {
 		if _, ok := v.snapshot.Models[n]; !ok {
-			v.add(p.WithModel(n), "", "there is no model %s", nearestOr(n, v.tree.models.names()))
+			v.add(p.WithModel(n), "", "there is no model %s", withNearest(n, v.tree.models.names()))
 		}
 	}
 	for _, n := range sortedNames(w.Services) {
@@ -93,11 +93,11 @@
 	}
 }
 
-// service refuses rules under which the outcome of a call that must not
-// repeat could be forgotten while its caller still waits or asks again.
+// service rejects rules under which the ledger could drop the outcome of a
+// non-idempotent call while its caller still waits or resends it.
 func (v *validator) service(p Path, name string, w rules.Workspace) {
 	if _, ok := v.snapshot.Services[name]; !ok {
-		v.add(p, "", "there is no service %s", nearestOr(name, v.tree.services.names()))
+		v.add(p, "", "there is no service %s", withNearest(name, v.tree.services.names()))
 		return
 	}
 	r := w.Services[name]
@@ -108,11 +108,11 @@
 		v.add(p, "", "the service is non-idempotent, and %s says nowhere in which region its calls are claimed: region is required", WorkspacePath(w.Name))
 	}
 	if r.Deadline > r.LedgerKeep {
-		v.add(p, "deadline", "%s is above %s", v.value(p, "deadline"), v.value(ServicePath(name), "ledger-keep"))
+		v.add(p, "deadline", "%s is above %s", v.describe(p, "deadline"), v.describe(ServicePath(name), "ledger-keep"))
 	}
 }
 
-func nearestOr(name string, known []string) string {
+func withNearest(name string, known []string) string {
 	if n, ok := tomlfile.Nearest(name, known); ok {
 		return fmt.Sprintf("%s; the nearest one is %s", name, n)
 	}
--- a/internal/settings/tree/validate_test.go
+++ b/internal/settings/tree/validate_test.go
@@ -12,10 +12,9 @@
 	return Change{Action: Set, Path: p, Key: key, Value: v}
 }
 
-// An operator raises a value on a branch where it does no harm. A branch
-// below inherits it and can't work under it: callers there would meet errors
-// that nobody asked for. The edit is refused and names the branch that
-// inherits and the one that the value comes from.
+// An edit sets a value that is valid on its own branch but not on a branch that
+// inherits it, where callers would get errors. The edit must be refused; the
+// problem names the inheriting branch and the branch that sets the value.
 func TestEditInvalidOnABranchThatInherits(t *testing.T) {
 	for name, c := range map[string]struct {
 		change Change
@@ -25,7 +24,7 @@
 			set(RootPath, "piece-tokens", IntValue(100_000)),
 			"/models/dossier-draft piece-tokens: piece-tokens 100000 (from /) is above context-tokens 65536 (from /models/dossier-draft)",
 		},
-		"outcome forgotten while the caller waits": {
+		"outcome dropped while the caller waits": {
 			set(RootPath, "ledger-keep", DurationValue(time.Hour)),
 			`/workspaces/plant-tunja/services/issue-stamp deadline: deadline "2h" (from /workspaces/plant-tunja) is above ledger-keep "1h" (from /)`,
 		},
--- a/internal/settings/tree/value.go
+++ b/internal/settings/tree/value.go
@@ -12,17 +12,17 @@
 	"hornbeamwood/internal/settings/digest"
 )
 
-// Value is one typed value of a setting; it is never changed after it was made.
+// Value is an immutable typed value of a setting.
 type Value struct {
-	// Type says which of the other fields holds the value.
+	// Type determines which of the other fields has the value.
 	Type Type `cbor:"type"`
-	// Number holds whole numbers, durations in nanoseconds, and 1 for true.
+	// Number is a whole number, a duration in nanoseconds, or 1 for true.
 	Number int64 `cbor:"number,omitempty"`
-	// Float holds numbers.
+	// Float is a number.
 	Float float64 `cbor:"float,omitempty"`
-	// Text holds strings.
+	// Text is a string.
 	Text string `cbor:"text,omitempty"`
-	// Digests holds key digests, sorted.
+	// Digests are sorted key digests.
 	Digests []digest.Digest `cbor:"digests,omitempty"`
 }
 
@@ -44,7 +44,7 @@
 	return Value{Type: Bool}
 }
 
-// DurationValue returns the Value of a length of time.
+// DurationValue returns the Value of a duration.
 func DurationValue(d time.Duration) Value {
 	return Value{Type: Duration, Number: int64(d)}
 }
@@ -67,12 +67,12 @@
 	return v.Number != 0
 }
 
-// Duration returns v as a length of time.
+// Duration returns v as a duration.
 func (v Value) Duration() time.Duration {
 	return time.Duration(v.Number)
 }
 
-// Equal says whether v and o are the same value of the same type.
+// Equal reports whether v and o have the same type and value.
 func (v Value) Equal(o Value) bool {
 	return v.Type == o.Type && v.Number == o.Number && v.Float == o.Float && v.Text == o.Text && slices.Equal(v.Digests, o.Digests)
 }
@@ -89,7 +89,7 @@
 	}
 }
 
-// Document returns v as encoders of TOML and JSON take it.
+// Document returns v in the form that the TOML and JSON encoders accept.
 func (v Value) Document() any {
 	switch v.Type {
 	case Int:
@@ -110,12 +110,12 @@
 	return v.Text
 }
 
-// MarshalJSON returns v as it stands in a tree written as JSON.
+// MarshalJSON returns v as it appears in a tree formatted as JSON.
 func (v Value) MarshalJSON() ([]byte, error) {
 	return json.Marshal(v.Document())
 }
 
-// formatDuration returns d without the zero parts that the standard library appends.
+// formatDuration formats d without the trailing zero units that the standard library appends.
 func formatDuration(d time.Duration) string {
 	s := d.String()
 	if strings.HasSuffix(s, "m0s") {
@@ -127,7 +127,7 @@
 	return s
 }
 
-// ParseValue returns the Value of type t that a decoder of TOML or JSON gave as x.
+// ParseValue returns the Value of type t for x, the result of a TOML or JSON decoder.
 func ParseValue(t Type, x any) (Value, error) {
 	if parse, ok := parsers[t]; ok {
 		if v, ok := parse(x); ok {
@@ -206,7 +206,7 @@
 			return Value{}, err
 		}
 		if slices.Contains(all, d) {
-			return Value{}, fmt.Errorf("the key digest %s stands twice", d)
+			return Value{}, fmt.Errorf("the key digest %s is listed twice", d)
 		}
 		all = append(all, d)
 	}
--- a/internal/settings/tree/value_type.go
+++ b/internal/settings/tree/value_type.go
@@ -10,7 +10,7 @@
 	Float
 	// Bool is true or false.
 	Bool
-	// Duration is a length of time, written like "4s".
+	// Duration is a duration, written like "4s".
 	Duration
 	// Text is a string.
 	Text
@@ -27,7 +27,7 @@
 	Digests:  "list of key digests",
 }
 
-// String returns the name of t for people.
+// String returns the human-readable name of t.
 func (t Type) String() string {
 	if int(t) >= len(typeNames) {
 		return "unknown type"
--- a/internal/settings/tree/values.go
+++ b/internal/settings/tree/values.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// values are what one branch sets itself; never changed after they were made.
+// values are the own values of a branch; immutable.
 type values map[string]Value
 
 func (v values) with(key string, x Value) values {
@@ -35,7 +35,7 @@
 	return all
 }
 
-// overlay calls the function that pick chooses of each setting in v.
+// overlay sets each value in v on target, by the function that pick returns for its setting.
 func overlay[T any](v values, target T, pick func(Setting) func(T, Value)) {
 	for key, x := range v {
 		if set := pick(byName[key]); set != nil {
--- a/internal/settings/tree/workspace.go
+++ b/internal/settings/tree/workspace.go
@@ -2,14 +2,14 @@
 
 import "maps"
 
-// workspaceBranch is one workspace with the branches below it; never changed after it was made.
+// workspaceBranch is a workspace with its child branches; immutable.
 type workspaceBranch struct {
 	values   values
 	models   map[string]values
 	services map[string]values
 }
 
-func (w *workspaceBranch) below(k Kind) map[string]values {
+func (w *workspaceBranch) children(k Kind) map[string]values {
 	if k == WorkspaceModel {
 		return w.models
 	}
@@ -20,10 +20,10 @@
 	return &workspaceBranch{values: v, models: w.models, services: w.services}
 }
 
-// withBelow returns a copy in which the branch name of kind k has v, or is gone when v is nil.
-func (w *workspaceBranch) withBelow(k Kind, name string, v values) *workspaceBranch {
+// withChild returns a copy in which the child branch name of kind k has the values v, or is removed if v is nil.
+func (w *workspaceBranch) withChild(k Kind, name string, v values) *workspaceBranch {
 	c := *w
-	m := maps.Clone(w.below(k))
+	m := maps.Clone(w.children(k))
 	if m == nil {
 		m = map[string]values{}
 	}
