--- a/internal/settings/section/doc.go
+++ b/internal/settings/section/doc.go
@@ -1,4 +1,5 @@
-// Package section is the part of the replicated state that holds the settings
-// tree with its history: it decides which of two racing edits wins, answers a
-// resent edit with its first outcome, and shows entries what changed.
+// Package section implements the section of the replicated state that contains
+// the settings tree and its history. It decides which of two concurrent edits is
+// accepted, answers a resent edit with its first outcome, and gives entries the
+// changes since a known revision.
 package section
--- a/internal/settings/section/fixture_test.go
+++ b/internal/settings/section/fixture_test.go
@@ -10,15 +10,15 @@
 	"hornbeamwood/internal/settings/tree"
 )
 
-// now is the wall clock of all commands.
+// now is the wall-clock time of all commands.
 var now = time.Unix(1_800_000_000, 0)
 
 func set(p tree.Path, key string, v tree.Value) tree.Change {
 	return tree.Change{Action: tree.Set, Path: p, Key: key, Value: v}
 }
 
-// setup returns the first edit of an empty tree: two operators and a model.
-func setup() Edit {
+// setupEdit returns the first edit, which adds two operators and a model to an empty tree.
+func setupEdit() Edit {
 	return Edit{ID: "setup", Operator: BootstrapOperator, Changes: []tree.Change{
 		{Action: tree.Create, Path: "/operators/ana"},
 		set("/operators/ana", "key-digests", tree.DigestsValue(digest.Of("ana"))),
@@ -29,7 +29,7 @@
 	}}
 }
 
-func priority(id, operator string, base uint64, n int64) Edit {
+func priorityEdit(id, operator string, base uint64, n int64) Edit {
 	return Edit{ID: id, Base: base, Operator: operator, Changes: []tree.Change{set("/", "priority", tree.IntValue(n))}}
 }
 
@@ -51,7 +51,7 @@
 	return o
 }
 
-func ask[T any](t testing.TB, s state.Section, q Query) T {
+func query[T any](t testing.TB, s state.Section, q Query) T {
 	t.Helper()
 	b, err := s.Query(encode(t, q))
 	if err != nil {
@@ -64,19 +64,19 @@
 	return v
 }
 
-// ready returns a section after setup, at revision 1.
-func ready(t testing.TB) Section {
+// newSection returns a section at revision 1, after setupEdit.
+func newSection(t testing.TB) Section {
 	t.Helper()
 	s := New()
-	if o := apply(t, s, setup()); o.Kind != Accepted || o.Revision != 1 {
+	if o := apply(t, s, setupEdit()); o.Kind != Accepted || o.Revision != 1 {
 		t.Fatalf("setup: %+v", o)
 	}
 	return s
 }
 
-func ownPriority(t testing.TB, s state.Section) int64 {
+func rootPriority(t testing.TB, s state.Section) int64 {
 	t.Helper()
-	for _, b := range ask[Dump](t, s, Query{Kind: QueryBranch, Path: "/"}).Branches {
+	for _, b := range query[Dump](t, s, Query{Kind: QueryBranch, Path: "/"}).Branches {
 		for _, a := range b.Values {
 			if b.Path == tree.RootPath && a.Key == "priority" {
 				return a.Value.Number
--- a/internal/settings/section/history.go
+++ b/internal/settings/section/history.go
@@ -1,38 +1,38 @@
 package section
 
-// Bounds of what is kept; all replicas must have the same, so they are no settings.
+// Bounds of the history. They must be equal on all replicas, so they are not settings.
 const (
-	// maxRecords is the number of accepted edits that the history keeps.
+	// maxRecords is the maximum number of accepted edits in the history.
 	maxRecords = 8192
-	// maxEffects is the number of differences that the history keeps; the newest edit stays whatever its size.
+	// maxEffects is the maximum number of differences in the history; the newest edit is always kept.
 	maxEffects = 1 << 16
-	// maxRejected is the number of edits without effect whose first outcome is kept.
+	// maxRejected is the maximum number of rejected edits whose first outcome is kept.
 	maxRejected = 1024
 )
 
-// rejection is the first outcome of an edit that changed nothing.
+// rejection is the first outcome of an edit that was not accepted.
 type rejection struct {
 	ID      string   `cbor:"id"`
 	Digest  [32]byte `cbor:"digest"`
 	Outcome Outcome  `cbor:"outcome"`
 }
 
-// history keeps the newest accepted edits in order, and the newest rejected ones.
+// history keeps the newest accepted edits and the newest rejected ones, each in order.
 type history struct {
 	records  []Record
 	effects  int
 	rejected []rejection
-	byID     map[string]remembered
+	byID     map[string]storedOutcome
 }
 
-// remembered is what a resend is compared with and answered by.
-type remembered struct {
+// storedOutcome is the digest that a resent edit is compared with, and the outcome that answers it.
+type storedOutcome struct {
 	digest  [32]byte
 	outcome Outcome
 }
 
 func newHistory(records []Record, rejected []rejection) *history {
-	h := &history{byID: map[string]remembered{}}
+	h := &history{byID: map[string]storedOutcome{}}
 	for _, r := range records {
 		h.accept(r)
 	}
@@ -45,7 +45,7 @@
 func (h *history) accept(r Record) {
 	h.records = append(h.records, r)
 	h.effects += len(r.Effects)
-	h.byID[r.ID] = remembered{digest: r.Digest, outcome: r.Outcome()}
+	h.byID[r.ID] = storedOutcome{digest: r.Digest, outcome: r.Outcome()}
 	for len(h.records) > maxRecords || (h.effects > maxEffects && len(h.records) > 1) {
 		h.effects -= len(h.records[0].Effects)
 		delete(h.byID, h.records[0].ID)
@@ -55,14 +55,14 @@
 
 func (h *history) reject(r rejection) {
 	h.rejected = append(h.rejected, r)
-	h.byID[r.ID] = remembered{digest: r.Digest, outcome: r.Outcome}
+	h.byID[r.ID] = storedOutcome{digest: r.Digest, outcome: r.Outcome}
 	if len(h.rejected) > maxRejected {
 		delete(h.byID, h.rejected[0].ID)
 		h.rejected = h.rejected[1:]
 	}
 }
 
-// after returns the records above revision, and false when the history no longer has all of them.
+// after returns the records with higher revisions, and false if the history no longer has all of them.
 func (h *history) after(revision uint64) ([]Record, bool) {
 	if len(h.records) == 0 {
 		return nil, true
@@ -75,7 +75,7 @@
 	return h.records[skip:], true
 }
 
-// winner returns the edit that was accepted on top of base.
+// winner returns the edit that was accepted with base as its base revision.
 func (h *history) winner(base uint64) *Winner {
 	records, ok := h.after(base)
 	if !ok || len(records) == 0 {
--- a/internal/settings/section/leases.go
+++ b/internal/settings/section/leases.go
@@ -6,33 +6,34 @@
 	"hornbeamwood/internal/settings/tree"
 )
 
-// longestKept is how long a lease length that an edit made shorter still
-// counts for new leaders. It is far above the longest lease, because it is
-// counted by the wall clocks of leaders, which may differ.
-const longestKept = time.Hour
+// longestLeaseRetention is how long new leaders consider the previous lease
+// length after an edit has made the lease shorter. It is far above the longest
+// lease because it is measured by the wall clocks of leaders, which may differ.
+const longestLeaseRetention = time.Hour
 
-// leases is what earlier revisions let entries do that may not have heard of newer ones.
+// leases describes the leases of earlier revisions, which entries that have not received the newer ones may still use.
 type leases struct {
-	// Longest is the longest settings lease of the revisions that still count.
+	// Longest is the longest previous lease length that new leaders must consider.
 	Longest time.Duration `cbor:"longest,omitempty"`
-	// Since is when the lease was last made shorter, in nanoseconds since 1970.
+	// Since is the time at which the lease was last made shorter, in nanoseconds since 1970.
 	Since int64 `cbor:"since,omitempty"`
-	// FreeBefore is the revision from which on entries do not serve without a quorum; above the newest one while they do.
+	// FreeBefore is the first revision at which entries no longer may serve without a quorum; it is above the newest revision while they may.
 	FreeBefore uint64 `cbor:"free-before,omitempty"`
 }
 
-// after returns l after an edit that made revision out of before and next.
+// after returns l after an edit that changed the tree from before to next, at the given revision.
 //
-// An operator makes the lease shorter while an entry is cut off, and the
-// leader is lost. A new leader that counted the shorter lease would declare an
-// edit in force while that entry still serves for the longer one.
+// The previous lease length is kept for a new leader. If an operator makes the
+// lease shorter while an entry is partitioned, and the leader fails, a new leader
+// that used the shorter lease would declare an edit in force while that entry
+// still serves under the longer one.
 func (l leases) after(at time.Time, revision uint64, before, next tree.Tree) leases {
-	was, is := before.SettingsLease(), next.SettingsLease()
-	if at.Sub(time.Unix(0, l.Since)) > longestKept {
+	oldLease, newLease := before.SettingsLease(), next.SettingsLease()
+	if at.Sub(time.Unix(0, l.Since)) > longestLeaseRetention {
 		l.Longest = 0
 	}
-	if is < was {
-		l.Longest = max(l.Longest, was)
+	if newLease < oldLease {
+		l.Longest = max(l.Longest, oldLease)
 		l.Since = at.UnixNano()
 	}
 	switch {
--- a/internal/settings/section/naive_test.go
+++ b/internal/settings/section/naive_test.go
@@ -9,18 +9,18 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// copyOfAll is the settings as one VM with endless memory would keep them.
-type copyOfAll struct {
+// referenceState is a reference implementation of the settings on one VM with unbounded memory.
+type referenceState struct {
 	priorities []int64
 	outcomes   map[string]Outcome
 	sent       map[string]Edit
 }
 
-func (c *copyOfAll) revision() uint64 {
+func (c *referenceState) revision() uint64 {
 	return uint64(len(c.priorities))
 }
 
-func (c *copyOfAll) apply(e Edit) Outcome {
+func (c *referenceState) apply(e Edit) Outcome {
 	if o, ok := c.outcomes[e.ID]; ok {
 		return o
 	}
@@ -40,39 +40,38 @@
 	return o
 }
 
-// Operators edit, race, resend old edits, and replicas are replaced by
-// snapshots in between. An edit that was accepted must never be lost, undone
-// or done twice; otherwise an operator sees one number in the audit trail and
-// another in force.
+// Operators send concurrent edits and resend old ones, while replicas are
+// restored from snapshots. An accepted edit must never be lost, undone or applied
+// twice; otherwise the audit trail differs from the settings in force.
 func TestNoAcceptedEditIsLostOrUndone(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(4004)
 	parameters.MinSuccessfulTests = 60
 	p := gopter.NewProperties(parameters)
-	p.Property("agrees with one copy of all", prop.ForAll(func(steps []uint32) bool {
-		s := ready(t)
-		c := &copyOfAll{priorities: []int64{0}, outcomes: map[string]Outcome{}, sent: map[string]Edit{}}
+	p.Property("agrees with the reference implementation", prop.ForAll(func(steps []uint32) bool {
+		s := newSection(t)
+		c := &referenceState{priorities: []int64{0}, outcomes: map[string]Outcome{}, sent: map[string]Edit{}}
 		for i, n := range steps {
 			if n%11 == 0 {
-				s = restored(t, s)
+				s = restoredCopy(t, s)
 				continue
 			}
-			e := editOf(c, i, n)
+			e := randomEdit(c, i, n)
 			want, got := c.apply(e), apply(t, s, e)
 			if got.Kind != want.Kind || got.Revision != want.Revision {
 				t.Logf("step %d, edit %+v: got %+v, want %+v", i, e, got, want)
 				return false
 			}
-			if ownPriority(t, s) != c.priorities[len(c.priorities)-1] {
+			if rootPriority(t, s) != c.priorities[len(c.priorities)-1] {
 				return false
 			}
 		}
-		return trailAgrees(t, s, c)
+		return auditTrailMatches(t, s, c)
 	}, gen.SliceOfN(60, gen.UInt32())))
 	p.TestingRun(t)
 }
 
-// editOf returns a new edit against a near revision, or one that was sent before.
-func editOf(c *copyOfAll, step int, n uint32) Edit {
+// randomEdit returns a new edit based on a recent revision, or one that was sent before.
+func randomEdit(c *referenceState, step int, n uint32) Edit {
 	id := fmt.Sprintf("e-%d", step)
 	if n%3 == 0 {
 		id = fmt.Sprintf("e-%d", int(n/16)%(step+1))
@@ -84,10 +83,10 @@
 	if n%5 < 3 {
 		base = c.revision()
 	}
-	return priority(id, []string{"ana", "ben"}[n%2], base, int64(n>>4%110))
+	return priorityEdit(id, []string{"ana", "ben"}[n%2], base, int64(n>>4%110))
 }
 
-func restored(t *testing.T, s Section) Section {
+func restoredCopy(t *testing.T, s Section) Section {
 	b, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -99,8 +98,8 @@
 	return next
 }
 
-func trailAgrees(t *testing.T, s Section, c *copyOfAll) bool {
-	for _, r := range ask[History](t, s, Query{Kind: QueryHistory}).Records {
+func auditTrailMatches(t *testing.T, s Section, c *referenceState) bool {
+	for _, r := range query[History](t, s, Query{Kind: QueryHistory}).Records {
 		if r.Revision == 1 {
 			continue
 		}
--- a/internal/settings/section/query.go
+++ b/internal/settings/section/query.go
@@ -7,50 +7,50 @@
 	"hornbeamwood/internal/settings/tree"
 )
 
-// QueryKind says what a Query asks for.
+// QueryKind is the kind of a Query.
 type QueryKind string
 
 const (
-	// QueryChanges asks for what lies above a known revision; the answer is Changes.
+	// QueryChanges requests the changes since a known revision; the answer is Changes.
 	QueryChanges QueryKind = "changes"
-	// QueryHistory asks for a part of the audit trail; the answer is History.
+	// QueryHistory requests a part of the audit trail; the answer is History.
 	QueryHistory QueryKind = "history"
-	// QueryBranch asks for a branch and those below it; the answer is Dump.
+	// QueryBranch requests a branch and its descendants; the answer is Dump.
 	QueryBranch QueryKind = "branch"
-	// QueryExplain asks for the effective values of a branch; the answer is Explanation.
+	// QueryExplain requests the effective values of a branch; the answer is Explanation.
 	QueryExplain QueryKind = "explain"
-	// QueryDiff asks for the differences between two revisions; the answer is Diff.
+	// QueryDiff requests the differences between two revisions; the answer is Diff.
 	QueryDiff QueryKind = "diff"
 )
 
-// maxHistory is the number of records in one answer.
+// maxHistory is the maximum number of records in one answer.
 const maxHistory = 200
 
-// Query is what the section answers.
+// Query is a query to the section.
 type Query struct {
-	// Kind says what is asked for.
+	// Kind is the kind of the query.
 	Kind QueryKind `cbor:"kind"`
-	// Known is the revision that the asker has, for QueryChanges.
+	// Known is the revision that the client has, for QueryChanges.
 	Known uint64 `cbor:"known,omitempty"`
-	// Path names the branch, for QueryBranch and QueryExplain.
+	// Path identifies the branch, for QueryBranch and QueryExplain.
 	Path tree.Path `cbor:"path,omitempty"`
-	// From and To are revisions: for QueryDiff both, for QueryHistory the newest to show in To, 0 for the newest of all.
+	// From is the earlier revision, for QueryDiff.
 	From uint64 `cbor:"from,omitempty"`
-	// To is the later revision.
+	// To is the later revision, for QueryDiff, or the newest revision to return, for QueryHistory; 0 means the newest of all.
 	To uint64 `cbor:"to,omitempty"`
-	// Limit is the largest number of records, for QueryHistory.
+	// Limit is the maximum number of records, for QueryHistory.
 	Limit int `cbor:"limit,omitempty"`
 }
 
 var answers = map[QueryKind]func(*section, Query) ([]byte, error){
 	QueryChanges: answer((*section).changes),
-	QueryHistory: answer((*section).recent),
-	QueryBranch:  answer((*section).dump),
+	QueryHistory: answer((*section).auditTrail),
+	QueryBranch:  answer((*section).branchDump),
 	QueryExplain: answer((*section).explain),
 	QueryDiff:    answer((*section).diff),
 }
 
-// answer returns f with its result encoded.
+// answer returns a function that encodes the result of f.
 func answer[T any](f func(*section, Query) T) func(*section, Query) ([]byte, error) {
 	return func(s *section, q Query) ([]byte, error) {
 		return codec.Marshal(f(s, q))
@@ -72,9 +72,9 @@
 	return f(s, q)
 }
 
-// changes answers with the differences above a known revision, whose size
-// does not grow with the tree; with the whole tree only when the history no
-// longer reaches back so far or its differences are more than the tree.
+// changes returns the differences since a known revision, whose size does not
+// depend on the size of the tree. It returns the whole tree only if the history
+// no longer has all of those edits or has more than maxDelta differences.
 func (s *section) changes(q Query) Changes {
 	c := Changes{From: q.Known, Revision: s.revision}
 	if q.Known >= s.revision {
@@ -97,7 +97,7 @@
 	return c
 }
 
-func (s *section) recent(q Query) History {
+func (s *section) auditTrail(q Query) History {
 	h := History{Revision: s.revision}
 	if n := len(s.history.records); n > 0 {
 		h.Oldest = s.history.records[0].Revision
@@ -115,7 +115,7 @@
 	return h
 }
 
-func (s *section) dump(q Query) Dump {
+func (s *section) branchDump(q Query) Dump {
 	p, err := tree.ParsePath(string(q.Path))
 	if err != nil || !s.tree.Has(p) {
 		return Dump{Revision: s.revision}
--- a/internal/settings/section/record.go
+++ b/internal/settings/section/record.go
@@ -6,39 +6,39 @@
 	"hornbeamwood/internal/settings/tree"
 )
 
-// maxWhat is how many differences a Winner describes.
-const maxWhat = 8
+// maxSummaryLines is the maximum number of differences that a Winner describes.
+const maxSummaryLines = 8
 
-// Record is one accepted edit in the audit trail; it is never changed.
+// Record is an accepted edit in the audit trail; immutable.
 type Record struct {
-	// Revision is the edit's number.
+	// Revision is the edit's revision.
 	Revision uint64 `cbor:"revision" json:"revision"`
-	// ID is the edit id.
+	// ID is the edit ID.
 	ID string `cbor:"id" json:"edit-id"`
 	// Digest is the SHA-256 digest of the edit's content.
 	Digest [32]byte `cbor:"digest" json:"-"`
-	// Operator is the one who made it.
+	// Operator is the operator who made the edit.
 	Operator string `cbor:"operator" json:"operator"`
-	// Base is the revision against which it was made.
+	// Base is the revision on which it is based.
 	Base uint64 `cbor:"base" json:"base"`
-	// Intent is when an entry took it, in nanoseconds since 1970.
+	// Intent is the time at which an entry received it, in nanoseconds since 1970.
 	Intent int64 `cbor:"intent" json:"intent"`
-	// At is when the control log accepted it, in nanoseconds since 1970.
+	// At is the time at which the control log accepted it, in nanoseconds since 1970.
 	At int64 `cbor:"at" json:"at"`
-	// Effects are the differences that it made, with the values before and after.
+	// Effects are its differences, with the values before and after.
 	Effects []tree.Effect `cbor:"effects,omitempty" json:"effects"`
 }
 
-// Outcome returns the outcome that the edit had when it was first sent.
+// Outcome returns the outcome of the edit when it was first sent.
 func (r Record) Outcome() Outcome {
 	return Outcome{Kind: Accepted, Revision: r.Revision}
 }
 
-// Winner returns r as the one who lost to it sees it.
+// Winner returns the description of r for the operator of a conflicting edit.
 func (r Record) Winner() *Winner {
 	w := &Winner{Revision: r.Revision, Operator: r.Operator, At: r.At}
 	for i, e := range r.Effects {
-		if i == maxWhat {
+		if i == maxSummaryLines {
 			w.What = append(w.What, fmt.Sprintf("and %d more", len(r.Effects)-i))
 			break
 		}
--- a/internal/settings/section/section.go
+++ b/internal/settings/section/section.go
@@ -16,14 +16,14 @@
 // Name is the section's name in commands and queries.
 const Name = "settings"
 
-// Section is the settings as a section of the replicated state.
+// Section is the section of the replicated state that contains the settings.
 type Section interface {
 	state.Section
-	// Terms returns what the settings say of leases.
+	// Terms returns the lease parameters of the settings.
 	Terms() lease.Terms
-	// Changes returns what lies above a known revision.
+	// Changes returns the changes since a known revision.
 	Changes(known uint64) Changes
-	// AdmittedReplicas returns the identities of control replicas that operators admit.
+	// AdmittedReplicas returns the identities of the control replicas that operators have admitted.
 	AdmittedReplicas() []string
 }
 
@@ -70,7 +70,7 @@
 		return refused(s.revision, "", "%v", err)
 	}
 	if first, ok := s.history.byID[e.ID]; ok {
-		return s.repeat(first, digest)
+		return s.answerResend(first, digest)
 	}
 	o, effects, next := s.decide(e)
 	if o.Kind != Accepted {
@@ -93,10 +93,10 @@
 	return o
 }
 
-// repeat answers an edit that was sent again. An operator whose answer was
-// lost sends the edit once more, perhaps after others have edited; carried out
-// twice it would undo what they did, so the first outcome is the answer.
-func (s *section) repeat(first remembered, digest [32]byte) Outcome {
+// answerResend returns the first outcome of a resent edit. An operator who got no
+// answer resends the edit, possibly after edits of others; applied a second time,
+// it would undo them.
+func (s *section) answerResend(first storedOutcome, digest [32]byte) Outcome {
 	if first.digest != digest {
 		o := refused(s.revision, "", "the edit id belongs to an edit with other content")
 		o.Kind = Reused
@@ -107,11 +107,11 @@
 	return o
 }
 
-// decide returns what becomes of an edit that is seen for the first time.
+// decide returns the outcome of a new edit.
 //
-// Two operators who saw the same number may both be right alone and wrong
-// together; the second would overwrite what it never saw, so it gets a
-// conflict that shows the first.
+// Two edits with the same base may each be valid alone but not together, and the
+// second would overwrite a change that its operator has not seen. The second
+// therefore gets a conflict that describes the first.
 func (s *section) decide(e Edit) (Outcome, []tree.Effect, tree.Tree) {
 	if e.Base > s.revision {
 		return refused(s.revision, "", "there is no revision %d yet", e.Base), nil, s.tree
@@ -134,11 +134,11 @@
 func (s *section) Terms() lease.Terms {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	own := s.tree.SettingsLease()
+	current := s.tree.SettingsLease()
 	return lease.Terms{
 		Revision:   s.revision,
-		Lease:      own,
-		Longest:    max(own, s.leases.Longest),
+		Lease:      current,
+		Longest:    max(current, s.leases.Longest),
 		FreeBefore: s.leases.FreeBefore,
 	}
 }
@@ -157,7 +157,7 @@
 	return s.tree.AdmittedReplicas()
 }
 
-// Check returns the tree after edit e of t and its differences, or why t refuses it.
+// Check applies e to t and returns the resulting tree and the differences, or an error if e is not valid.
 func Check(t tree.Tree, e Edit) (tree.Tree, []tree.Effect, error) {
 	if err := checkOperator(t, e.Operator); err != nil {
 		return t, nil, err
@@ -175,8 +175,8 @@
 	return next, effects, nil
 }
 
-// checkOperator refuses an operator that the tree does not have: an entry with
-// older settings may still have taken its key.
+// checkOperator rejects an operator that is not in the tree: an entry with older
+// settings may still have accepted the operator's key.
 func checkOperator(t tree.Tree, name string) error {
 	if t.OperatorCount() == 0 && name == BootstrapOperator {
 		return nil
--- a/internal/settings/section/section_test.go
+++ b/internal/settings/section/section_test.go
@@ -11,15 +11,15 @@
 	"hornbeamwood/internal/settings/tree"
 )
 
-// Two operators look at the same revision and both edit it. If both were
-// accepted, the second would overwrite a change that its operator never saw;
-// the loser is told who won and with what.
+// Two operators edit the same revision. If both edits were accepted, the second
+// would overwrite a change that its operator has not seen. The second gets a
+// conflict with the operator and the differences of the first.
 func TestRaceUnderEqualNumbers(t *testing.T) {
-	s := ready(t)
-	if o := apply(t, s, priority("a-1", "ana", 1, 5)); o.Kind != Accepted || o.Revision != 2 {
+	s := newSection(t)
+	if o := apply(t, s, priorityEdit("a-1", "ana", 1, 5)); o.Kind != Accepted || o.Revision != 2 {
 		t.Fatalf("first: %+v", o)
 	}
-	o := apply(t, s, priority("b-1", "ben", 1, 7))
+	o := apply(t, s, priorityEdit("b-1", "ben", 1, 7))
 	if o.Kind != Conflict || o.Winner == nil {
 		t.Fatalf("second: %+v", o)
 	}
@@ -27,21 +27,20 @@
 	if w.Revision != 2 || w.Operator != "ana" || !slices.Equal(w.What, []string{"set / priority to 5"}) {
 		t.Errorf("the conflict shows %+v", w)
 	}
-	if got := ownPriority(t, s); got != 5 {
+	if got := rootPriority(t, s); got != 5 {
 		t.Errorf("priority is %d", got)
 	}
 }
 
-// The answer to an accepted edit is lost on its way. The operator sends the
-// edit again, meanwhile others have edited. Carried out a second time it would
-// undo their work; taken for a conflict it would be reported as lost, although
-// it is in force.
+// The answer to an accepted edit is lost and the operator resends the edit after
+// edits of others. Applied a second time, it would undo them; answered with a
+// conflict, the operator would consider it lost although it was accepted.
 func TestResendAfterLostAnswer(t *testing.T) {
-	s := ready(t)
-	first := priority("a-1", "ana", 1, 5)
+	s := newSection(t)
+	first := priorityEdit("a-1", "ana", 1, 5)
 	apply(t, s, first)
 	for i := range uint64(50) {
-		if o := apply(t, s, priority(fmt.Sprint("b-", i), "ben", 2+i, int64(10+i))); o.Kind != Accepted {
+		if o := apply(t, s, priorityEdit(fmt.Sprint("b-", i), "ben", 2+i, int64(10+i))); o.Kind != Accepted {
 			t.Fatalf("edit %d: %+v", i, o)
 		}
 	}
@@ -49,23 +48,23 @@
 	if o := apply(t, s, first); o.Kind != Accepted || o.Revision != 2 || !o.Repeated {
 		t.Errorf("resend: %+v", o)
 	}
-	if got := ownPriority(t, s); got != 59 {
+	if got := rootPriority(t, s); got != 59 {
 		t.Errorf("the resend changed priority to %d", got)
 	}
 }
 
-// A conflict or a refusal may be lost on its way as well. The resend gets the
-// same answer, also when the edit would by now be refused for another reason.
+// The answer to a rejected edit is lost. The resent edit gets the first outcome,
+// even if it would now be refused for another reason.
 func TestResendOfAnEditThatLost(t *testing.T) {
-	s := ready(t)
+	s := newSection(t)
 	bad := Edit{ID: "bad", Base: 1, Operator: "ana", Changes: []tree.Change{set("/", "priority", tree.IntValue(1000))}}
 	if o := apply(t, s, bad); o.Kind != Refused || !strings.Contains(o.Reasons.Error(), "out of bounds") {
 		t.Fatalf("invalid edit: %+v", o)
 	}
-	apply(t, s, priority("a-1", "ana", 1, 5))
-	lost := priority("b-1", "ben", 1, 7)
+	apply(t, s, priorityEdit("a-1", "ana", 1, 5))
+	lost := priorityEdit("b-1", "ben", 1, 7)
 	want := apply(t, s, lost)
-	apply(t, s, priority("a-2", "ana", 2, 6))
+	apply(t, s, priorityEdit("a-2", "ana", 2, 6))
 	if o := apply(t, s, lost); o.Kind != Conflict || !o.Repeated || o.Winner.Operator != want.Winner.Operator || o.Revision != want.Revision {
 		t.Errorf("conflict sent again: %+v", o)
 	}
@@ -74,31 +73,31 @@
 	}
 }
 
-// A script uses one edit id for two edits. The second must not be answered
-// with the outcome of the first: its operator would believe that it is in force.
+// A script uses one edit ID for two edits. Answered with the outcome of the
+// first, the second would seem to be in force.
 func TestEditIDWithOtherContent(t *testing.T) {
-	s := ready(t)
-	apply(t, s, priority("a-1", "ana", 1, 5))
+	s := newSection(t)
+	apply(t, s, priorityEdit("a-1", "ana", 1, 5))
 	for name, e := range map[string]Edit{
-		"other value":    priority("a-1", "ana", 1, 6),
-		"other operator": priority("a-1", "ben", 1, 5),
-		"other base":     priority("a-1", "ana", 2, 5),
+		"other value":    priorityEdit("a-1", "ana", 1, 6),
+		"other operator": priorityEdit("a-1", "ben", 1, 5),
+		"other base":     priorityEdit("a-1", "ana", 2, 5),
 	} {
 		if o := apply(t, s, e); o.Kind != Reused || o.Repeated {
 			t.Errorf("%s: %+v", name, o)
 		}
 	}
-	if got := ask[History](t, s, Query{Kind: QueryHistory}).Revision; got != 2 {
+	if got := query[History](t, s, Query{Kind: QueryHistory}).Revision; got != 2 {
 		t.Errorf("revision is %d", got)
 	}
 }
 
-// An entry with settings that are a moment old still knows an operator who
-// was removed. The log must not accept what that operator sends through it.
+// An entry with slightly older settings may still accept the key of an operator
+// who was removed. The section must refuse the edits of that operator.
 func TestOperatorsOfTheTreeOnly(t *testing.T) {
-	s := ready(t)
+	s := newSection(t)
 	for _, name := range []string{BootstrapOperator, "eve", "", "../models/m"} {
-		if o := apply(t, s, priority("x"+name, name, 1, 5)); o.Kind != Refused {
+		if o := apply(t, s, priorityEdit("x"+name, name, 1, 5)); o.Kind != Refused {
 			t.Errorf("operator %q: %+v", name, o)
 		}
 	}
@@ -112,7 +111,7 @@
 }
 
 func TestMalformedCommands(t *testing.T) {
-	s := ready(t)
+	s := newSection(t)
 	for _, b := range [][]byte{nil, {0xff}, encode(t, 3), encode(t, Edit{Operator: "ana", Base: 1}), encode(t, Edit{ID: "a b", Operator: "ana", Base: 1}), encode(t, Edit{ID: "none", Operator: "ana", Base: 1}), encode(t, Edit{ID: "late", Operator: "ana", Base: 9})} {
 		if r := s.Apply(now, b); !bytes.Contains(r, []byte("refused")) {
 			t.Errorf("%x: %q", b, r)
@@ -125,48 +124,48 @@
 	}
 }
 
-// A control VM comes back after hundreds of changes and is caught up by a
-// snapshot. It must then answer as the others do: the same tree, the same
-// audit trail, and the first outcome to an edit from before the snapshot.
+// A control replica that was down for hundreds of edits is restored from a
+// snapshot. It must then have the same tree and audit trail as the others, and
+// answer a resent edit from before the snapshot with its first outcome.
 func TestRestoreAfterHundredsOfChanges(t *testing.T) {
-	s := ready(t)
+	s := newSection(t)
 	for i := range uint64(400) {
-		apply(t, s, priority(fmt.Sprint("e-", i), "ana", 1+i, int64(i%100)))
-		apply(t, s, priority(fmt.Sprint("lost-", i), "ben", 1+i, 3))
+		apply(t, s, priorityEdit(fmt.Sprint("e-", i), "ana", 1+i, int64(i%100)))
+		apply(t, s, priorityEdit(fmt.Sprint("lost-", i), "ben", 1+i, 3))
 	}
 	before, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	late := New()
-	apply(t, late, setup())
-	apply(t, late, priority("stale", "ana", 1, 44))
-	if err := late.Restore(before); err != nil {
+	restored := New()
+	apply(t, restored, setupEdit())
+	apply(t, restored, priorityEdit("stale", "ana", 1, 44))
+	if err := restored.Restore(before); err != nil {
 		t.Fatal(err)
 	}
-	after, err := late.Snapshot()
+	after, err := restored.Snapshot()
 	if err != nil || !bytes.Equal(before, after) {
 		t.Fatalf("snapshot of the restored section differs: %v", err)
 	}
-	for _, e := range []Edit{priority("e-3", "ana", 4, 3), priority("lost-3", "ben", 4, 3), priority("next", "ana", 401, 8)} {
-		a, b := apply(t, s, e), apply(t, late, e)
+	for _, e := range []Edit{priorityEdit("e-3", "ana", 4, 3), priorityEdit("lost-3", "ben", 4, 3), priorityEdit("next", "ana", 401, 8)} {
+		a, b := apply(t, s, e), apply(t, restored, e)
 		if !bytes.Equal(encode(t, a), encode(t, b)) {
 			t.Errorf("%s: %+v and %+v", e.ID, a, b)
 		}
 	}
-	if err := late.Restore([]byte{1}); err == nil {
-		t.Error("a broken snapshot was taken")
+	if err := restored.Restore([]byte{1}); err == nil {
+		t.Error("a corrupt snapshot was accepted")
 	}
-	if got := ownPriority(t, late); got != 8 {
-		t.Errorf("a broken snapshot changed priority to %d", got)
+	if got := rootPriority(t, restored); got != 8 {
+		t.Errorf("a corrupt snapshot changed priority to %d", got)
 	}
 }
 
 func TestHistoryShowsWhoWhenFromWhichRevisionAndWhat(t *testing.T) {
-	s := ready(t)
-	apply(t, s, priority("a-1", "ana", 1, 5))
-	apply(t, s, priority("b-1", "ben", 2, 7))
-	h := ask[History](t, s, Query{Kind: QueryHistory, Limit: 2})
+	s := newSection(t)
+	apply(t, s, priorityEdit("a-1", "ana", 1, 5))
+	apply(t, s, priorityEdit("b-1", "ben", 2, 7))
+	h := query[History](t, s, Query{Kind: QueryHistory, Limit: 2})
 	if len(h.Records) != 2 || h.Revision != 3 || h.Oldest != 1 {
 		t.Fatalf("got %+v", h)
 	}
@@ -174,42 +173,42 @@
 	if r.Operator != "ben" || r.Base != 2 || r.ID != "b-1" || r.At != now.UnixNano() || r.Effects[0].String() != "set / priority from 5 to 7" {
 		t.Errorf("got %+v", r)
 	}
-	d := ask[Diff](t, s, Query{Kind: QueryDiff, From: 1, To: 3})
+	d := query[Diff](t, s, Query{Kind: QueryDiff, From: 1, To: 3})
 	if !d.Known || len(d.Effects) != 1 || d.Effects[0].String() != "set / priority to 7" {
 		t.Errorf("got %+v", d)
 	}
-	x := ask[Explanation](t, s, Query{Kind: QueryExplain, Path: "/models/m"})
+	x := query[Explanation](t, s, Query{Kind: QueryExplain, Path: "/models/m"})
 	if !x.Found || x.Revision != 3 || len(x.Values) != 3 {
 		t.Errorf("got %+v", x)
 	}
 }
 
-// The history is bounded. Where it no longer reaches back, a resend can't be
-// told from a new edit, but it must not be carried out a second time either.
+// The history is bounded. A resent edit that is no longer in it can't be
+// distinguished from a new one, but must not be applied a second time.
 func TestBoundedHistoryNeverRepeatsAnEdit(t *testing.T) {
-	s := ready(t)
-	first := priority("a-1", "ana", 1, 5)
+	s := newSection(t)
+	first := priorityEdit("a-1", "ana", 1, 5)
 	apply(t, s, first)
 	for i := range uint64(maxRecords) {
-		apply(t, s, priority(fmt.Sprint("b-", i), "ben", 2+i, int64(i%90)))
+		apply(t, s, priorityEdit(fmt.Sprint("b-", i), "ben", 2+i, int64(i%90)))
 	}
 	o := apply(t, s, first)
 	if o.Kind != Conflict || o.Winner.Revision != 2 || o.Winner.Operator != "" {
 		t.Errorf("resend beyond the history: %+v", o)
 	}
-	h := ask[History](t, s, Query{Kind: QueryHistory})
+	h := query[History](t, s, Query{Kind: QueryHistory})
 	if h.Oldest != 3 {
 		t.Errorf("oldest revision kept is %d", h.Oldest)
 	}
-	if c := ask[Changes](t, s, Query{Kind: QueryChanges, Known: 1}); len(c.Whole) == 0 || len(c.Changes) != 0 {
+	if c := query[Changes](t, s, Query{Kind: QueryChanges, Known: 1}); len(c.Whole) == 0 || len(c.Changes) != 0 {
 		t.Errorf("changes beyond the history: %d whole, %d changes", len(c.Whole), len(c.Changes))
 	}
 }
 
-// An edit makes hundreds of branches invalid at once. Its outcome is kept for
-// resends and stands in every snapshot, so it holds the first faults only.
+// An edit makes hundreds of branches invalid. Its outcome is kept for resent edits
+// and is part of every snapshot, so it lists only the first problems.
 func TestReasonsAreBounded(t *testing.T) {
-	s := ready(t)
+	s := newSection(t)
 	e := Edit{ID: "many", Base: 1, Operator: "ana"}
 	for i := range 300 {
 		e.Changes = append(e.Changes, tree.Change{Action: tree.Create, Path: tree.ModelPath(fmt.Sprint("m", i))})
--- a/internal/settings/section/image.go
+++ b/internal/settings/section/snapshot.go
@@ -5,8 +5,8 @@
 	"hornbeamwood/internal/settings/tree"
 )
 
-// image is the section's snapshot.
-type image struct {
+// snapshotState is the encoded form of the section's snapshot.
+type snapshotState struct {
 	Revision uint64        `cbor:"revision"`
 	Branches []tree.Branch `cbor:"branches"`
 	Records  []Record      `cbor:"records,omitempty"`
@@ -17,7 +17,7 @@
 // Snapshot implements state.Section.
 func (s *section) Snapshot() ([]byte, error) {
 	s.mu.RLock()
-	i := image{
+	i := snapshotState{
 		Revision: s.revision,
 		Records:  s.history.records,
 		Rejected: s.history.rejected,
@@ -31,7 +31,7 @@
 
 // Restore implements state.Section.
 func (s *section) Restore(snapshot []byte) error {
-	i, err := codec.Unmarshal[image](snapshot)
+	i, err := codec.Unmarshal[snapshotState](snapshot)
 	if err != nil {
 		return err
 	}
