--- a/internal/settings/lease/doc.go
+++ b/internal/settings/lease/doc.go
@@ -1,15 +1,15 @@
-// Package lease decides when an entry may take new work under its settings,
-// and when a revision is in force everywhere.
+// Package lease implements the settings lease: it decides when an entry may
+// accept new work under its settings, and when a revision is in force everywhere.
 //
-// An entry tells the control leader which revision it has applied and asks for
-// the newest one. The leader notes that, has a quorum confirm that it leads,
-// and only then looks what the newest revision is. If that is the one the
-// entry has applied, the entry may take new work for the settings lease,
-// counted from before it asked; the leader counts the same lease from when it
-// noted it. Both allow for a clock that is up to one part in MarginShare too
-// fast or too slow.
+// An entry reports the revision that it has applied to the control leader and
+// requests the newest one. The leader records the report, has a quorum confirm
+// its leadership, and only then reads the newest revision. If the entry has
+// applied that revision, it may accept new work for the duration of the settings
+// lease, measured from before it sent the report. The leader measures the same
+// lease from the time at which it recorded the report. Both allow for clocks that
+// are up to one part in MarginShare too fast or too slow.
 //
-// An edit that is accepted after the leader's note counts the entry among
-// those that may still serve under the older revision; one that was accepted
-// before it is seen by the entry, which then gets no lease.
+// For an edit that is accepted after the report was recorded, the leader counts
+// the entry among those that may still serve under the older revision. An edit
+// that was accepted before is in the answer to the entry, which then gets no lease.
 package lease
--- a/internal/settings/lease/force.go
+++ b/internal/settings/lease/force.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Force says whether a revision is in force everywhere.
+// Force reports whether a revision is in force everywhere.
 type Force struct {
-	// InForce says that no entry can take new work under an older revision.
+	// InForce reports whether no entry can accept new work under an older revision.
 	InForce bool `cbor:"in-force"`
-	// Waiting are the entries that have not applied it, sorted.
+	// Waiting are the names of the entries that have not applied the revision, sorted.
 	Waiting []string `cbor:"waiting,omitempty"`
-	// After is how long to wait at most until their leases have run out, 0 when that is not known.
+	// After is the maximum time until their leases have expired, 0 if it is not known.
 	After time.Duration `cbor:"after,omitempty"`
 }
--- a/internal/settings/lease/holders.go
+++ b/internal/settings/lease/holders.go
@@ -6,71 +6,73 @@
 	"time"
 )
 
-// Holders is the control leader's account of the leases that entries may hold.
+// Holders is the control leader's record of the leases that entries may hold.
 type Holders interface {
-	// Renew notes a renewal at a replica in the given term; it is called before a quorum confirms the leader for the answer.
+	// Renew records a renewal in the given term. It must be called before a quorum confirms the leader for the answer.
 	Renew(now time.Time, term uint64, r Renewal, t Terms)
-	// InForce returns whether no entry can take new work under a revision older than the given one; it is called after a quorum has confirmed the leader of the term.
+	// InForce returns whether no entry can accept new work under a revision older than the given one. It must be called after a quorum has confirmed the leader of the term.
 	InForce(now time.Time, term, revision uint64, t Terms) Force
-	// Applied returns the revision that each live holder has applied.
+	// Applied returns the revision that each holder of an unexpired lease has applied.
 	Applied(now time.Time) map[Holder]uint64
 }
 
 type holders struct {
-	mu       sync.Mutex
-	entries  []string
-	grants   map[Holder]grant
-	reported map[string]standing
-	term     uint64
-	entered  time.Time
-	longest  time.Duration
+	mu           sync.Mutex
+	entries      []string
+	grants       map[Holder]grant
+	lastReports  map[string]lastReport
+	term         uint64
+	termStart    time.Time
+	longestLease time.Duration
 }
 
-// NewHolders returns Holders of a replica that has not led yet; entries are
-// the names of all entries, which matter where settings let them serve without a quorum.
+// NewHolders returns the Holders of a replica that has not been the leader yet.
+// entries are the names of all entries; they are used when the settings let
+// entries serve without a quorum.
 func NewHolders(entries []string) Holders {
 	return &holders{
-		entries:  slices.Sorted(slices.Values(entries)),
-		grants:   map[Holder]grant{},
-		reported: map[string]standing{},
+		entries:     slices.Sorted(slices.Values(entries)),
+		grants:      map[Holder]grant{},
+		lastReports: map[string]lastReport{},
 	}
 }
 
-// enter begins a term when it is newer than the one before.
+// beginTerm starts the given term if it is newer than the current one.
 //
-// A new leader knows of no lease that an earlier one confirmed. It would
-// declare an edit in force while an entry that it has not heard of still
-// serves under the older settings, so it first waits the longest lease out. It
-// may learn of a longer one only when it has applied all that was accepted.
-func (h *holders) enter(now time.Time, term uint64, t Terms) {
+// A new leader has no record of the leases that earlier leaders confirmed, and
+// would declare an edit in force while an entry that has not reported to it still
+// serves under the older settings. It therefore waits until the longest lease has
+// expired. The longest lease may increase until the leader has applied all
+// accepted edits.
+func (h *holders) beginTerm(now time.Time, term uint64, t Terms) {
 	if term <= h.term {
-		h.longest = max(h.longest, t.Longest)
+		h.longestLease = max(h.longestLease, t.Longest)
 		return
 	}
 	h.term = term
-	h.longest = t.Longest
-	h.entered = now
+	h.longestLease = t.Longest
+	h.termStart = now
 	h.grants = map[Holder]grant{}
-	h.reported = map[string]standing{}
+	h.lastReports = map[string]lastReport{}
 }
 
-// settled returns when all leases that earlier leaders confirmed have run out.
-func (h *holders) settled() time.Time {
-	return h.entered.Add(lengthened(h.longest))
+// earlierLeasesEnd returns the time at which all leases confirmed by earlier leaders have expired.
+func (h *holders) earlierLeasesEnd() time.Time {
+	return h.termStart.Add(lengthened(h.longestLease))
 }
 
 // Renew implements Holders.
 //
-// It notes the lease before the quorum confirms the leader, and whether or not
-// the revision is the newest. Noted afterwards, an edit could be declared in
-// force in between, and the entry would serve on under the older settings.
+// The lease is recorded before the quorum confirms the leader, and even if the
+// revision is not the newest. If it were recorded afterwards, an edit could be
+// declared in force in between while the entry serves under the older settings.
 func (h *holders) Renew(now time.Time, term uint64, r Renewal, t Terms) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.enter(now, term, t)
-	h.reported[r.Holder.Name] = h.reported[r.Holder.Name].with(r)
+	h.beginTerm(now, term, t)
+	h.lastReports[r.Holder.Name] = h.lastReports[r.Holder.Name].with(r)
 	for k, g := range h.grants {
-		if !g.live(now, t.FreeBefore) {
+		if !g.active(now, t.LeaseRequiredFrom) {
 			delete(h.grants, k)
 		}
 	}
@@ -95,37 +97,37 @@
 func (h *holders) InForce(now time.Time, term, revision uint64, t Terms) Force {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.enter(now, term, t)
+	h.beginTerm(now, term, t)
 	if term < h.term || revision > t.Revision {
 		return Force{}
 	}
-	f := Force{After: max(0, h.settled().Sub(now))}
+	f := Force{After: max(0, h.earlierLeasesEnd().Sub(now))}
 	for k, g := range h.grants {
-		if g.applied < revision && g.live(now, t.FreeBefore) {
+		if g.applied < revision && g.active(now, t.LeaseRequiredFrom) {
 			f.Waiting = append(f.Waiting, k.Name)
 			f.After = max(f.After, g.expires.Sub(now))
 		}
 	}
-	free := h.free(revision, t.FreeBefore)
-	if len(free) > 0 {
-		f.Waiting = append(f.Waiting, free...)
+	leaseless := h.leaselessEntries(revision, t.LeaseRequiredFrom)
+	if len(leaseless) > 0 {
+		f.Waiting = append(f.Waiting, leaseless...)
 		f.After = 0
 	}
 	slices.Sort(f.Waiting)
 	f.Waiting = slices.Compact(f.Waiting)
-	f.InForce = len(f.Waiting) == 0 && !now.Before(h.settled())
+	f.InForce = len(f.Waiting) == 0 && !now.Before(h.earlierLeasesEnd())
 	return f
 }
 
-// free returns the entries that may serve on without a lease under a revision
-// older than the given one. Where settings let an entry do so, waiting a lease
-// out proves nothing; only its own report that it has applied either that
-// revision or one that forbids it does.
-func (h *holders) free(revision, freeBefore uint64) []string {
+// leaselessEntries returns the entries that may serve without a lease under a
+// revision older than the given one. Where the settings let entries do so, an
+// expired lease proves nothing; the entry itself must have reported that it has
+// applied the given revision or one that requires a lease again.
+func (h *holders) leaselessEntries(revision, leaseRequiredFrom uint64) []string {
 	var names []string
 	for _, n := range h.entries {
-		r := h.reported[n]
-		if !r.released && r.applied < min(revision, freeBefore) {
+		r := h.lastReports[n]
+		if !r.released && r.applied < min(revision, leaseRequiredFrom) {
 			names = append(names, n)
 		}
 	}
@@ -136,11 +138,11 @@
 func (h *holders) Applied(now time.Time) map[Holder]uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	live := map[Holder]uint64{}
+	revisions := map[Holder]uint64{}
 	for k, g := range h.grants {
-		if g.live(now, 0) {
-			live[k] = g.applied
+		if g.active(now, 0) {
+			revisions[k] = g.applied
 		}
 	}
-	return live
+	return revisions
 }
--- a/internal/settings/lease/lease_test.go
+++ b/internal/settings/lease/lease_test.go
@@ -15,18 +15,18 @@
 
 const second = time.Second
 
-// A silent network partition cuts an entry off, while its callers still reach
-// it. It must stop taking new work a lease after its last proof, counted from
-// before it asked, say that nothing ran and when to ask again, and come back
-// by itself.
+// A silent network partition isolates an entry that its callers still reach. The
+// entry must stop accepting new work when the lease has expired, measured from
+// before it sent the report of its last proof. Refusals must have the verdict
+// NotRun and a retry time, and the entry must recover with the next proof.
 func TestKeeperStopsAndComesBack(t *testing.T) {
 	k := NewKeeper()
 	if k.Check(at(0), false) == nil || k.Check(at(0), true) == nil {
-		t.Fatal("an entry that has proved nothing takes new work")
+		t.Fatal("an entry without any proof accepts new work")
 	}
 	proof := Proof{SentAt: at(0), Applied: 3, Confirmed: 3, Lease: 4 * second}
 	if !k.Confirm(proof) {
-		t.Fatal("the proof was not taken")
+		t.Fatal("the proof was not accepted")
 	}
 	if err := k.Check(at(3*second), false); err != nil {
 		t.Errorf("within the lease: %v", err)
@@ -37,23 +37,23 @@
 	}
 	proof.SentAt = at(9 * second)
 	if !k.Confirm(proof) || k.Check(at(10*second), false) != nil {
-		t.Error("the entry did not come back")
+		t.Error("the entry did not recover")
 	}
 }
 
-// Answers cross on the way. One that was asked for earlier must not shorten
-// the lease; one for an older revision must not stand for newer settings; and
-// a report that the leader answered with a newer revision proves nothing.
+// Answers arrive out of order. The answer to an earlier report must not shorten
+// the lease, and one for an older revision must not apply to newer settings. A
+// report that the leader answered with a newer revision proves nothing.
 func TestKeeperPassesOverCrossedAnswers(t *testing.T) {
 	k := NewKeeper()
 	k.Confirm(Proof{SentAt: at(5 * second), Applied: 7, Confirmed: 7, Lease: 4 * second})
 	for name, p := range map[string]Proof{
-		"asked for earlier": {SentAt: at(2 * second), Applied: 7, Confirmed: 7, Lease: 4 * second},
-		"older revision":    {SentAt: at(6 * second), Applied: 6, Confirmed: 6, Lease: 15 * second},
-		"newer elsewhere":   {SentAt: at(6 * second), Applied: 7, Confirmed: 8, Lease: 15 * second},
+		"earlier report":  {SentAt: at(2 * second), Applied: 7, Confirmed: 7, Lease: 4 * second},
+		"older revision":  {SentAt: at(6 * second), Applied: 6, Confirmed: 6, Lease: 15 * second},
+		"newer elsewhere": {SentAt: at(6 * second), Applied: 7, Confirmed: 8, Lease: 15 * second},
 	} {
 		if k.Confirm(p) {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 	if k.Check(at(8*second), false) != nil || k.Check(at(9*second), false) == nil {
@@ -61,19 +61,19 @@
 	}
 }
 
-// A VM is paused as a whole and its monotonic clock stands still meanwhile.
-// Its wall clock is set right when it goes on; callers that reach it then must
-// not be served under settings from before the pause.
+// A VM is suspended, and its monotonic clock stops meanwhile. Its wall clock is
+// corrected on resume. Callers must then not be served under settings from before
+// the suspension.
 func TestKeeperAfterAPauseOfTheVM(t *testing.T) {
 	sent := time.Now()
 	k := NewKeeper()
 	k.Confirm(Proof{SentAt: sent, Applied: 1, Confirmed: 1, Lease: 4 * second})
-	// Round(0) takes the monotonic reading off, so that only the wall clock shows the pause.
+	// Round(0) removes the monotonic reading, so that only the wall clock shows the suspension.
 	if k.Check(sent.Round(0).Add(time.Minute), false) == nil {
-		t.Error("a paused VM goes on under its old lease")
+		t.Error("a resumed VM continues under its old lease")
 	}
 	if k.Check(sent.Add(second), false) != nil {
-		t.Error("the lease is lost without a pause")
+		t.Error("the lease is lost without a suspension")
 	}
 }
 
@@ -85,25 +85,24 @@
 	return Renewal{Holder: Holder{name, 1}, Applied: applied, Lease: leaseLength}
 }
 
-// An operator waits until an edit is in force. Told so while one entry still
-// serves under the older settings, the operator would act on what is not yet
-// true.
+// An operator waits until an edit is in force. It must not be reported in force
+// while any entry still serves under the older settings.
 func TestInForceWaitsForHoldersOrTheirLeases(t *testing.T) {
 	h := NewHolders([]string{"a", "b"})
 	if f := h.InForce(at(second), 1, 1, terms(1)); f.InForce || f.After == 0 {
-		t.Errorf("a new leader answered before the leases of earlier leaders ran out: %+v", f)
+		t.Errorf("a new leader answered before the leases of earlier leaders expired: %+v", f)
 	}
 	h.Renew(at(10*second), 1, renewal("a", 1), terms(1))
 	h.Renew(at(10*second), 1, renewal("b", 1), terms(1))
 	if f := h.InForce(at(11*second), 1, 2, terms(2)); f.InForce || len(f.Waiting) != 2 {
-		t.Errorf("nobody applied revision 2: %+v", f)
+		t.Errorf("no entry has applied revision 2: %+v", f)
 	}
 	h.Renew(at(11*second), 1, renewal("a", 2), terms(2))
 	if f := h.InForce(at(12*second), 1, 2, terms(2)); f.InForce || len(f.Waiting) != 1 || f.Waiting[0] != "b" {
 		t.Errorf("b has not applied revision 2: %+v", f)
 	}
 	if f := h.InForce(at(10*second+lengthened(leaseLength)), 1, 2, terms(2)); !f.InForce {
-		t.Errorf("the lease of b has run out: %+v", f)
+		t.Errorf("the lease of b has expired: %+v", f)
 	}
 	if f := h.InForce(at(20*second), 1, 3, terms(2)); f.InForce {
 		t.Error("a revision that does not exist is in force")
@@ -116,8 +115,8 @@
 	}
 }
 
-// A report that was delayed on its way arrives after a newer one. It must
-// neither bring the entry's revision back nor shorten its lease.
+// A delayed report arrives after a newer one. It must neither lower the entry's
+// revision nor shorten its lease.
 func TestRenewalsThatCross(t *testing.T) {
 	h := NewHolders(nil)
 	h.Renew(at(0), 1, renewal("a", 2), terms(2))
@@ -141,38 +140,38 @@
 	}
 }
 
-// Settings let entries serve on when no quorum answers, and one is cut off.
-// Its lease runs out, yet it serves on under the older settings: the edit, and
-// also the one that forbids it again, must not be called in force until that
-// entry has reported.
+// The settings let entries serve when no quorum answers, and one entry is
+// partitioned. It continues under the older settings after its lease has expired.
+// An edit, even the one that requires a lease again, must not be reported in
+// force until that entry has reported that it has applied it.
 func TestInForceWhereEntriesServeWithoutQuorum(t *testing.T) {
 	h := NewHolders([]string{"a", "b"})
-	free := terms(2)
-	free.FreeBefore = 3
-	h.InForce(at(0), 1, 2, free)
-	h.Renew(at(10*second), 1, renewal("a", 2), free)
-	if f := h.InForce(at(99*second), 1, 2, free); f.InForce || len(f.Waiting) != 1 || f.Waiting[0] != "b" {
-		t.Errorf("b was never heard: %+v", f)
-	}
-	bound := terms(3)
-	bound.FreeBefore = 3
-	h.Renew(at(100*second), 1, renewal("b", 3), bound)
-	if f := h.InForce(at(199*second), 1, 3, bound); f.InForce || len(f.Waiting) != 1 || f.Waiting[0] != "a" {
+	leaseless := terms(2)
+	leaseless.LeaseRequiredFrom = 3
+	h.InForce(at(0), 1, 2, leaseless)
+	h.Renew(at(10*second), 1, renewal("a", 2), leaseless)
+	if f := h.InForce(at(99*second), 1, 2, leaseless); f.InForce || len(f.Waiting) != 1 || f.Waiting[0] != "b" {
+		t.Errorf("b has never reported: %+v", f)
+	}
+	leaseRequired := terms(3)
+	leaseRequired.LeaseRequiredFrom = 3
+	h.Renew(at(100*second), 1, renewal("b", 3), leaseRequired)
+	if f := h.InForce(at(199*second), 1, 3, leaseRequired); f.InForce || len(f.Waiting) != 1 || f.Waiting[0] != "a" {
 		t.Errorf("a still serves under revision 2: %+v", f)
 	}
-	h.Renew(at(200*second), 1, renewal("a", 3), bound)
-	if f := h.InForce(at(201*second), 1, 3, bound); !f.InForce {
+	h.Renew(at(200*second), 1, renewal("a", 3), leaseRequired)
+	if f := h.InForce(at(201*second), 1, 3, leaseRequired); !f.InForce {
 		t.Errorf("all have applied revision 3: %+v", f)
 	}
-	bound.Revision = 4
-	if f := h.InForce(at(299*second), 1, 4, bound); !f.InForce {
-		t.Errorf("all leases have run out: %+v", f)
+	leaseRequired.Revision = 4
+	if f := h.InForce(at(299*second), 1, 4, leaseRequired); !f.InForce {
+		t.Errorf("all leases have expired: %+v", f)
 	}
 }
 
-// A replica becomes the leader before it has applied an edit that made the
-// lease longer. Entries that hold the longer lease have not reported to it; it
-// must wait that lease out and not the one that it knew when it was elected.
+// A replica becomes the leader before it has applied an edit that made the lease
+// longer. Entries may hold the longer lease without having reported to it. It
+// must wait for the longer lease, not for the one it knew when it was elected.
 func TestNewLeaderThatIsBehindWaitsTheLongerLease(t *testing.T) {
 	h := NewHolders(nil)
 	h.Renew(at(0), 2, renewal("a", 1), terms(1))
@@ -182,35 +181,35 @@
 		t.Errorf("an entry may hold a lease of 15 s from before: %+v", f)
 	}
 	if f := h.InForce(at(16*second), 2, 2, longer); !f.InForce {
-		t.Errorf("all leases have run out: %+v", f)
+		t.Errorf("all leases have expired: %+v", f)
 	}
 }
 
-// Where entries may serve without a quorum, one is stopped for good. It took
-// no new work from then on, so nobody need wait for it; started again, it has
-// to report again.
+// Where entries may serve without a quorum, one is stopped. It accepts no new work
+// from then on, so the leader need not wait for it. After a restart it has to
+// report again.
 func TestStoppedEntryThatMayServeWithoutQuorum(t *testing.T) {
 	h := NewHolders([]string{"a"})
-	free := terms(2)
-	free.FreeBefore = 3
+	leaseless := terms(2)
+	leaseless.LeaseRequiredFrom = 3
 	r := renewal("a", 1)
-	h.Renew(at(0), 1, r, free)
+	h.Renew(at(0), 1, r, leaseless)
 	r.Released = true
-	h.Renew(at(second), 1, r, free)
-	if f := h.InForce(at(9*second), 1, 2, free); !f.InForce {
+	h.Renew(at(second), 1, r, leaseless)
+	if f := h.InForce(at(9*second), 1, 2, leaseless); !f.InForce {
 		t.Errorf("a has stopped: %+v", f)
 	}
 	r = renewal("a", 1)
 	r.Holder.Incarnation = 2
-	h.Renew(at(10*second), 1, r, free)
-	if f := h.InForce(at(99*second), 1, 2, free); f.InForce {
+	h.Renew(at(10*second), 1, r, leaseless)
+	if f := h.InForce(at(99*second), 1, 2, leaseless); f.InForce {
 		t.Error("a has started again and not applied revision 2")
 	}
 }
 
-// The clock of an entry runs slow and that of the leader fast. Counted without
-// a margin, the leader would declare the edit in force while the entry still
-// took its own clock's word that the lease goes on.
+// The clock of an entry is slow and that of the leader fast. Without a margin, the
+// leader would declare the edit in force while the lease has not expired by the
+// entry's clock.
 func TestClockRatesWithinTheMargin(t *testing.T) {
 	const delay = 20 * time.Millisecond
 	limit := 1.0 / MarginShare
--- a/internal/settings/lease/naive_test.go
+++ b/internal/settings/lease/naive_test.go
@@ -10,15 +10,15 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// entryReport is one report as a leader with endless memory keeps it.
-type entryReport struct {
+// reportRecord is one report in the reference implementation.
+type reportRecord struct {
 	at      time.Duration
 	name    string
 	applied uint64
 }
 
-// naiveInForce searches all reports of a leader since time zero.
-func naiveInForce(all []entryReport, now time.Duration, revision uint64) (bool, []string) {
+// naiveInForce is a reference implementation that searches all reports to a leader since time zero.
+func naiveInForce(all []reportRecord, now time.Duration, revision uint64) (bool, []string) {
 	var waiting []string
 	for _, name := range []string{"a", "b", "c"} {
 		newest, expires := uint64(0), time.Duration(0)
@@ -32,8 +32,8 @@
 			newest = max(newest, r.applied)
 			expires = r.at + lengthened(leaseLength)
 		}
-		live := now < expires
-		if live && newest < revision {
+		active := now < expires
+		if active && newest < revision {
 			waiting = append(waiting, name)
 		}
 	}
@@ -47,7 +47,7 @@
 	p.Property("the same answer", prop.ForAll(func(steps []uint32) bool {
 		h := NewHolders(nil)
 		h.InForce(at(0), 1, 1, terms(1))
-		var all []entryReport
+		var all []reportRecord
 		now, revision := time.Duration(0), uint64(1)
 		for _, n := range steps {
 			now += time.Duration(n%1500) * time.Millisecond
@@ -55,7 +55,7 @@
 			case n>>12%5 == 0:
 				revision++
 			case n>>12%5 < 3:
-				r := entryReport{at: now, name: string(rune('a' + n>>16%3)), applied: revision - min(uint64(n>>20%2), revision)}
+				r := reportRecord{at: now, name: string(rune('a' + n>>16%3)), applied: revision - min(uint64(n>>20%2), revision)}
 				h.Renew(at(now), 1, renewal(r.name, r.applied), terms(revision))
 				all = append(all, r)
 			default:
--- a/internal/settings/lease/schedule_test.go
+++ b/internal/settings/lease/schedule_test.go
@@ -10,22 +10,22 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// clock is a VM's clock: true time at another rate and from another origin.
+// clock is a VM's clock, which differs from true time by a rate and an offset.
 type clock struct {
 	rate   float64
-	origin time.Duration
+	offset time.Duration
 }
 
 func (c clock) at(t time.Duration) time.Time {
-	return start.Add(c.origin + time.Duration(float64(t)*c.rate))
+	return start.Add(c.offset + time.Duration(float64(t)*c.rate))
 }
 
 func randomClock(r *rand.Rand) clock {
 	limit := 1.0 / MarginShare
-	return clock{rate: 1 + limit*(2*r.Float64()-1), origin: time.Duration(r.IntN(1000)) * second}
+	return clock{rate: 1 + limit*(2*r.Float64()-1), offset: time.Duration(r.IntN(1000)) * second}
 }
 
-// replica is a control replica as the schedule sees it: what it believes is the newest revision.
+// replica is a control replica in the schedule; known is the newest revision that it has applied.
 type replica struct {
 	clock   clock
 	holders Holders
@@ -33,7 +33,7 @@
 	term    uint64
 }
 
-// report is one entry's report on its way.
+// report is an entry's report in transit.
 type report struct {
 	entry     int
 	sentAt    time.Time
@@ -44,8 +44,8 @@
 	stage     int
 }
 
-// fleet is a random schedule of entries, replicas, edits, cuts and freezes.
-type fleet struct {
+// schedule is a random schedule of reports, edits, elections, lost messages and suspensions.
+type schedule struct {
 	random   *rand.Rand
 	now      time.Duration
 	revision uint64
@@ -57,161 +57,160 @@
 	applied  []uint64
 	reports  []*report
 	declared uint64
-	denied   int
+	notYet   int
 	served   int
 }
 
 const leaseLength = 4 * second
 
-func newFleet(r *rand.Rand) *fleet {
-	f := &fleet{random: r, revision: 1, term: 1}
+func newSchedule(r *rand.Rand) *schedule {
+	s := &schedule{random: r, revision: 1, term: 1}
 	for range 3 {
-		f.replicas = append(f.replicas, &replica{clock: randomClock(r), holders: NewHolders(nil), known: 1, term: 1})
+		s.replicas = append(s.replicas, &replica{clock: randomClock(r), holders: NewHolders(nil), known: 1, term: 1})
 	}
 	for range 4 {
-		f.clocks = append(f.clocks, randomClock(r))
-		f.keepers = append(f.keepers, NewKeeper())
-		f.applied = append(f.applied, 1)
+		s.clocks = append(s.clocks, randomClock(r))
+		s.keepers = append(s.keepers, NewKeeper())
+		s.applied = append(s.applied, 1)
 	}
-	return f
+	return s
 }
 
-// step carries out one random event and returns false when a promise is broken.
-func (f *fleet) step() bool {
-	f.now += time.Duration(f.random.IntN(150)) * time.Millisecond
-	if f.random.IntN(50) == 0 {
-		f.now += time.Duration(f.random.IntN(20)) * second
+// step executes one random event and returns false if the invariant is violated.
+func (s *schedule) step() bool {
+	s.now += time.Duration(s.random.IntN(150)) * time.Millisecond
+	if s.random.IntN(50) == 0 {
+		s.now += time.Duration(s.random.IntN(20)) * second
 	}
-	switch n := f.random.IntN(20); {
+	switch n := s.random.IntN(20); {
 	case n < 4:
-		f.send()
+		s.send()
 	case n < 15:
-		f.advance()
+		s.advance()
 	case n == 15:
-		f.revision++
-		f.replicas[f.leader].known = f.revision
-	case n == 16 && f.random.IntN(3) == 0:
-		f.elect()
+		s.revision++
+		s.replicas[s.leader].known = s.revision
+	case n == 16 && s.random.IntN(3) == 0:
+		s.elect()
 	default:
-		f.ask()
+		s.askInForce()
 	}
-	return f.kept()
+	return s.invariantHolds()
 }
 
-func (f *fleet) send() {
-	e := f.random.IntN(len(f.keepers))
-	f.reports = append(f.reports, &report{
+func (s *schedule) send() {
+	e := s.random.IntN(len(s.keepers))
+	s.reports = append(s.reports, &report{
 		entry:   e,
-		sentAt:  f.clocks[e].at(f.now),
-		applied: f.applied[e],
-		replica: f.target(),
+		sentAt:  s.clocks[e].at(s.now),
+		applied: s.applied[e],
+		replica: s.presumedLeader(),
 	})
 }
 
-// target returns the replica that an entry takes for the leader, mostly rightly.
-func (f *fleet) target() int {
-	if f.random.IntN(4) == 0 {
-		return f.random.IntN(len(f.replicas))
+// presumedLeader returns the replica that an entry regards as the leader, which is usually right.
+func (s *schedule) presumedLeader() int {
+	if s.random.IntN(4) == 0 {
+		return s.random.IntN(len(s.replicas))
 	}
-	return f.leader
+	return s.leader
 }
 
-// elect makes a replica the leader of a new term; an older leader may not have heard of it.
-func (f *fleet) elect() {
-	f.leader = f.random.IntN(len(f.replicas))
-	f.term++
-	l := f.replicas[f.leader]
-	l.known = f.revision
-	l.term = f.term
+// elect makes a replica the leader of a new term; earlier leaders may not have learned of it.
+func (s *schedule) elect() {
+	s.leader = s.random.IntN(len(s.replicas))
+	s.term++
+	l := s.replicas[s.leader]
+	l.known = s.revision
+	l.term = s.term
 }
 
-// advance moves one random report on by one stage: the note of a replica that
-// may be an older leader, the quorum's confirmation of the leader, the answer
-// from a replica's state, the answer at the entry. A report that is never
-// drawn again is lost; one that is drawn late is delayed.
-func (f *fleet) advance() {
-	if len(f.reports) == 0 {
+// advance moves one random report to its next stage: it is recorded by a replica
+// that may be an earlier leader, the quorum confirms the leader, a replica answers
+// from its state, and the answer arrives at the entry. A report that is never
+// chosen again is lost; one that is chosen late is delayed.
+func (s *schedule) advance() {
+	if len(s.reports) == 0 {
 		return
 	}
-	p := f.reports[max(0, len(f.reports)-1-f.random.IntN(4))]
-	if f.random.IntN(8) == 0 {
-		p = f.reports[f.random.IntN(len(f.reports))]
+	p := s.reports[max(0, len(s.reports)-1-s.random.IntN(4))]
+	if s.random.IntN(8) == 0 {
+		p = s.reports[s.random.IntN(len(s.reports))]
 	}
-	l := f.replicas[p.replica]
+	l := s.replicas[p.replica]
 	p.stage++
 	switch p.stage {
 	case 1:
 		r := Renewal{Holder: Holder{Name: string(rune('a' + p.entry))}, Applied: p.applied, Lease: leaseLength}
-		l.holders.Renew(l.clock.at(f.now), l.term, r, terms(l.known))
+		l.holders.Renew(l.clock.at(s.now), l.term, r, terms(l.known))
 	case 2:
-		p.confirmed = p.replica == f.leader
+		p.confirmed = p.replica == s.leader
 		p.answered = l.known
 	case 3:
 		// The answer may come from a replica that has applied more since.
-		p.answered = max(p.answered, f.replicas[f.random.IntN(len(f.replicas))].known)
+		p.answered = max(p.answered, s.replicas[s.random.IntN(len(s.replicas))].known)
 	case 4:
-		f.answer(p)
+		s.answer(p)
 	}
 }
 
-func (f *fleet) answer(p *report) {
+func (s *schedule) answer(p *report) {
 	if !p.confirmed {
 		return
 	}
-	f.applied[p.entry] = max(f.applied[p.entry], p.answered)
-	f.keepers[p.entry].Confirm(Proof{SentAt: p.sentAt, Applied: p.applied, Confirmed: p.answered, Lease: leaseLength})
+	s.applied[p.entry] = max(s.applied[p.entry], p.answered)
+	s.keepers[p.entry].Confirm(Proof{SentAt: p.sentAt, Applied: p.applied, Confirmed: p.answered, Lease: leaseLength})
 }
 
-// ask asks the leader, confirmed by a quorum, what is in force.
-func (f *fleet) ask() {
-	l := f.replicas[f.leader]
-	for r := f.declared + 1; r <= f.revision; r++ {
-		if !l.holders.InForce(l.clock.at(f.now), l.term, r, terms(l.known)).InForce {
-			f.denied++
+// askInForce asks the leader, confirmed by a quorum, which revisions are in force.
+func (s *schedule) askInForce() {
+	l := s.replicas[s.leader]
+	for r := s.declared + 1; r <= s.revision; r++ {
+		if !l.holders.InForce(l.clock.at(s.now), l.term, r, terms(l.known)).InForce {
+			s.notYet++
 			return
 		}
-		f.declared = r
+		s.declared = r
 	}
 }
 
-// kept says whether no entry takes new work under a revision older than one that was declared in force.
-func (f *fleet) kept() bool {
-	for e, k := range f.keepers {
-		if k.Check(f.clocks[e].at(f.now), false) != nil {
+// invariantHolds reports whether no entry accepts new work under a revision older than one that was declared in force.
+func (s *schedule) invariantHolds() bool {
+	for e, k := range s.keepers {
+		if k.Check(s.clocks[e].at(s.now), false) != nil {
 			continue
 		}
-		f.served++
-		if f.applied[e] < f.declared {
+		s.served++
+		if s.applied[e] < s.declared {
 			return false
 		}
 	}
 	return true
 }
 
-// Entries report, answers are lost, delayed and crossed, leaders change while
-// reports are under way, VMs freeze, and all clocks run at different rates.
-// When an operator has been told that an edit is in force, no caller anywhere
-// may be served under older settings.
+// Answers are lost, delayed and reordered, leaders change while reports are in
+// transit, VMs are suspended, and all clocks run at different rates. When an edit
+// has been reported in force, no entry may serve a caller under older settings.
 func TestNoEntryServesUnderARevisionThatIsNoLongerInForce(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(31)
 	parameters.MinSuccessfulTests = 200
 	p := gopter.NewProperties(parameters)
 	var declared, served, denied int
-	p.Property("in force is never said early", prop.ForAll(func(seed uint64) bool {
-		f := newFleet(rand.New(rand.NewPCG(seed, 1)))
+	p.Property("in force is never reported early", prop.ForAll(func(seed uint64) bool {
+		s := newSchedule(rand.New(rand.NewPCG(seed, 1)))
 		for range 400 {
-			if !f.step() {
+			if !s.step() {
 				return false
 			}
 		}
-		declared += int(f.declared)
-		served += f.served
-		denied += f.denied
+		declared += int(s.declared)
+		served += s.served
+		denied += s.notYet
 		return true
 	}, gen.UInt64()))
 	p.TestingRun(t)
-	t.Logf("%d revisions declared in force, %d times not yet, %d checks that let work in", declared, denied, served)
+	t.Logf("%d revisions declared in force, %d times not yet, %d checks that allowed new work", declared, denied, served)
 	if declared == 0 || served == 0 || denied == 0 {
-		t.Error("the schedule met too few cases")
+		t.Error("the schedule covered too few cases")
 	}
 }
--- a/internal/settings/section/leases.go
+++ b/internal/settings/section/leases.go
@@ -17,8 +17,8 @@
 	Longest time.Duration `cbor:"longest,omitempty"`
 	// Since is the time at which the lease was last made shorter, in nanoseconds since 1970.
 	Since int64 `cbor:"since,omitempty"`
-	// FreeBefore is the first revision at which entries no longer may serve without a quorum; it is above the newest revision while they may.
-	FreeBefore uint64 `cbor:"free-before,omitempty"`
+	// LeaseRequiredFrom is the first revision at which entries no longer may serve without a quorum; it is above the newest revision while they may.
+	LeaseRequiredFrom uint64 `cbor:"free-before,omitempty"`
 }
 
 // after returns l after an edit that changed the tree from before to next, at the given revision.
@@ -38,9 +38,9 @@
 	}
 	switch {
 	case next.ServeWithoutQuorum():
-		l.FreeBefore = revision + 1
+		l.LeaseRequiredFrom = revision + 1
 	case before.ServeWithoutQuorum():
-		l.FreeBefore = revision
+		l.LeaseRequiredFrom = revision
 	}
 	return l
 }
--- a/internal/settings/section/leases_test.go
+++ b/internal/settings/section/leases_test.go
@@ -26,7 +26,7 @@
 	if err := s.Restore(b); err != nil {
 		t.Fatal(err)
 	}
-	if got := s.Terms(); got.Lease != 2*time.Second || got.Longest != 12*time.Second || got.Revision != 3 || got.FreeBefore != 0 {
+	if got := s.Terms(); got.Lease != 2*time.Second || got.Longest != 12*time.Second || got.Revision != 3 || got.LeaseRequiredFrom != 0 {
 		t.Errorf("got %+v", got)
 	}
 	s.Apply(now.Add(2*longestLeaseRetention), encode(t, priorityEdit("later", "ana", 3, 1)))
@@ -42,7 +42,7 @@
 		want uint64
 	}{{true, 3}, {true, 4}, {false, 4}, {false, 4}} {
 		apply(t, s, fleetEdit(fmt.Sprint("e-", i), uint64(i)+1, "serve-without-quorum", tree.BoolValue(c.on)))
-		if got := s.Terms().FreeBefore; got != c.want {
+		if got := s.Terms().LeaseRequiredFrom; got != c.want {
 			t.Errorf("edit %d: got %d, want %d", i, got, c.want)
 		}
 	}
--- a/internal/settings/section/section.go
+++ b/internal/settings/section/section.go
@@ -136,10 +136,10 @@
 	defer s.mu.RUnlock()
 	current := s.tree.SettingsLease()
 	return lease.Terms{
-		Revision:   s.revision,
-		Lease:      current,
-		Longest:    max(current, s.leases.Longest),
-		FreeBefore: s.leases.FreeBefore,
+		Revision:          s.revision,
+		Lease:             current,
+		Longest:           max(current, s.leases.Longest),
+		LeaseRequiredFrom: s.leases.LeaseRequiredFrom,
 	}
 }
 
