--- a/internal/settings/follower/bench_test.go
+++ b/internal/settings/follower/bench_test.go
@@ -10,17 +10,17 @@
 	"hornbeamwood/internal/settings/tree"
 )
 
-// BenchmarkSettingsChange measures what one small edit costs a control replica and an entry.
+// BenchmarkSettingsChange measures the cost of a small edit at a control replica and at an entry.
 func BenchmarkSettingsChange(b *testing.B) {
 	for _, n := range []int{10, 350, 1400} {
-		s := grown(b, n)
+		s := sectionWithWorkspaces(b, n)
 		body, err := codec.Marshal(section.Edit{ID: "small", Base: 1, Operator: "ana", Changes: []tree.Change{
 			{Action: tree.Set, Path: "/workspaces/w3/models/m", Key: "priority", Value: tree.IntValue(5)},
 		}})
 		if err != nil {
 			b.Fatal(err)
 		}
-		image, err := s.Snapshot()
+		snapshot, err := s.Snapshot()
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -28,20 +28,20 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				b.StopTimer()
-				if err := s.Restore(image); err != nil {
+				if err := s.Restore(snapshot); err != nil {
 					b.Fatal(err)
 				}
 				b.StartTimer()
 				s.Apply(time.Unix(1, 0), body)
 			}
-			b.ReportMetric(float64(len(image)), "snapshot-bytes")
+			b.ReportMetric(float64(len(snapshot)), "snapshot-bytes")
 		})
-		if err := s.Restore(image); err != nil {
+		if err := s.Restore(snapshot); err != nil {
 			b.Fatal(err)
 		}
-		before := whole(b, s)
+		before := fullTree(b, s)
 		s.Apply(time.Unix(1, 0), body)
-		delta := answer(b, s, 1)
+		delta := changesAnswer(b, s, 1)
 		b.Run(fmt.Sprintf("entry/workspaces=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/settings/follower/doc.go
+++ b/internal/settings/follower/doc.go
@@ -1,3 +1,3 @@
-// Package follower keeps an entry's copy of the settings tree up to date with
-// the control log; the copy never goes back to an older revision.
+// Package follower keeps an entry's copy of the settings tree up to date with the
+// control log. The copy never returns to an older revision.
 package follower
--- a/internal/settings/follower/follower.go
+++ b/internal/settings/follower/follower.go
@@ -11,9 +11,9 @@
 
 // Follower is an entry's copy of the settings.
 type Follower interface {
-	// View returns the newest copy; it takes no lock.
+	// View returns the newest copy. It takes no lock.
 	View() View
-	// Apply takes an answer of the control log and returns the copy afterwards; an error means that the copy must ask for what lies above its revision again.
+	// Apply applies an answer of the control log and returns the resulting copy. After an error, the changes since the revision of the copy must be requested again.
 	Apply(c section.Changes) (View, error)
 }
 
@@ -36,9 +36,9 @@
 
 // Apply implements Follower.
 //
-// Answers of two control replicas may cross. An older one that is taken after
-// a newer would bring back settings that an operator has replaced, so it
-// changes nothing.
+// Answers of two control replicas may arrive out of order. An older answer that was
+// applied after a newer one would restore settings that an operator has replaced,
+// so it is ignored.
 func (f *follower) Apply(c section.Changes) (View, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -69,7 +69,7 @@
 		return t, nil
 	}
 	if c.From != v.Revision() {
-		return v.Tree, fmt.Errorf("settings changes lead from revision %d to %d, and this copy is at %d", c.From, c.Revision, v.Revision())
+		return v.Tree, fmt.Errorf("settings changes are from revision %d to %d, but this copy is at %d", c.From, c.Revision, v.Revision())
 	}
 	t, _, err := v.Tree.Apply(c.Changes)
 	if err != nil {
--- a/internal/settings/follower/follower_test.go
+++ b/internal/settings/follower/follower_test.go
@@ -37,14 +37,14 @@
 
 func changes(t testing.TB, s state.Section, known uint64) section.Changes {
 	t.Helper()
-	c, err := codec.Unmarshal[section.Changes](answer(t, s, known))
+	c, err := codec.Unmarshal[section.Changes](changesAnswer(t, s, known))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-func answer(t testing.TB, s state.Section, known uint64) []byte {
+func changesAnswer(t testing.TB, s state.Section, known uint64) []byte {
 	t.Helper()
 	q, err := codec.Marshal(section.Query{Kind: section.QueryChanges, Known: known})
 	if err != nil {
@@ -57,8 +57,8 @@
 	return b
 }
 
-// grown returns a section at revision 1 with n workspaces.
-func grown(t testing.TB, n int) state.Section {
+// sectionWithWorkspaces returns a section at revision 1 with n workspaces.
+func sectionWithWorkspaces(t testing.TB, n int) state.Section {
 	t.Helper()
 	s := section.New()
 	all := []tree.Change{
@@ -80,27 +80,27 @@
 	return s
 }
 
-// Answers of control replicas reach an entry late and crossed. An older one
-// must not bring back settings that an operator has replaced, and one that
-// does not fit must not be applied to the wrong tree.
+// Answers of control replicas reach an entry late and out of order. An older one
+// must not restore settings that an operator has replaced, and changes must not be
+// applied to a tree of another revision.
 func TestNeverOlderNeverMixed(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(77)
 	parameters.MinSuccessfulTests = 100
 	p := gopter.NewProperties(parameters)
 	p.Property("the copy is one of the accepted trees and never an older one", prop.ForAll(func(steps []uint32) bool {
-		s, f := grown(t, 2), New()
+		s, f := sectionWithWorkspaces(t, 2), New()
 		revision := uint64(1)
-		history := []tree.Tree{{}, whole(t, s)}
-		var late []section.Changes
+		history := []tree.Tree{{}, fullTree(t, s)}
+		var pending []section.Changes
 		for i, n := range steps {
 			if n%2 == 0 {
 				v := tree.IntValue(int64(n>>3) % 100)
 				revision = edit(t, s, fmt.Sprint(i), revision, tree.Change{Action: tree.Set, Path: "/workspaces/w1", Key: "priority", Value: v}).Revision
-				history = append(history, whole(t, s))
+				history = append(history, fullTree(t, s))
 			}
-			late = append(late, changes(t, s, uint64(n>>8)%(revision+1)))
+			pending = append(pending, changes(t, s, uint64(n>>8)%(revision+1)))
 			before := f.View().Revision()
-			v, err := f.Apply(late[int(n>>4)%len(late)])
+			v, err := f.Apply(pending[int(n>>4)%len(pending)])
 			if v.Revision() < before || (err != nil && v.Revision() != before) {
 				return false
 			}
@@ -114,7 +114,7 @@
 	p.TestingRun(t)
 }
 
-func whole(t testing.TB, s state.Section) tree.Tree {
+func fullTree(t testing.TB, s state.Section) tree.Tree {
 	t.Helper()
 	q, _ := codec.Marshal(section.Query{Kind: section.QueryBranch, Path: "/"})
 	b, err := s.Query(q)
@@ -132,14 +132,14 @@
 	return got
 }
 
-// With 1,400 workspaces and 1,500 edits a day, an answer that held the whole
-// tree would fill the links between the VMs with each small edit.
+// With 1,400 workspaces and 1,500 edits a day, answers that contained the whole
+// tree would saturate the links between the VMs at each small edit.
 func TestBytesOfAnEditDoNotGrowWithTheTree(t *testing.T) {
 	var least, most int
 	for _, n := range []int{10, 350, 1400} {
-		s := grown(t, n)
+		s := sectionWithWorkspaces(t, n)
 		edit(t, s, "small", 1, tree.Change{Action: tree.Set, Path: "/workspaces/w3/models/m", Key: "priority", Value: tree.IntValue(5)})
-		delta, all := len(answer(t, s, 1)), len(answer(t, s, 0))
+		delta, all := len(changesAnswer(t, s, 1)), len(changesAnswer(t, s, 0))
 		t.Logf("%d workspaces: %d bytes for the edit, %d bytes for the whole tree", n, delta, all)
 		if least == 0 {
 			least = delta
--- a/internal/settings/follower/view.go
+++ b/internal/settings/follower/view.go
@@ -5,11 +5,11 @@
 	"hornbeamwood/internal/settings/tree"
 )
 
-// View is a tree with the rules that were built from it; it is never changed.
+// View is a tree with the rules that were built from it; immutable.
 type View struct {
 	// Tree is the settings tree.
 	Tree tree.Tree
-	// Rules are the effective settings; their revision is that of the tree.
+	// Rules are the effective settings at the revision of the tree.
 	Rules *rules.Snapshot
 }
 
