--- a/internal/settings/rules/doc.go
+++ b/internal/settings/rules/doc.go
@@ -1,5 +1,5 @@
-// Package rules holds the effective settings, typed and immutable, that entries serve under.
+// Package rules defines the typed, immutable effective settings that entries apply.
 //
-// A Snapshot is built from the settings tree after inheritance and
-// validation; every field is read by the code that its comment names.
+// A Snapshot is built from the settings tree after inheritance and validation.
+// The comment of a field names the packages that read it.
 package rules
--- a/internal/settings/rules/read_test.go
+++ b/internal/settings/rules/read_test.go
@@ -21,27 +21,27 @@
 )
 
 const (
-	module = "hornbeamwood/internal/"
-	home   = module + "settings/rules"
+	module    = "hornbeamwood/internal/"
+	rulesPath = module + "settings/rules"
 )
 
-// apart are the areas whose code does not serve: the settings themselves, the
-// stand-ins, and what measures.
-var apart = []string{"settings", "standin", "load", "cli"}
+// nonServing are the areas whose code does not serve requests: the settings
+// themselves, the stand-ins, the load generator and the command line.
+var nonServing = []string{"settings", "standin", "load", "cli"}
 
-// elsewhere are the fields that reach their readers through the settings: the
-// control replicas ask the section for those that are admitted, and the
-// revision is shown by the entry's copy.
-var elsewhere = map[string]bool{"Fleet.AdmittedReplicas": true, "Snapshot.Revision": true}
+// readBySettings are the fields that only code of the settings reads. Control
+// replicas get the admitted replicas from the section, and the revision is
+// returned by the entry's copy.
+var readBySettings = map[string]bool{"Fleet.AdmittedReplicas": true, "Snapshot.Revision": true}
 
-// listed is a package as go list tells of it.
-type listed struct {
+// goPackage is a package in the output of go list.
+type goPackage struct {
 	ImportPath, Dir, Export string
 	GoFiles                 []string
 }
 
-// A setting that no code reads is shown to operators, accepted and explained,
-// and nothing runs by it.
+// A setting that no serving code reads is shown to operators, accepted and
+// explained, but has no effect.
 func TestEachRuleIsReadByServingCode(t *testing.T) {
 	read := fieldsRead(t)
 	for _, r := range []reflect.Type{
@@ -50,14 +50,14 @@
 	} {
 		for i := range r.NumField() {
 			name := r.Name() + "." + r.Field(i).Name
-			if !elsewhere[name] && !read[name] {
+			if !readBySettings[name] && !read[name] {
 				t.Errorf("no serving code reads %s", name)
 			}
 		}
 	}
 }
 
-// fieldsRead returns the fields of this package's types that serving code selects.
+// fieldsRead returns the fields of this package's types that serving code reads.
 func fieldsRead(t *testing.T) map[string]bool {
 	t.Helper()
 	all := list(t)
@@ -68,22 +68,22 @@
 	read := map[string]bool{}
 	for _, p := range all {
 		if serves(p.ImportPath) {
-			note(t, p, exports, read)
+			addFieldsRead(t, p, exports, read)
 		}
 	}
 	return read
 }
 
-func list(t *testing.T) []listed {
+func list(t *testing.T) []goPackage {
 	t.Helper()
 	c := exec.Command("go", "list", "-export", "-deps", "-json=ImportPath,Dir,Export,GoFiles", module+"...")
 	out, err := c.Output()
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all []listed
+	var all []goPackage
 	for d := json.NewDecoder(bytes.NewReader(out)); ; {
-		var p listed
+		var p goPackage
 		if err := d.Decode(&p); errors.Is(err, io.EOF) {
 			return all
 		} else if err != nil {
@@ -96,14 +96,14 @@
 func serves(path string) bool {
 	rest, ours := strings.CutPrefix(path, module)
 	area, _, _ := strings.Cut(rest, "/")
-	for _, a := range apart {
+	for _, a := range nonServing {
 		ours = ours && area != a
 	}
 	return ours
 }
 
-// note adds the fields that package p selects.
-func note(t *testing.T, p listed, exports map[string]string, read map[string]bool) {
+// addFieldsRead adds the fields that package p selects to read.
+func addFieldsRead(t *testing.T, p goPackage, exports map[string]string, read map[string]bool) {
 	t.Helper()
 	set := token.NewFileSet()
 	var files []*ast.File
@@ -121,14 +121,14 @@
 		t.Fatal(err)
 	}
 	for _, s := range info.Selections {
-		if f := s.Obj(); s.Kind() == types.FieldVal && f.Pkg() != nil && f.Pkg().Path() == home {
-			read[owner(s.Recv())+"."+f.Name()] = true
+		if f := s.Obj(); s.Kind() == types.FieldVal && f.Pkg() != nil && f.Pkg().Path() == rulesPath {
+			read[typeName(s.Recv())+"."+f.Name()] = true
 		}
 	}
 }
 
-// owner returns the name of the type whose field is selected.
-func owner(t types.Type) string {
+// typeName returns the name of the type whose field is selected.
+func typeName(t types.Type) string {
 	if p, ok := t.(*types.Pointer); ok {
 		t = p.Elem()
 	}
--- a/internal/settings/rules/service.go
+++ b/internal/settings/rules/service.go
@@ -1,7 +1,7 @@
 package rules
 
-// Service is one plain service beside the engines.
+// Service is a service other than the engines.
 type Service struct {
-	// Name is what callers put into the path after /services/.
+	// Name is the path element after /services/ in callers' requests.
 	Name string `cbor:"name"`
 }
--- a/internal/settings/rules/snapshot.go
+++ b/internal/settings/rules/snapshot.go
@@ -1,10 +1,10 @@
 package rules
 
-// Snapshot is the whole effective settings at one revision; it is never changed after it was built.
+// Snapshot contains all effective settings at one revision; immutable.
 type Snapshot struct {
-	// Revision is the number of the accepted edit that this snapshot shows.
+	// Revision is the revision of the settings.
 	Revision uint64 `cbor:"revision"`
-	// Fleet holds what belongs to no workspace.
+	// Fleet contains the settings that belong to no workspace.
 	Fleet Fleet `cbor:"fleet"`
 	// Workspaces maps names to workspaces.
 	Workspaces map[string]Workspace `cbor:"workspaces"`
