--- a/internal/settings/node/check.go
+++ b/internal/settings/node/check.go
@@ -7,7 +7,7 @@
 	"hornbeamwood/internal/settings/tomlfile"
 )
 
-// checker collects the faults of a file that its types cannot show.
+// checker collects the errors of a file that decoding does not detect.
 type checker struct {
 	file      string
 	lines     tomlfile.Lines
@@ -27,7 +27,7 @@
 	c.listen(f)
 	c.peers("control", f.Control)
 	c.peers("entries", f.Entries)
-	c.self(f)
+	c.checkSelf(f)
 	return c.problems
 }
 
@@ -60,7 +60,7 @@
 		c.required("data-folder", f.DataFolder)
 	}
 	if f.Role == Entry && f.DataFolder != "" {
-		c.add("data-folder", "an entry keeps no files; only a control replica has a data folder")
+		c.add("data-folder", "an entry stores no files; only a control replica has a data folder")
 	}
 	c.required("keys.authority", f.Keys.Authority)
 	c.required("keys.certificate", f.Keys.Certificate)
@@ -75,15 +75,15 @@
 		c.add("listen.http", "is required of an entry")
 	}
 	if f.Role == Control && f.Listen.HTTP.IsValid() {
-		c.add("listen.http", "a control replica takes no callers")
+		c.add("listen.http", "a control replica serves no callers")
 	}
 	if f.Listen.HTTP.IsValid() && f.Listen.HTTP.Port() != 0 && f.Listen.HTTP == f.Listen.Metrics {
 		c.add("listen.metrics", "%s is already listen.http; leave it out to serve metrics there", f.Listen.Metrics)
 	}
 }
 
-// peers refuses two processes with one name or one address: the second would
-// answer for the first, and a replica's votes could count twice.
+// peers rejects processes with the same name or address: one could answer for the
+// other, and the vote of a replica could count twice.
 func (c *checker) peers(key string, peers []Peer) {
 	for i, p := range peers {
 		at := fmt.Sprintf("%s[%d]", key, i)
@@ -103,9 +103,9 @@
 	}
 }
 
-// self refuses a file in which the process's own name stands for another
-// address or role: two processes would then claim one identity.
-func (c *checker) self(f File) {
+// checkSelf rejects a file that lists the process's own name with another address
+// or role: two processes would then claim the same identity.
+func (c *checker) checkSelf(f File) {
 	if len(f.Control) == 0 {
 		c.add("control", "at least one control replica is required")
 	}
@@ -116,7 +116,7 @@
 	}
 	for i, p := range other {
 		if p.Name == f.Name {
-			c.add(fmt.Sprintf("%s[%d].name", otherKey, i), "%q is the name of this node, which is no such process", p.Name)
+			c.add(fmt.Sprintf("%s[%d].name", otherKey, i), "%q is the name of this node, which has another role", p.Name)
 		}
 	}
 	listed := false
--- a/internal/settings/node/doc.go
+++ b/internal/settings/node/doc.go
@@ -1,3 +1,3 @@
-// Package node reads the TOML file of one process of ours: who it is, where it
-// listens, and who its control replicas and peers are.
+// Package node reads the TOML file of one process: its identity, its listen
+// addresses, and its control replicas and peers.
 package node
--- a/internal/settings/node/file.go
+++ b/internal/settings/node/file.go
@@ -8,33 +8,33 @@
 	"hornbeamwood/internal/settings/tomlfile"
 )
 
-// File is the settings of one process.
+// File contains the settings of one process.
 type File struct {
 	// Name is the process's identity, unique among all processes.
 	Name string `toml:"name"`
-	// Role says which program the file starts.
+	// Role determines which program the file starts.
 	Role Role `toml:"role"`
 	// Zone is the availability zone.
 	Zone string `toml:"zone"`
 	// Region is the region, a group of availability zones with one control log.
 	Region string `toml:"region"`
-	// DataFolder is where a control replica keeps its files.
+	// DataFolder is the folder in which a control replica stores its files.
 	DataFolder string `toml:"data-folder"`
-	// LogFormat is the form of log lines, JSON when the file does not say.
+	// LogFormat is the format of log lines; the default is JSON.
 	LogFormat LogFormat `toml:"log-format"`
 	// BootstrapOperatorKeyDigest is the digest of the key that may edit a tree without operators.
 	BootstrapOperatorKeyDigest digest.Digest `toml:"bootstrap-operator-key-digest"`
-	// Listen holds the process's own addresses.
+	// Listen contains the process's own addresses.
 	Listen Listen `toml:"listen"`
-	// Keys names the files of mutual TLS.
+	// Keys contains the paths of the files for mutual TLS.
 	Keys Keys `toml:"keys"`
-	// Control lists the replicas of the control log, this one included.
+	// Control lists the replicas of the control log, including this process if it is one.
 	Control []Peer `toml:"control"`
-	// Entries lists the entries, this one included or not.
+	// Entries lists the entries; this process may be among them.
 	Entries []Peer `toml:"entries"`
 }
 
-// Load returns the checked File at path.
+// Load reads and validates the File at path.
 func Load(path string) (File, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return Parse(path, b)
 }
 
-// Parse returns the checked File that data holds; its errors name file, line and key.
+// Parse decodes and validates data as a File; errors name the file, the line and the key.
 func Parse(file string, data []byte) (File, error) {
 	f, err := tomlfile.Decode[File](file, data)
 	if err != nil {
--- a/internal/settings/node/file_test.go
+++ b/internal/settings/node/file_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const good = `name = "entry-1"
+const validFile = `name = "entry-1"
 role = "entry"
 zone = "tunja"
 region = "andes-centro"
@@ -38,7 +38,7 @@
 
 func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entry.toml")
-	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validFile), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	f, err := Load(path)
@@ -53,9 +53,9 @@
 	}
 }
 
-// An operator who sets up a VM mistypes a key or copies a line from another
-// VM's file. The process must not start on a guess: the message names file,
-// line and key, so that the operator finds the line at once.
+// A file with a mistyped key or a line copied from another VM's file must be
+// rejected. The message names the file, the line and the key, so that the operator
+// finds the line.
 func TestFaultsNameFileLineAndKey(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
 		"mistyped key":        {"zone = \"tunja\"\nregion", "zoen = \"tunja\"\nregion", "n.toml:3: zoen: unknown key; the nearest known key is zone"},
@@ -71,8 +71,8 @@
 		"no TOML":             {"[listen]", "[listen", "n.toml:7:"},
 		"missing key file":    {"authority = \"ca.pem\"\n", "", "n.toml:11: keys.authority: is required"},
 	} {
-		text := strings.Replace(good, c.old, c.new, 1)
-		if text == good {
+		text := strings.Replace(validFile, c.old, c.new, 1)
+		if text == validFile {
 			t.Fatalf("%s: nothing replaced", name)
 		}
 		_, err := Parse("n.toml", []byte(text))
@@ -83,7 +83,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validFile))
 	f.Add([]byte("[[control]]\nname=\"a\"\n[control]\n"))
 	f.Add([]byte("listen = {http = \"1.2.3.4:1\", x = 1}"))
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/settings/node/listen.go
+++ b/internal/settings/node/listen.go
@@ -2,12 +2,12 @@
 
 import "net/netip"
 
-// Listen holds the addresses on which a process takes connections.
+// Listen contains the addresses on which a process accepts connections.
 type Listen struct {
-	// HTTP takes callers, operators and backend servers; entries only.
+	// HTTP is the address for callers, operators and backend servers; entries only.
 	HTTP netip.AddrPort `toml:"http"`
-	// QUIC takes the system's own processes.
+	// QUIC is the address for the system's own processes.
 	QUIC netip.AddrPort `toml:"quic"`
-	// Metrics takes the platform's requests for metrics and health; without it they are served under HTTP.
+	// Metrics is the address for the platform's requests for metrics and health; if it is not set, they are served at HTTP.
 	Metrics netip.AddrPort `toml:"metrics"`
 }
--- a/internal/settings/node/log_format.go
+++ b/internal/settings/node/log_format.go
@@ -1,11 +1,11 @@
 package node
 
-// LogFormat is the form of log lines.
+// LogFormat is the format of log lines.
 type LogFormat string
 
 const (
-	// JSON writes one JSON object a line; it is the default.
+	// JSON writes one JSON object per line; it is the default.
 	JSON LogFormat = "json"
-	// Text writes lines for people.
+	// Text writes human-readable lines.
 	Text LogFormat = "text"
 )
--- a/internal/settings/node/role.go
+++ b/internal/settings/node/role.go
@@ -6,6 +6,6 @@
 const (
 	// Entry serves callers, operators and backend servers.
 	Entry Role = "entry"
-	// Control keeps one replica of the control log.
+	// Control runs one replica of the control log.
 	Control Role = "control"
 )
