--- a/internal/settings/tomlfile/decode.go
+++ b/internal/settings/tomlfile/decode.go
@@ -9,7 +9,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode returns the T that data holds, or Problems when data is not TOML or does not fit T.
+// Decode decodes data as a T. The error is of type Problems if data is not valid TOML or does not match T.
 func Decode[T any](file string, data []byte) (T, error) {
 	var v T
 	d := toml.NewDecoder(bytes.NewReader(data))
@@ -30,10 +30,10 @@
 		}
 		return all
 	}
-	var wrong *toml.DecodeError
-	if errors.As(err, &wrong) {
-		line, _ := wrong.Position()
-		return Problems{{File: file, Line: line, Key: strings.Join(wrong.Key(), "."), Message: message(wrong)}}
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		line, _ := decodeErr.Position()
+		return Problems{{File: file, Line: line, Key: strings.Join(decodeErr.Key(), "."), Message: trimmedMessage(decodeErr)}}
 	}
 	return Problems{{File: file, Message: err.Error()}}
 }
@@ -42,17 +42,17 @@
 	key := e.Key()
 	line, _ := e.Position()
 	p := Problem{File: file, Line: line, Key: strings.Join(key, ".")}
-	known, wrong := knownAt(t, key)
-	p.Message = Unknown(wrong, known)
+	known, name := knownKeys(t, key)
+	p.Message = Unknown(name, known)
 	return p
 }
 
-func message(e *toml.DecodeError) string {
+func trimmedMessage(e *toml.DecodeError) string {
 	return strings.TrimPrefix(e.Error(), "toml: ")
 }
 
-// knownAt returns the keys that the table around the first unknown part of key has, and that part.
-func knownAt(t reflect.Type, key []string) ([]string, string) {
+// knownKeys returns the first unknown part of key and the keys that its table may have.
+func knownKeys(t reflect.Type, key []string) ([]string, string) {
 	for i, part := range key {
 		t = elementOf(t)
 		if t.Kind() != reflect.Struct {
--- a/internal/settings/tomlfile/doc.go
+++ b/internal/settings/tomlfile/doc.go
@@ -1,3 +1,3 @@
-// Package tomlfile reads TOML files strictly: each problem names the file, the
-// line and the key, and an unknown key is answered with the nearest known one.
+// Package tomlfile decodes TOML files strictly. Each problem names the file, the
+// line and the key; for an unknown key it suggests the nearest known one.
 package tomlfile
--- a/internal/settings/tomlfile/lines.go
+++ b/internal/settings/tomlfile/lines.go
@@ -7,16 +7,16 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Lines maps dotted keys to the lines on which they are set; elements of
-// arrays of tables are counted from 0, as in "control[1].name".
+// Lines maps dotted keys to the line numbers at which they are set. Elements of
+// arrays of tables are numbered from 0, as in "control[1].name".
 type Lines map[string]int
 
-// maxParts is the number of parts of a key beyond which its line is that of
-// the parts before. Each part makes a longer key; a hostile text of a million
-// parts would fill the memory of the process.
+// maxParts is the maximum number of parts of a key in Lines; longer keys get the
+// line of their first parts. Each part adds another, longer key to Lines, so that
+// a malicious text with a key of a million parts would exhaust the memory.
 const maxParts = 16
 
-// LinesOf returns the Lines of a TOML text, those before the first fault when it has one.
+// LinesOf returns the Lines of a TOML text, up to the first syntax error.
 func LinesOf(data []byte) Lines {
 	l := Lines{}
 	var p unstable.Parser
@@ -37,7 +37,7 @@
 	return l
 }
 
-// Of returns the line of key, or of the nearest table around it, and 0 when there is none.
+// Of returns the line of key or else of its nearest enclosing table, and 0 if neither is known.
 func (l Lines) Of(key string) int {
 	for {
 		if n, ok := l[key]; ok {
--- a/internal/settings/tomlfile/nearest.go
+++ b/internal/settings/tomlfile/nearest.go
@@ -1,6 +1,6 @@
 package tomlfile
 
-// Nearest returns the known name with the fewest changed letters and true, or false when none is near.
+// Nearest returns the known name with the smallest edit distance to name, and false if none is close enough.
 func Nearest(name string, known []string) (string, bool) {
 	best, least := "", len(name)/2+2
 	for _, k := range known {
@@ -32,7 +32,7 @@
 	return row[len(b)]
 }
 
-// Unknown returns the message for an unknown key, with the nearest known one when one is near.
+// Unknown returns the message for an unknown key, with the nearest known key if there is one.
 func Unknown(name string, known []string) string {
 	if n, ok := Nearest(name, known); ok {
 		return "unknown key; the nearest known key is " + n
--- a/internal/settings/tomlfile/problem.go
+++ b/internal/settings/tomlfile/problem.go
@@ -5,19 +5,19 @@
 	"strings"
 )
 
-// Problem is one fault of a file.
+// Problem is one error in a file or an edit.
 type Problem struct {
-	// File is the path as it was given, empty for text that came from no file.
+	// File is the path as given, empty for text that is not from a file.
 	File string `json:"file,omitempty" cbor:"file,omitempty"`
-	// Line counts from 1; 0 means that the fault has no line.
+	// Line is the line number, starting at 1; 0 if it is not known.
 	Line int `json:"line,omitempty" cbor:"line,omitempty"`
 	// Key is the dotted key or the path of the setting.
 	Key string `json:"key,omitempty" cbor:"key,omitempty"`
-	// Message is one sentence for people.
+	// Message is a human-readable description.
 	Message string `json:"message" cbor:"message"`
 }
 
-// Error returns "file:line: key: message" without the parts that are unknown.
+// Error returns "file:line: key: message" without the parts that are not set.
 func (p Problem) Error() string {
 	var b strings.Builder
 	if p.File != "" {
@@ -36,10 +36,10 @@
 	return b.String()
 }
 
-// Problems are all faults that were found in one file.
+// Problems are all errors found in a file or an edit.
 type Problems []Problem
 
-// Error returns one line for each problem.
+// Error returns the problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, q := range p {
@@ -48,10 +48,10 @@
 	return strings.Join(lines, "\n")
 }
 
-// MaxShown is the number of problems that are kept and shown of one file or edit.
+// MaxShown is the maximum number of problems of one file or edit that are kept and shown.
 const MaxShown = 32
 
-// Shown returns the first problems and, where there are more than MaxShown, how many more there are.
+// Shown returns the first MaxShown problems, followed by the number of the remaining ones if there are more.
 func (p Problems) Shown() Problems {
 	if len(p) <= MaxShown {
 		return p
@@ -60,7 +60,7 @@
 	return append(shown, Problem{Message: fmt.Sprintf("and %d more", len(p)-MaxShown)})
 }
 
-// Err returns p as an error, nil when there is no problem.
+// Err returns p as an error, or nil if p is empty.
 func (p Problems) Err() error {
 	if len(p) == 0 {
 		return nil
