--- a/internal/settings/digest/digest.go
+++ b/internal/settings/digest/digest.go
@@ -8,23 +8,23 @@
 	"strings"
 )
 
-// Prefix opens the text form of a Digest.
+// Prefix is the prefix of the text form of a Digest.
 const Prefix = "sha256:"
 
-// Digest is the SHA-256 digest of a key; the zero Digest belongs to no key.
+// Digest is the SHA-256 digest of a key; the zero Digest matches no key.
 type Digest [sha256.Size]byte
 
-// Of returns the digest of a key as it stands in an Authorization header.
+// Of returns the digest of a key in the form used in an Authorization header.
 func Of(key string) Digest {
 	return sha256.Sum256([]byte(key))
 }
 
-// Parse returns the Digest that text, "sha256:" and 64 hexadecimal digits, stands for.
+// Parse parses the text form of a Digest: "sha256:" and 64 hexadecimal digits.
 func Parse(text string) (Digest, error) {
 	var d Digest
 	digits, ok := strings.CutPrefix(text, Prefix)
 	if !ok {
-		return d, fmt.Errorf("a key digest opens with %q", Prefix)
+		return d, fmt.Errorf("a key digest starts with %q", Prefix)
 	}
 	if len(digits) != hex.EncodedLen(len(d)) {
 		return d, fmt.Errorf("a key digest has %d hexadecimal digits after %q, not %d", hex.EncodedLen(len(d)), Prefix, len(digits))
@@ -38,12 +38,12 @@
 	return d, nil
 }
 
-// IsZero says whether d is unset.
+// IsZero reports whether d is unset.
 func (d Digest) IsZero() bool {
 	return d == Digest{}
 }
 
-// Equal says in constant time whether d and o are the same digest, neither of them zero.
+// Equal reports in constant time whether d and o are equal and not zero.
 func (d Digest) Equal(o Digest) bool {
 	return subtle.ConstantTimeCompare(d[:], o[:]) == 1 && !d.IsZero()
 }
--- a/internal/settings/digest/doc.go
+++ b/internal/settings/digest/doc.go
@@ -1,3 +1,3 @@
-// Package digest holds the SHA-256 digests under which the keys of callers,
+// Package digest defines the SHA-256 digests as which the keys of callers,
 // operators and backend servers are stored.
 package digest
