--- a/internal/base/codec/codec.go
+++ b/internal/base/codec/codec.go
@@ -6,7 +6,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Limits of what a decoder accepts, far above any message of ours.
+// Limits of the decoder, far above the size of any of the system's messages.
 const (
 	maxNesting  = 24
 	maxElements = 1 << 20
@@ -52,7 +52,7 @@
 	return b, nil
 }
 
-// Unmarshal returns the value that b encodes; fields of newer versions are passed over.
+// Unmarshal returns the value that b encodes and ignores unknown fields, which newer versions may send.
 func Unmarshal[T any](b []byte) (T, error) {
 	var v T
 	if err := decoder.Unmarshal(b, &v); err != nil {
@@ -61,7 +61,7 @@
 	return v, nil
 }
 
-// UnmarshalStrict returns the value that b encodes and refuses unknown fields.
+// UnmarshalStrict returns the value that b encodes and rejects unknown fields.
 func UnmarshalStrict[T any](b []byte) (T, error) {
 	var v T
 	if err := strict.Unmarshal(b, &v); err != nil {
--- a/internal/base/codec/codec_test.go
+++ b/internal/base/codec/codec_test.go
@@ -11,8 +11,8 @@
 	Tags  map[string]string `cbor:"tags"`
 }
 
-// Two replicas that encode the same value to different bytes would disagree
-// on digests of state that is in fact equal.
+// Replicas that encoded equal values to different bytes would compute different
+// digests of equal state.
 func TestEncodingIsDeterministic(t *testing.T) {
 	v := sample{Name: "a", Count: 3, Tags: map[string]string{"x": "1", "y": "2", "b": "3"}}
 	first, err := Marshal(v)
@@ -43,6 +43,6 @@
 		t.Error("trailing byte accepted")
 	}
 	if _, err := Unmarshal[sample](b[:len(b)-1]); err == nil {
-		t.Error("cut message accepted")
+		t.Error("truncated message accepted")
 	}
 }
--- a/internal/base/codec/doc.go
+++ b/internal/base/codec/doc.go
@@ -1,4 +1,4 @@
-// Package codec encodes typed messages as CBOR and refuses what a hostile or
-// broken peer could send: duplicate keys, unknown fields, trailing bytes,
-// deep nesting and oversized arrays.
+// Package codec encodes typed messages as CBOR. Its decoders reject malformed
+// input from malicious or faulty peers: duplicate keys, trailing bytes, deep
+// nesting and oversized arrays; the strict decoder also rejects unknown fields.
 package codec
