--- a/internal/base/jsonscan/doc.go
+++ b/internal/base/jsonscan/doc.go
@@ -1,6 +1,6 @@
-// Package jsonscan walks over JSON text without decoding it.
+// Package jsonscan scans JSON text without decoding it.
 //
-// It is for hot paths that read a few members of a large or frequent message.
-// It expects text that json.Valid accepts; other text gives an error or other
-// members, never a panic.
+// It is intended for hot paths that read a few members of a large or frequent
+// message. The text must be valid according to json.Valid. Invalid text may give
+// an error or wrong members, but never a panic.
 package jsonscan
--- a/internal/base/jsonscan/scan.go
+++ b/internal/base/jsonscan/scan.go
@@ -7,37 +7,37 @@
 	"unicode/utf8"
 )
 
-// ErrSyntax says that the text is not of the expected form.
+// ErrSyntax is returned for text that is not of the expected form.
 var ErrSyntax = errors.New("jsonscan: not the expected JSON")
 
-// Members calls visit with the name and the value's text of each member of an
-// object, in their order; an error of visit ends the walk.
+// Members calls visit with the name and the raw value of each member of an object,
+// in order, and stops at the first error that visit returns.
 func Members(object []byte, visit func(name, value []byte) error) error {
-	rest, err := open(object, '{', '}')
+	rest, err := inside(object, '{', '}')
 	for err == nil && len(rest) > 0 {
 		rest, err = member(rest, visit)
 	}
 	return err
 }
 
-// Elements calls visit with the text of each element of an array, in their order; an error of visit ends the walk.
+// Elements calls visit with the raw value of each element of an array, in order, and stops at the first error that visit returns.
 func Elements(array []byte, visit func(value []byte) error) error {
-	rest, err := open(array, '[', ']')
+	rest, err := inside(array, '[', ']')
 	for err == nil && len(rest) > 0 {
 		var value []byte
-		value, rest, err = cut(rest)
+		value, rest, err = cutValue(rest)
 		if err == nil {
 			err = visit(value)
 		}
 		if err == nil {
-			rest, err = next(rest)
+			rest, err = skipComma(rest)
 		}
 	}
 	return err
 }
 
-// open returns what stands between the brackets.
-func open(text []byte, first, last byte) ([]byte, error) {
+// inside returns the text between the brackets.
+func inside(text []byte, first, last byte) ([]byte, error) {
 	text = bytes.TrimSpace(text)
 	if len(text) < 2 || text[0] != first || text[len(text)-1] != last {
 		return nil, ErrSyntax
@@ -46,7 +46,7 @@
 }
 
 func member(rest []byte, visit func(name, value []byte) error) ([]byte, error) {
-	raw, rest, err := cut(rest)
+	raw, rest, err := cutValue(rest)
 	if err != nil {
 		return nil, err
 	}
@@ -58,18 +58,18 @@
 	if len(rest) == 0 || rest[0] != ':' {
 		return nil, ErrSyntax
 	}
-	value, rest, err := cut(rest[1:])
+	value, rest, err := cutValue(rest[1:])
 	if err != nil {
 		return nil, err
 	}
 	if err := visit(name, value); err != nil {
 		return nil, err
 	}
-	return next(rest)
+	return skipComma(rest)
 }
 
-// next returns what follows a comma, empty at the end.
-func next(rest []byte) ([]byte, error) {
+// skipComma returns the text after the comma at the beginning, empty at the end of the text.
+func skipComma(rest []byte) ([]byte, error) {
 	rest = bytes.TrimLeft(rest, " \t\r\n")
 	if len(rest) == 0 {
 		return nil, nil
@@ -80,8 +80,8 @@
 	return rest[1:], nil
 }
 
-// cut returns the first value and what follows it.
-func cut(text []byte) (value, rest []byte, err error) {
+// cutValue returns the first value and the rest of the text.
+func cutValue(text []byte) (value, rest []byte, err error) {
 	text = bytes.TrimLeft(text, " \t\r\n")
 	if len(text) == 0 {
 		return nil, nil, ErrSyntax
@@ -89,9 +89,9 @@
 	end := 0
 	switch text[0] {
 	case '"':
-		end = stringEnd(text)
+		end = stringLength(text)
 	case '{', '[':
-		end = nestedEnd(text)
+		end = nestedLength(text)
 	default:
 		end = bytes.IndexAny(text, ",:]} \t\r\n")
 		if end < 0 {
@@ -104,8 +104,8 @@
 	return text[:end], text[end:], nil
 }
 
-// stringEnd returns the length of the string at the beginning, zero when it has no end.
-func stringEnd(text []byte) int {
+// stringLength returns the length of the string at the beginning, zero if it is not terminated.
+func stringLength(text []byte) int {
 	at := 1
 	for {
 		i := bytes.IndexByte(text[at:], '"')
@@ -124,13 +124,13 @@
 	}
 }
 
-// nestedEnd returns the length of the object or array at the beginning, zero when it has no end.
-func nestedEnd(text []byte) int {
+// nestedLength returns the length of the object or array at the beginning, zero if it is not terminated.
+func nestedLength(text []byte) int {
 	depth := 0
 	for at := 0; at < len(text); {
 		switch text[at] {
 		case '"':
-			n := stringEnd(text[at:])
+			n := stringLength(text[at:])
 			if n == 0 {
 				return 0
 			}
@@ -149,7 +149,7 @@
 	return 0
 }
 
-// Text returns the text of a JSON string; one without escapes is not copied.
+// Text returns the decoded text of a JSON string. A string without escapes is not copied.
 func Text(raw []byte) ([]byte, error) {
 	if len(raw) < 2 || raw[0] != '"' || raw[len(raw)-1] != '"' {
 		return nil, ErrSyntax
--- a/internal/base/jsonscan/scan_test.go
+++ b/internal/base/jsonscan/scan_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// walk returns the members of an object in the manner of the standard library: the last of equal names wins.
-func walk(text []byte) (map[string]string, error) {
+// members returns the members of an object; as in the standard library, the last one of equal names is kept.
+func members(text []byte) (map[string]string, error) {
 	found := map[string]string{}
 	err := Members(text, func(name, value []byte) error {
 		found[string(name)] = string(value)
@@ -17,7 +17,7 @@
 }
 
 func compare(t *testing.T, text []byte) {
-	found, err := walk(text)
+	found, err := members(text)
 	if !json.Valid(text) {
 		return
 	}
@@ -60,8 +60,8 @@
 	`{"a":"\\"}`, `{"a":"\\\""}`, `[]`, `null`, `{`, `{"a"}`, `{"a":}`, `[,]`, `{"a":1,}`, "{\"\xff\":\"\xff\"}", `"`, ``,
 }
 
-// The walk must see what the decoder of the standard library sees: an event
-// whose members it misread could pass for one of another attempt.
+// The scanner must return the same members as the decoder of the standard library.
+// An event with wrong members could be attributed to another attempt.
 func TestWalkAgreesWithTheDecoder(t *testing.T) {
 	for _, s := range samples {
 		compare(t, []byte(s))
