--- a/internal/base/logline/doc.go
+++ b/internal/base/logline/doc.go
@@ -1,2 +1,2 @@
-// Package logline writes log lines without ever making the one who logs wait.
+// Package logline writes log lines without ever blocking the caller.
 package logline
--- a/internal/base/logline/handler.go
+++ b/internal/base/logline/handler.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// queueLength is how many lines may wait: a second of a busy process.
+	// queueLength is the maximum number of queued lines, about one second of a busy process.
 	queueLength = 1024
-	// linesPerSecond bounds the lines below a warning. A line costs about 5 us
-	// of processor time, so that logging stays under 1% of a core.
+	// linesPerSecond limits the lines below the level warn. A line takes about 5 us
+	// of CPU time, so that logging uses less than 1% of a core.
 	linesPerSecond = 1500
-	// burst is how many lines may come at once, as when a large document is taken or many servers change.
+	// burst is the maximum number of lines in a burst, for example when a large document is applied or many servers change.
 	burst = 1500
-	// reportInterval is the time between two reports of dropped lines.
+	// reportInterval is the interval of reports of dropped lines.
 	reportInterval = time.Second
 )
 
-// Config is what a Handler needs.
+// Config configures a Handler.
 type Config struct {
-	// Writer takes the lines; it may block.
+	// Writer receives the lines; it may block.
 	Writer io.Writer
-	// Fields stand in each line.
+	// Fields are added to each line.
 	Fields log.Fields
 	// Dropped is called with the number of lines that were dropped since the last call.
 	Dropped func(count uint64)
@@ -35,7 +35,7 @@
 // Handler queues log lines and writes them in the background.
 type Handler interface {
 	log.Handler
-	// Close writes what waits, for as long as timeout at most.
+	// Close writes the queued lines and waits at most timeout.
 	Close(timeout time.Duration)
 }
 
@@ -48,7 +48,7 @@
 	done    chan struct{}
 }
 
-// line is the order of a line's parts.
+// line is a log line; the order of its fields is the order in the output.
 type line struct {
 	Time    string     `json:"time"`
 	Level   string     `json:"level"`
@@ -58,8 +58,8 @@
 
 // New returns a Handler.
 //
-// A reader that stops reading fills the pipe, and a write to it then blocks. A
-// process that waited there would stop answering its callers; here lines are
+// If the reader of the output stops reading, the pipe fills and writes block. A
+// process that waited for them would stop answering its callers, so lines are
 // dropped and counted instead.
 func New(c Config) Handler {
 	h := &handler{
@@ -123,7 +123,7 @@
 	}
 }
 
-// write writes b and all that waits behind it in one call.
+// write writes b and the lines queued after it in one call, up to maxBatch.
 func (h *handler) write(b []byte) {
 	const maxBatch = 64 << 10
 	for len(b) < maxBatch {
@@ -135,7 +135,7 @@
 		}
 		break
 	}
-	// There is nowhere to tell of a log that can't be written.
+	// An error is ignored: there is no other output to report it to.
 	_, _ = h.config.Writer.Write(b)
 }
 
--- a/internal/base/logline/handler_test.go
+++ b/internal/base/logline/handler_test.go
@@ -11,20 +11,19 @@
 	"github.com/apex/log"
 )
 
-// Nobody reads the output of a process: the pipe is full and a write to it
-// never returns. Callers must be served all the same, and the lines that were
-// lost must be counted.
+// The output of a process is not read, so that the pipe is full and writes block.
+// Logging must not block the process, and dropped lines must be counted.
 func TestBlockedOutputHoldsUpNobody(t *testing.T) {
 	release := make(chan struct{})
 	var dropped atomic.Uint64
-	h := New(Config{Writer: blocked{release}, Dropped: func(n uint64) { dropped.Add(n) }})
+	h := New(Config{Writer: blockedWriter{release}, Dropped: func(n uint64) { dropped.Add(n) }})
 	l := &log.Logger{Handler: h, Level: log.InfoLevel}
 	began := time.Now()
 	for range 20 * queueLength {
 		l.Warn("line")
 	}
 	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("20 times the queue took %s", took)
+		t.Errorf("logging 20 times the queue length took %s", took)
 	}
 	close(release)
 	deadline := time.Now().Add(10 * time.Second)
@@ -37,9 +36,9 @@
 	h.Close(time.Second)
 }
 
-type blocked struct{ release chan struct{} }
+type blockedWriter struct{ release chan struct{} }
 
-func (b blocked) Write(p []byte) (int, error) {
+func (b blockedWriter) Write(p []byte) (int, error) {
 	<-b.release
 	return len(p), nil
 }
--- a/internal/base/logline/standard.go
+++ b/internal/base/logline/standard.go
@@ -10,29 +10,30 @@
 	"hornbeamwood/internal/base/event"
 )
 
-// maxText bounds the text of one line of a library in bytes.
+// maxText is the maximum length in bytes of the text of a line from the standard logger.
 const maxText = 2 << 10
 
-// standard writes what libraries print by the standard logger as events.
-type standard struct {
+// standardWriter is the output of the standard logger; it writes each line as an event.
+type standardWriter struct {
 	logger log.Interface
 }
 
-// TakeStandard makes what libraries print by the standard logger events of l.
+// TakeStandard redirects the standard logger, which libraries use, to l: each line becomes an event.
 //
-// Such lines have no fields and go where nobody looks for them; a panic in a
-// request's handler would show only as connections that close without an answer.
+// Otherwise such lines have no fields and are missed by searches of the log. A
+// panic in a request handler would be visible only as connections that close
+// without an answer.
 func TakeStandard(l log.Interface) {
 	stdlog.SetFlags(0)
-	stdlog.SetOutput(newStandard(l))
+	stdlog.SetOutput(newStandardWriter(l))
 }
 
-func newStandard(l log.Interface) io.Writer {
-	return standard{logger: l}
+func newStandardWriter(l log.Interface) io.Writer {
+	return standardWriter{logger: l}
 }
 
 // Write implements io.Writer.
-func (s standard) Write(b []byte) (int, error) {
+func (s standardWriter) Write(b []byte) (int, error) {
 	text := strings.TrimSpace(string(b[:min(len(b), maxText)]))
 	event.LibraryWrote.Write(s.logger, log.Fields{"text": text})
 	return len(b), nil
--- a/internal/base/logline/standard_test.go
+++ b/internal/base/logline/standard_test.go
@@ -9,12 +9,12 @@
 	"github.com/apex/log"
 )
 
-// A library prints a warning of its own. An engineer who searches the log by its
-// fields must find it, as one line whatever the library wrote.
+// A line that a library prints with the standard logger must be found when the log
+// is searched by fields. It is one log line even if the text has several lines.
 func TestLinesOfLibrariesAreEvents(t *testing.T) {
 	var out bytes.Buffer
 	h := New(Config{Writer: &out})
-	w := newStandard(&log.Logger{Level: log.InfoLevel, Handler: h})
+	w := newStandardWriter(&log.Logger{Level: log.InfoLevel, Handler: h})
 	if _, err := w.Write([]byte("buffer too small\nsee elsewhere\n")); err != nil {
 		t.Fatal(err)
 	}
