--- a/internal/base/verdict/doc.go
+++ b/internal/base/verdict/doc.go
@@ -1,5 +1,5 @@
-// Package verdict says of each failed request whether it may have run.
+// Package verdict states for each failed request whether it may have run.
 //
-// The zero Verdict is MayHaveRun: code that forgets to prove anything promises
+// The zero Verdict is MayHaveRun, so that code that sets no verdict guarantees
 // nothing.
 package verdict
--- a/internal/base/verdict/error.go
+++ b/internal/base/verdict/error.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Error is a refusal or failure with its Verdict, the HTTP status it maps to and when to come back.
+// Error is a refusal or failure with its Verdict, HTTP status and retry time.
 type Error struct {
-	// Verdict says whether the request may have run.
+	// Verdict states whether the request may have run.
 	Verdict Verdict `cbor:"verdict"`
-	// Status is the HTTP status for the one who asked, 400 to 599.
+	// Status is the HTTP status of the response, 400 to 599.
 	Status int `cbor:"status"`
-	// Code is a stable kebab-case word for programs, for example "no-quorum".
+	// Code is a stable machine-readable code in kebab case, for example "no-quorum".
 	Code string `cbor:"code"`
-	// Message is one sentence for people; it names no other workspace.
+	// Message is a human-readable sentence; it must not name other workspaces.
 	Message string `cbor:"message"`
-	// RetryAfter is how long to wait before asking again; zero means that asking again does not help.
+	// RetryAfter is how long to wait before a retry; zero means that a retry does not help.
 	RetryAfter time.Duration `cbor:"retry-after"`
-	// Cause is the error underneath, kept in this process only.
+	// Cause is the wrapped error; it is not sent to other processes.
 	Cause error `cbor:"-"`
 }
 
@@ -46,7 +46,7 @@
 	return e
 }
 
-// WithRetryAfter returns a copy of e that asks the caller to wait for d.
+// WithRetryAfter returns a copy of e that asks the caller to retry after d.
 func (e Error) WithRetryAfter(d time.Duration) Error {
 	e.RetryAfter = d
 	return e
@@ -58,7 +58,7 @@
 	return e
 }
 
-// Of returns the verdict of the first Error that err wraps, and MayHaveRun when there is none.
+// Of returns the verdict of the first Error that err wraps, or MayHaveRun if there is none.
 func Of(err error) Verdict {
 	if e, ok := As(err); ok {
 		return e.Verdict
--- a/internal/base/verdict/verdict.go
+++ b/internal/base/verdict/verdict.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// Verdict says whether a request may have run at a backend server or in the control log.
+// Verdict states whether a request may have run at a backend server or in the control log.
 type Verdict uint8
 
 const (
-	// MayHaveRun means that nobody can prove either of the other two.
+	// MayHaveRun means that neither of the other two is proved.
 	MayHaveRun Verdict = iota
-	// NotRun means that no byte of the request reached one who could run it, or that it was refused before it ran.
+	// NotRun means that no byte of the request reached a process that could run it, or that it was refused before it ran.
 	NotRun
 	// Ran means that the request ran and its outcome is known.
 	Ran
@@ -19,7 +19,7 @@
 
 var names = [...]string{MayHaveRun: "may-have-run", NotRun: "not-run", Ran: "ran"}
 
-// String returns the name of v as it stands in headers, JSON and logs.
+// String returns the name of v in headers, JSON and logs.
 func (v Verdict) String() string {
 	if int(v) >= len(names) {
 		return names[MayHaveRun]
@@ -32,7 +32,7 @@
 	return []byte(v.String()), nil
 }
 
-// UnmarshalText sets v from its name and refuses any other text.
+// UnmarshalText sets v from its name and rejects any other text.
 func (v *Verdict) UnmarshalText(text []byte) error {
 	for i, n := range names {
 		if n == string(text) {
--- a/internal/base/verdict/verdict_test.go
+++ b/internal/base/verdict/verdict_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// An error from a library that knows nothing of verdicts must never read as
-// a promise that nothing ran; a caller would send the request a second time.
+// An error without a verdict, for example from a library, must not be reported as
+// NotRun: the caller would resend a request that may have run.
 func TestOfPromisesNothingWithoutProof(t *testing.T) {
 	if got := Of(errors.New("connection reset")); got != MayHaveRun {
 		t.Errorf("plain error: got %s", got)
