--- a/internal/base/wait/doc.go
+++ b/internal/base/wait/doc.go
@@ -1,2 +1,2 @@
-// Package wait pauses for a time that a context may end.
+// Package wait provides waiting with cancellation by a context.
 package wait
--- a/internal/base/wait/wait.go
+++ b/internal/base/wait/wait.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// For waits for d and returns true, or false when ctx ends before.
+// For waits for d and returns true, or returns false as soon as ctx is done.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -17,7 +17,7 @@
 	}
 }
 
-// Earlier returns the earlier of two moments.
+// Earlier returns the earlier of a and b.
 func Earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
