--- a/internal/base/event/doc.go
+++ b/internal/base/event/doc.go
@@ -1,5 +1,5 @@
-// Package event holds the numbered log events and the logger that writes them.
+// Package event defines the numbered log events and writes them.
 //
-// Each area has a file and a hundred of numbers; docs/EVENTS.md lists every
-// event and a test holds the two together.
+// Each area has a file and a range of 100 numbers. docs/EVENTS.md lists every
+// event; a test compares the page with the code.
 package event
--- a/internal/base/event/event.go
+++ b/internal/base/event/event.go
@@ -7,15 +7,15 @@
 	"github.com/apex/log"
 )
 
-// Event is one kind of log line with its number, its kebab-case name and what it tells an operator.
+// Event is a kind of log line with its number, name, level and meaning.
 type Event struct {
 	// Number is unique and never reused.
 	Number int
-	// Name is the kebab-case word in the log line's message.
+	// Name is the message of the log line, in kebab case.
 	Name string
 	// Level is the level at which the event is written.
 	Level log.Level
-	// Meaning is the sentence that docs/EVENTS.md shows.
+	// Meaning is the description in docs/EVENTS.md.
 	Meaning string
 }
 
@@ -24,7 +24,7 @@
 
 var catalogue = map[int]Event{}
 
-// define adds an event to the catalogue; a number used twice ends the program at start.
+// define adds an event to the catalogue. It panics at program start if a number is used twice.
 func define(number int, level log.Level, name, meaning string) Event {
 	e := Event{Number: number, Name: name, Level: level, Meaning: meaning}
 	if previous, ok := catalogue[number]; ok {
@@ -52,7 +52,7 @@
 	}
 }
 
-// Catalogue returns all events in the order of their numbers.
+// Catalogue returns all events, sorted by number.
 func Catalogue() []Event {
 	all := make([]Event, 0, len(catalogue))
 	for _, e := range catalogue {
--- a/internal/base/event/event_test.go
+++ b/internal/base/event/event_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// page is where operators look up a number from a log line.
+// page is the operators' reference of event numbers.
 const page = "../../../docs/EVENTS.md"
 
-// An event that is missing from the page, or a page that lists one that no
-// longer exists, leaves an operator with a number that means nothing.
+// The page must list exactly the events in the code, so that operators can look up
+// every number.
 func TestCatalogueMatchesPage(t *testing.T) {
 	b, err := os.ReadFile(filepath.FromSlash(page))
 	if err != nil {
@@ -28,7 +28,7 @@
 			continue
 		}
 		if !want[line] {
-			t.Errorf("the page lists what the code does not have: %s", line)
+			t.Errorf("on the page but not in the code: %s", line)
 		}
 		delete(want, line)
 	}
--- a/internal/base/event/node.go
+++ b/internal/base/event/node.go
@@ -6,14 +6,14 @@
 var (
 	// PeerConnected is written when another process of the system connects.
 	PeerConnected = define(200, log.DebugLevel, "peer-connected", "Another process of the system connected; its certificate was verified.")
-	// PeerRefused is written when a peer calls what its role may not call.
+	// PeerRefused is written when a peer calls a method that its role does not allow.
 	PeerRefused = define(201, log.WarnLevel, "peer-refused", "A process called a method that its certificate's role does not allow.")
-	// NoticeRefused is written when a message without an answer could not be taken.
-	NoticeRefused = define(202, log.WarnLevel, "notice-refused", "A message between processes could not be read or is not allowed to its sender.")
-	// KeysReloaded is written when rotated keys are in use.
-	KeysReloaded = define(203, log.InfoLevel, "keys-reloaded", "The node's keys were read anew; new connections use them.")
-	// KeysNotReloaded is written when changed key files are of no use.
-	KeysNotReloaded = define(204, log.ErrorLevel, "keys-not-reloaded", "Changed key files can't be used; the node goes on with the keys that it has.")
-	// KeysExpireSoon is written daily when the node's certificate is near its end.
+	// NoticeRefused is written when a one-way message was rejected.
+	NoticeRefused = define(202, log.WarnLevel, "notice-refused", "A message between processes could not be decoded, or its sender is not allowed to send it.")
+	// KeysReloaded is written when rotated keys have been loaded.
+	KeysReloaded = define(203, log.InfoLevel, "keys-reloaded", "The node's keys were reloaded; new connections use them.")
+	// KeysNotReloaded is written when changed key files can't be used.
+	KeysNotReloaded = define(204, log.ErrorLevel, "keys-not-reloaded", "Changed key files can't be used; the node continues with its current keys.")
+	// KeysExpireSoon is written daily when the node's certificate expires soon.
 	KeysExpireSoon = define(205, log.WarnLevel, "keys-expire-soon", "The node's certificate expires soon; issue a new one with hornbeamwood keys node.")
 )
