--- a/internal/base/jsonscan/scan_test.go
+++ b/internal/base/jsonscan/scan_test.go
@@ -62,7 +62,7 @@
 
 // The scanner must return the same members as the decoder of the standard library.
 // An event with wrong members could be attributed to another attempt.
-func TestWalkAgreesWithTheDecoder(t *testing.T) {
+func TestScanAgreesWithDecoder(t *testing.T) {
 	for _, s := range samples {
 		compare(t, []byte(s))
 	}
--- a/internal/base/verdict/verdict_test.go
+++ b/internal/base/verdict/verdict_test.go
@@ -25,7 +25,7 @@
 
 // An error without a verdict, for example from a library, must not be reported as
 // NotRun: the caller would resend a request that may have run.
-func TestOfPromisesNothingWithoutProof(t *testing.T) {
+func TestOfDefaultsToMayHaveRun(t *testing.T) {
 	if got := Of(errors.New("connection reset")); got != MayHaveRun {
 		t.Errorf("plain error: got %s", got)
 	}
--- a/internal/settings/digest/digest_test.go
+++ b/internal/settings/digest/digest_test.go
@@ -15,7 +15,7 @@
 
 // A mistyped digest or one of zeros matches no key. If it were accepted, the owner
 // of the key would be locked out without an explanation.
-func TestParseRefusesSlips(t *testing.T) {
+func TestParseRejectsInvalidDigests(t *testing.T) {
 	good := Of("key").String()
 	for _, text := range []string{"", "key", strings.TrimPrefix(good, Prefix), good[:70], good + "0", strings.Replace(good, good[10:11], "g", 1), Prefix + strings.Repeat("0", 64)} {
 		if d, err := Parse(text); err == nil {
--- a/internal/settings/lease/lease_test.go
+++ b/internal/settings/lease/lease_test.go
@@ -19,7 +19,7 @@
 // entry must stop accepting new work when the lease has expired, measured from
 // before it sent the report of its last proof. Refusals must have the verdict
 // NotRun and a retry time, and the entry must recover with the next proof.
-func TestKeeperStopsAndComesBack(t *testing.T) {
+func TestLeaseExpiresAndRecovers(t *testing.T) {
 	k := NewKeeper()
 	if k.Check(at(0), false) == nil || k.Check(at(0), true) == nil {
 		t.Fatal("an entry without any proof accepts new work")
@@ -44,7 +44,7 @@
 // Answers arrive out of order. The answer to an earlier report must not shorten
 // the lease, and one for an older revision must not apply to newer settings. A
 // report that the leader answered with a newer revision proves nothing.
-func TestKeeperPassesOverCrossedAnswers(t *testing.T) {
+func TestAnswersOutOfOrderAreIgnored(t *testing.T) {
 	k := NewKeeper()
 	k.Confirm(Proof{SentAt: at(5 * second), Applied: 7, Confirmed: 7, Lease: 4 * second})
 	for name, p := range map[string]Proof{
@@ -64,7 +64,7 @@
 // A VM is suspended, and its monotonic clock stops meanwhile. Its wall clock is
 // corrected on resume. Callers must then not be served under settings from before
 // the suspension.
-func TestKeeperAfterAPauseOfTheVM(t *testing.T) {
+func TestLeaseAfterSuspensionOfTheVM(t *testing.T) {
 	sent := time.Now()
 	k := NewKeeper()
 	k.Confirm(Proof{SentAt: sent, Applied: 1, Confirmed: 1, Lease: 4 * second})
@@ -117,7 +117,7 @@
 
 // A delayed report arrives after a newer one. It must neither lower the entry's
 // revision nor shorten its lease.
-func TestRenewalsThatCross(t *testing.T) {
+func TestRenewalsOutOfOrder(t *testing.T) {
 	h := NewHolders(nil)
 	h.Renew(at(0), 1, renewal("a", 2), terms(2))
 	late := renewal("a", 1)
--- a/internal/settings/node/file_test.go
+++ b/internal/settings/node/file_test.go
@@ -56,7 +56,7 @@
 // A file with a mistyped key or a line copied from another VM's file must be
 // rejected. The message names the file, the line and the key, so that the operator
 // finds the line.
-func TestFaultsNameFileLineAndKey(t *testing.T) {
+func TestProblemsNameFileLineAndKey(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
 		"mistyped key":        {"zone = \"tunja\"\nregion", "zoen = \"tunja\"\nregion", "n.toml:3: zoen: unknown key; the nearest known key is zone"},
 		"mistyped nested key": {"quic = ", "qiuc = ", "n.toml:9: listen.qiuc: unknown key; the nearest known key is quic"},
--- a/internal/settings/section/leases_test.go
+++ b/internal/settings/section/leases_test.go
@@ -15,7 +15,7 @@
 // An operator makes the lease shorter and then the leader fails. A new leader
 // must still wait for entries that have not received the shorter lease, even if
 // its state was restored from a snapshot.
-func TestTermsRememberALongerLease(t *testing.T) {
+func TestTermsIncludeLongerPreviousLease(t *testing.T) {
 	s := newSection(t)
 	apply(t, s, fleetEdit("long", 1, "settings-lease", tree.DurationValue(12*time.Second)))
 	apply(t, s, fleetEdit("short", 2, "settings-lease", tree.DurationValue(2*time.Second)))
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestTermsRememberServingWithoutQuorum(t *testing.T) {
+func TestTermsAfterServingWithoutQuorum(t *testing.T) {
 	s := newSection(t)
 	for i, c := range []struct {
 		on   bool
--- a/internal/settings/section/section_test.go
+++ b/internal/settings/section/section_test.go
@@ -161,7 +161,7 @@
 	}
 }
 
-func TestHistoryShowsWhoWhenFromWhichRevisionAndWhat(t *testing.T) {
+func TestHistoryRecords(t *testing.T) {
 	s := newSection(t)
 	apply(t, s, priorityEdit("a-1", "ana", 1, 5))
 	apply(t, s, priorityEdit("b-1", "ben", 2, 7))
--- a/internal/settings/tree/tree_test.go
+++ b/internal/settings/tree/tree_test.go
@@ -92,7 +92,7 @@
 // A setting that is copied to no field of the rules would be accepted and shown
 // to operators without any effect. A field without a setting would have a value
 // that no operator can see.
-func TestEachSettingReachesOneField(t *testing.T) {
+func TestEachSettingIsCopiedToOneField(t *testing.T) {
 	reached := map[string]bool{}
 	for _, s := range schema {
 		v := otherValue(s.Default)
@@ -146,7 +146,7 @@
 // A mistyped setting or a value of the wrong type that was accepted silently
 // would make the tree differ from the rules that run. The error must name the
 // line, the key and the nearest known key.
-func TestFaultsNameLineKeyAndNearest(t *testing.T) {
+func TestProblemsNameLineKeyAndNearest(t *testing.T) {
 	b, err := os.ReadFile("testdata/small.toml")
 	if err != nil {
 		t.Fatal(err)
