--- a/cmd/compare/main.go
+++ b/cmd/compare/main.go
@@ -1,4 +1,4 @@
-// Command compare runs the policy against the baselines in virtual time and
+// Command compare measures the policy and the baselines in virtual time and
 // writes the tables and plots that docs/MEASUREMENTS.md links.
 package main
 
@@ -16,11 +16,11 @@
 
 // options are the command's flags.
 type options struct {
-	out      string
-	part     string
-	only     string
-	short    bool
-	parallel int
+	out        string
+	part       string
+	deployment string
+	short      bool
+	parallel   int
 }
 
 func main() {
@@ -28,10 +28,10 @@
 	flaggy.SetName("compare")
 	flaggy.SetDescription("Compares routing strategies in virtual time.")
 	flaggy.String(&o.out, "o", "out", "folder for measurements/ and plots/")
-	flaggy.String(&o.part, "", "part", "only this part: loads, failures or elements")
-	flaggy.String(&o.only, "d", "deployment", "only this deployment: certilote or association")
-	flaggy.Bool(&o.short, "s", "short", "one seed and less time, for a look")
-	flaggy.Int(&o.parallel, "p", "parallel", "runs at once")
+	flaggy.String(&o.part, "", "part", "run only this part: loads, failures or elements")
+	flaggy.String(&o.deployment, "d", "deployment", "run only this deployment: certilote or association")
+	flaggy.Bool(&o.short, "s", "short", "one seed and shorter runs, for a quick check")
+	flaggy.Int(&o.parallel, "p", "parallel", "number of concurrent runs")
 	flaggy.Parse()
 	if err := run(o); err != nil {
 		fmt.Fprintln(os.Stderr, "compare:", err)
@@ -51,7 +51,7 @@
 		}
 	}
 	for _, d := range []workload.Deployment{workload.Certilote(), workload.Association()} {
-		if o.only != "" && o.only != d.Name {
+		if o.deployment != "" && o.deployment != d.Name {
 			continue
 		}
 		if err := runDeployment(o, c, d); err != nil {
@@ -89,7 +89,7 @@
 	return save(filepath.Join(out, "measurements", fmt.Sprintf("policy-%s-%s.md", r.Deployment.Name, r.Part)), b.Bytes())
 }
 
-// plot draws the rows of the part that has several loads.
+// plot writes the plots of the loads part; the other parts have no plots.
 func plot(r comparison.Report, out string) error {
 	if r.Part != comparison.LoadsPart {
 		return nil
--- a/cmd/hornbeamwood/demo.go
+++ b/cmd/hornbeamwood/demo.go
@@ -10,16 +10,16 @@
 	"hornbeamwood/internal/cli/run"
 )
 
-func demoVerb() []verb {
+func demoCommand() []command {
 	c := demo.Config{Listen: "127.0.0.1:8080", Logs: io.Discard}
 	logs := false
-	s := subcommand("demo", "runs a whole deployment in one process, without any set-up")
-	s.String(&c.Folder, "f", "folder", "keeps keys and data in this folder; a temporary one when left out")
+	s := newSubcommand("demo", "runs a whole deployment in one process, without any setup")
+	s.String(&c.Folder, "f", "folder", "folder for keys and data; default: a temporary folder")
 	s.String(&c.Listen, "l", "listen", "IP and port of the first entry")
-	s.Bool(&c.Once, "o", "once", "runs a scripted tour, prints a table and ends")
-	s.Bool(&logs, "g", "logs", "shows the log lines on standard error")
+	s.Bool(&c.Once, "o", "once", "run a scripted tour, print a table and exit")
+	s.Bool(&logs, "g", "logs", "write the log lines to standard error")
 	flaggy.AttachSubcommand(s, 1)
-	return []verb{{command: s, run: func() error {
+	return []command{{subcommand: s, run: func() error {
 		if logs {
 			c.Logs = os.Stderr
 		}
--- a/cmd/hornbeamwood/explain.go
+++ b/cmd/hornbeamwood/explain.go
@@ -10,15 +10,15 @@
 	"hornbeamwood/internal/cli/explain"
 )
 
-// explainVerb tells the story of a request from the logs that are named, or from standard input.
-func explainVerb() []verb {
+// explainCommand shows what happened to a request, from log files or standard input.
+func explainCommand() []command {
 	var request string
 	var logs []string
-	c := subcommand("explain", "tells what became of a request, from the logs of any number of processes")
-	c.AddPositionalValue(&request, "REQUEST-ID", 1, true, "id of the request")
-	c.StringSlice(&logs, "l", "log", "file with log lines, any number of times; standard input when there is none")
+	c := newSubcommand("explain", "shows what happened to a request, from the logs of any number of processes")
+	c.AddPositionalValue(&request, "REQUEST-ID", 1, true, "ID of the request")
+	c.StringSlice(&logs, "l", "log", "file with log lines, repeatable; default: standard input")
 	flaggy.AttachSubcommand(c, 1)
-	return []verb{{command: c, run: func() error { return explainRequest(request, logs) }}}
+	return []command{{subcommand: c, run: func() error { return explainRequest(request, logs) }}}
 }
 
 func explainRequest(request string, paths []string) error {
@@ -31,8 +31,8 @@
 	})
 }
 
-// withLogs calls read with the files that are named, or with standard input.
-func withLogs(verb string, paths []string, read func(logs []io.Reader) error) error {
+// withLogs calls read with the files at paths, or with standard input if there are none.
+func withLogs(command string, paths []string, read func(logs []io.Reader) error) error {
 	logs := []io.Reader{os.Stdin}
 	if len(paths) > 0 {
 		logs = nil
@@ -40,7 +40,7 @@
 	for _, p := range paths {
 		f, err := os.Open(p)
 		if err != nil {
-			return fmt.Errorf("%s: %w", verb, err)
+			return fmt.Errorf("%s: %w", command, err)
 		}
 		defer f.Close()
 		logs = append(logs, f)
--- a/cmd/hornbeamwood/losses.go
+++ b/cmd/hornbeamwood/losses.go
@@ -12,25 +12,25 @@
 	"hornbeamwood/internal/cli/explain"
 )
 
-// lossesFlags are the flags of the verb losses.
+// lossesFlags are the flags of the losses command.
 type lossesFlags struct {
-	logs, routes []string
-	targetMillis int
-	gapMillis    int
-	stepMillis   int
+	logs, routes   []string
+	targetMillis   int
+	eventGapMillis int
+	stepMillis     int
 }
 
-// lossesVerb counts from logs why requests were not answered on time.
-func lossesVerb() []verb {
-	f := &lossesFlags{targetMillis: 1000, gapMillis: 500, stepMillis: 2000}
-	c := subcommand("losses", "counts why requests were not answered on time, from the logs of entries")
-	c.StringSlice(&f.logs, "l", "log", "file with log lines, any number of times; standard input when there is none")
-	c.Int(&f.targetMillis, "t", "target-ms", "time to the first event, or the answer, that is on time")
-	c.StringSlice(&f.routes, "r", "route", "ROUTE=MS, the time of a single route, any number of times")
-	c.Int(&f.gapMillis, "g", "gap-ms", "longest pause in a stream that is on time")
-	c.Int(&f.stepMillis, "s", "step-ms", "span of one row of the course")
+// lossesCommand counts from logs why requests were not answered on time.
+func lossesCommand() []command {
+	f := &lossesFlags{targetMillis: 1000, eventGapMillis: 500, stepMillis: 2000}
+	c := newSubcommand("losses", "counts why requests were not answered on time, from the logs of entries")
+	c.StringSlice(&f.logs, "l", "log", "file with log lines, repeatable; default: standard input")
+	c.Int(&f.targetMillis, "t", "target-ms", "latency target: time to the first event, or to the response")
+	c.StringSlice(&f.routes, "r", "route", "ROUTE=MS, latency target of one route, repeatable")
+	c.Int(&f.eventGapMillis, "g", "gap-ms", "longest event gap of a stream that is on time")
+	c.Int(&f.stepMillis, "s", "step-ms", "interval that one row of the time series covers")
 	flaggy.AttachSubcommand(c, 1)
-	return []verb{{command: c, run: f.run}}
+	return []command{{subcommand: c, run: f.run}}
 }
 
 func (f *lossesFlags) run() error {
@@ -39,9 +39,9 @@
 		flag   string
 		millis int
 		to     *time.Duration
-	}{{"target-ms", f.targetMillis, &c.Target}, {"gap-ms", f.gapMillis, &c.Gap}, {"step-ms", f.stepMillis, &c.Step}} {
+	}{{"target-ms", f.targetMillis, &c.Target}, {"gap-ms", f.eventGapMillis, &c.EventGap}, {"step-ms", f.stepMillis, &c.Step}} {
 		if x.millis <= 0 {
-			return usageError{flag: x.flag, message: "must be above zero"}
+			return usageError{flag: x.flag, message: "must be greater than zero"}
 		}
 		*x.to = time.Duration(x.millis) * time.Millisecond
 	}
@@ -49,7 +49,7 @@
 		name, text, _ := strings.Cut(r, "=")
 		n, err := strconv.Atoi(text)
 		if err != nil || n <= 0 || name == "" {
-			return usageError{flag: "route", message: "has the form ROUTE=MS, not " + r}
+			return usageError{flag: "route", message: "must have the form ROUTE=MS, not " + r}
 		}
 		c.Targets[name] = time.Duration(n) * time.Millisecond
 	}
--- a/cmd/hornbeamwood/main.go
+++ b/cmd/hornbeamwood/main.go
@@ -1,4 +1,4 @@
-// Command hornbeamwood runs and drives the serving system.
+// Command hornbeamwood runs and operates the serving system.
 package main
 
 import (
@@ -14,15 +14,15 @@
 
 // Exit codes.
 const (
-	exitDone   = 0
+	exitOK     = 0
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// verb is one subcommand with what it does.
-type verb struct {
-	command *flaggy.Subcommand
-	run     func() error
+// command is a subcommand and the function that runs it.
+type command struct {
+	subcommand *flaggy.Subcommand
+	run        func() error
 }
 
 func main() {
@@ -30,13 +30,13 @@
 	flaggy.SetDescription("serves prompts that return after long gaps")
 	flaggy.SetVersion("")
 	flaggy.DefaultParser.ShowHelpOnUnexpected = true
-	var verbs []verb
-	for _, add := range []func() []verb{entryVerb, controlVerb, keysVerbs, settingsVerbs, checkVerbs, statusVerb, demoVerb, loadVerb, explainVerb, lossesVerb, readingsVerb} {
-		verbs = append(verbs, add()...)
+	var commands []command
+	for _, newCommands := range []func() []command{entryCommand, controlCommand, keysCommands, settingsCommands, checkCommands, statusCommand, demoCommand, loadCommand, explainCommand, lossesCommand, readingsCommand} {
+		commands = append(commands, newCommands()...)
 	}
 	flaggy.Parse()
-	for _, v := range verbs {
-		if v.command.Used {
+	for _, v := range commands {
+		if v.subcommand.Used {
 			os.Exit(exitCode(v.run()))
 		}
 	}
@@ -44,20 +44,20 @@
 	os.Exit(exitUsage)
 }
 
-// usageError is a mistake in the flags.
+// usageError reports an invalid flag.
 type usageError struct {
 	flag, message string
 }
 
-// Error names the flag.
+// Error returns the flag and the message.
 func (e usageError) Error() string {
 	return fmt.Sprintf("--%s: %s", e.flag, e.message)
 }
 
-// exitCode prints err and returns the exit code that tells its kind.
+// exitCode prints err and returns the exit code for its kind.
 func exitCode(err error) int {
 	if err == nil {
-		return exitDone
+		return exitOK
 	}
 	fmt.Fprintln(os.Stderr, "hornbeamwood:", err)
 	var u usageError
@@ -69,14 +69,14 @@
 	return exitFailed
 }
 
-func required(flag, value string) error {
+func requireFlag(flag, value string) error {
 	if value == "" {
 		return usageError{flag: flag, message: "is required"}
 	}
 	return nil
 }
 
-func subcommand(name, description string) *flaggy.Subcommand {
+func newSubcommand(name, description string) *flaggy.Subcommand {
 	c := flaggy.NewSubcommand(name)
 	c.Description = description
 	return c
--- a/cmd/hornbeamwood/run.go
+++ b/cmd/hornbeamwood/run.go
@@ -10,21 +10,21 @@
 	"hornbeamwood/internal/settings/node"
 )
 
-func entryVerb() []verb {
-	return []verb{processVerb("entry", "serves callers, operators and backend servers", hornbeamwood.NewEntry)}
+func entryCommand() []command {
+	return []command{processCommand("entry", "serves callers, operators and backend servers", hornbeamwood.NewEntry)}
 }
 
-func controlVerb() []verb {
-	return []verb{processVerb("control", "keeps one replica of the control log", hornbeamwood.NewControl)}
+func controlCommand() []command {
+	return []command{processCommand("control", "runs one replica of the control log", hornbeamwood.NewControl)}
 }
 
-func processVerb(name, description string, start func(hornbeamwood.Config) (hornbeamwood.Process, error)) verb {
+func processCommand(name, description string, start func(hornbeamwood.Config) (hornbeamwood.Process, error)) command {
 	var settings string
-	c := subcommand(name, description)
+	c := newSubcommand(name, description)
 	c.String(&settings, "s", "settings", "node file (TOML)")
 	flaggy.AttachSubcommand(c, 1)
-	return verb{command: c, run: func() error {
-		if err := required("settings", settings); err != nil {
+	return command{subcommand: c, run: func() error {
+		if err := requireFlag("settings", settings); err != nil {
 			return err
 		}
 		f, err := node.Load(settings)
--- a/cmd/hornbeamwood/status.go
+++ b/cmd/hornbeamwood/status.go
@@ -9,16 +9,16 @@
 	"hornbeamwood/internal/cli/status"
 )
 
-func statusVerb() []verb {
+func statusCommand() []command {
 	c := status.Config{Entry: os.Getenv(entryVariable)}
 	f := &settingsFlags{}
-	s := subcommand("status", "shows replicas, entries, backend servers and calls, as one entry sees them")
-	s.String(&c.Entry, "e", "entry", "URL of any entry; "+entryVariable+" when left out")
-	s.String(&f.keyFile, "k", "key-file", "file with the operator's key; "+keyVariable+" when left out")
+	s := newSubcommand("status", "shows replicas, entries, backend servers and calls, as one entry reports them")
+	s.String(&c.Entry, "e", "entry", "URL of any entry; "+entryVariable+" by default")
+	s.String(&f.keyFile, "k", "key-file", "file with the operator's key; "+keyVariable+" by default")
 	s.Bool(&c.JSON, "j", "json", "print the entry's JSON")
 	flaggy.AttachSubcommand(s, 1)
-	return []verb{{command: s, run: func() error {
-		if err := required("entry", c.Entry); err != nil {
+	return []command{{subcommand: s, run: func() error {
+		if err := requireFlag("entry", c.Entry); err != nil {
 			return err
 		}
 		key, err := f.operatorKey()
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin runs a stand-in of a backend server for trials and tests.
+// Command standin runs a stand-in for a backend server, for trials and tests.
 package main
 
 import (
@@ -22,7 +22,7 @@
 func main() {
 	var settings string
 	flaggy.SetName("standin")
-	flaggy.SetDescription("stand-ins of the backend servers, for trials and tests")
+	flaggy.SetDescription("stand-ins for backend servers, for trials and tests")
 	flaggy.SetVersion("")
 	kinds := map[process.Kind]*flaggy.Subcommand{}
 	for _, k := range []process.Kind{process.Engine, process.Service, process.Store, process.Weights} {
--- a/internal/cli/demo/answer.go
+++ b/internal/cli/demo/api_call.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	requestTime = 20 * time.Second
-	maxAnswer   = 8 << 20
+	requestTimeout = 20 * time.Second
+	maxResponse    = 8 << 20
 )
 
-// call is one request of the tour.
-type call struct {
+// apiCall is one HTTP request of the tour.
+type apiCall struct {
 	method, url, key, body string
 	header                 map[string]string
 }
 
-// answer is what came back.
-type answer struct {
-	stream.Answer
+// response is the result of an apiCall; its Completion is set for a stream.
+type response struct {
+	stream.Completion
 	status  int
 	verdict string
 	etag    string
 	body    string
 }
 
-func (c call) do(ctx context.Context) (answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, requestTime)
+func (c apiCall) do(ctx context.Context) (response, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	q, err := http.NewRequestWithContext(ctx, c.method, c.url, strings.NewReader(c.body))
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	q.Header.Set("Authorization", "Bearer "+c.key)
 	for k, v := range c.header {
@@ -45,20 +45,20 @@
 	sent := time.Now()
 	r, err := http.DefaultClient.Do(q)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	defer r.Body.Close()
-	a := answer{status: r.StatusCode, verdict: r.Header.Get("Hornbeamwood-Verdict"), etag: r.Header.Get("ETag")}
+	a := response{status: r.StatusCode, verdict: r.Header.Get("Hornbeamwood-Verdict"), etag: r.Header.Get("ETag")}
 	if strings.HasPrefix(r.Header.Get("Content-Type"), "text/event-stream") {
-		a.Answer, err = stream.Read(r.Body, sent)
+		a.Completion, err = stream.Read(r.Body, sent)
 		return a, err
 	}
-	b, err := io.ReadAll(io.LimitReader(r.Body, maxAnswer))
+	b, err := io.ReadAll(io.LimitReader(r.Body, maxResponse))
 	a.body = string(b)
 	return a, err
 }
 
-func completion(url, key, model, prompt string) call {
+func completion(url, key, model, prompt string) apiCall {
 	b, err := json.Marshal(struct {
 		Model     string  `json:"model"`
 		Prompt    string  `json:"prompt"`
@@ -67,14 +67,14 @@
 		Options   options `json:"stream_options"`
 	}{model, prompt, answerTokens, true, options{IncludeUsage: true}})
 	if err != nil {
-		return call{}
+		return apiCall{}
 	}
-	return call{method: http.MethodPost, url: url + "/v1/completions", key: key, body: string(b)}
+	return apiCall{method: http.MethodPost, url: url + "/v1/completions", key: key, body: string(b)}
 }
 
 type options struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// answerTokens is the length of the tour's answers.
+// answerTokens is the number of tokens that each prompt of the tour asks for.
 const answerTokens = 8
--- a/internal/cli/demo/config.go
+++ b/internal/cli/demo/config.go
@@ -2,19 +2,19 @@
 
 import "io"
 
-// Config is what the verb demo takes.
+// Config holds the flags of the demo command.
 type Config struct {
-	// Folder holds keys and data; a temporary one that is removed at the end when empty.
+	// Folder holds keys and data; empty means a temporary folder that is removed at the end.
 	Folder string
 	// Listen is the IP and port of the first entry's HTTP interface.
 	Listen string
-	// Once runs the tour and ends.
+	// Once runs the tour once instead of serving until the context ends.
 	Once bool
-	// Logs takes the processes' log lines.
+	// Logs receives the log lines of all components.
 	Logs io.Writer
 }
 
-// Keys of the example settings; examples/README.md lists them.
+// API keys of the example settings; examples/README.md lists them.
 const (
 	bootstrapKey = "certilote-bootstrap-key"
 	operatorKey  = "certilote-lucia-key"
--- a/internal/cli/demo/demo.go
+++ b/internal/cli/demo/demo.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// ErrNotHeld says that a step of the tour did not hold.
-var ErrNotHeld = errors.New("demo: not all steps held")
+// ErrStepFailed means that a step of the tour failed.
+var ErrStepFailed = errors.New("demo: at least one step failed")
 
-// Run serves the demo until ctx ends, or runs the tour once, and writes to w what a person should see.
+// Run serves the demo until ctx ends, or runs the tour once. It writes instructions or the results of the tour to w.
 func Run(ctx context.Context, c Config, w io.Writer) error {
-	remove, err := prepare(&c)
+	cleanUp, err := prepare(&c)
 	if err != nil {
 		return err
 	}
-	defer remove()
+	defer cleanUp()
 	s, err := newSite(c)
 	if err != nil {
 		return err
@@ -32,14 +32,14 @@
 		return errors.Join(err, s.stop())
 	}
 	if c.Once {
-		return once(ctx, t, w)
+		return runTour(ctx, t, w)
 	}
 	fmt.Fprint(w, instructions(s))
 	<-ctx.Done()
 	return s.stop()
 }
 
-func prepare(c *Config) (remove func(), err error) {
+func prepare(c *Config) (cleanUp func(), err error) {
 	if c.Folder != "" {
 		return func() {}, os.MkdirAll(c.Folder, 0o700)
 	}
@@ -49,23 +49,23 @@
 	return func() { _ = os.RemoveAll(c.Folder) }, nil
 }
 
-func once(ctx context.Context, t *tour, w io.Writer) error {
-	began := time.Now()
-	held := t.run(ctx)
-	if err := write(t.rows, w); err != nil {
+func runTour(ctx context.Context, t *tour, w io.Writer) error {
+	start := time.Now()
+	passed := t.run(ctx)
+	if err := writeTable(t.rows, w); err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "\n%d steps in %s\n", len(t.rows), time.Since(began).Round(100*time.Millisecond))
+	fmt.Fprintf(w, "\n%d steps in %s\n", len(t.rows), time.Since(start).Round(100*time.Millisecond))
 	if err := t.site.stop(); err != nil {
 		return err
 	}
-	if !held {
-		return ErrNotHeld
+	if !passed {
+		return ErrStepFailed
 	}
 	return nil
 }
 
-// ready sets the example tree up and waits until every model is served through every entry.
+// ready applies the example tree and waits until every entry serves every model.
 func (t *tour) ready(ctx context.Context) error {
 	tree, err := mergedTree()
 	if err != nil {
@@ -77,7 +77,7 @@
 	return t.until(ctx, "the models are served", func() error {
 		for i := range entries {
 			for _, m := range []struct{ key, model string }{{draftKey, "draft"}, {draftKey, "status-read"}, {logbookKey, "logbook-check"}} {
-				if _, err := t.whole(ctx, i, m.key, m.model, "ready?"); err != nil {
+				if _, err := t.complete(ctx, i, m.key, m.model, "ready?"); err != nil {
 					return err
 				}
 			}
@@ -86,9 +86,9 @@
 	})
 }
 
-// apply sets the whole tree, unless an earlier demo in the same folder did.
+// apply puts the whole tree, unless an earlier demo in the same folder has done so.
 func (t *tour) apply(ctx context.Context, tree string) error {
-	a, err := call{
+	a, err := apiCall{
 		method: http.MethodPut, url: t.site.url(0) + "/settings/?wait=in-force", key: bootstrapKey, body: tree,
 		header: map[string]string{"Content-Type": "application/toml", "If-Match": `"0"`, "Idempotency-Key": "demo"},
 	}.do(ctx)
@@ -113,7 +113,7 @@
 An issue stamp; send it again, through either entry, and it runs once:
   curl -H 'Authorization: Bearer %[2]s' -H 'Idempotency-Key: lot-7' -d '{"lot": 7}' %[1]s/services/issue-stamps/issue
 
-Where things stand, and one setting explained:
+The status of the deployment, and the effective settings of one branch:
   HORNBEAMWOOD_OPERATOR_KEY=%[5]s hornbeamwood status --entry %[1]s
   HORNBEAMWOOD_OPERATOR_KEY=%[5]s hornbeamwood settings explain --entry %[1]s /workspaces/bogota/models/draft
 
--- a/internal/cli/demo/doc.go
+++ b/internal/cli/demo/doc.go
@@ -1,4 +1,4 @@
-// Package demo runs a whole deployment in one process: three control
-// replicas, two entries and stand-ins of backend servers, with the example
-// settings of both deployments.
+// Package demo runs a whole deployment in one process: three control replicas,
+// two entries and stand-ins for backend servers, with the example settings of
+// both deployments.
 package demo
--- a/internal/cli/demo/site.go
+++ b/internal/cli/demo/site.go
@@ -21,22 +21,22 @@
 const (
 	controls = 3
 	entries  = 2
-	// keysValid is the lifetime of the demo's certificates.
+	// keysValid is how long the demo's certificates are valid.
 	keysValid = 30 * 24 * time.Hour
 )
 
 // site is the whole deployment.
 type site struct {
-	config    Config
-	authority keys.Authority
-	control   []node.Peer
-	entry     []node.Peer
-	http      []netip.AddrPort
-	parts     map[string]*part
+	config     Config
+	authority  keys.Authority
+	control    []node.Peer
+	entry      []node.Peer
+	http       []netip.AddrPort
+	components map[string]*component
 }
 
 func newSite(c Config) (*site, error) {
-	s := &site{config: c, parts: make(map[string]*part)}
+	s := &site{config: c, components: make(map[string]*component)}
 	var err error
 	if s.authority, err = loadAuthority(filepath.Join(c.Folder, "keys")); err != nil {
 		return nil, err
@@ -58,7 +58,7 @@
 	return s, nil
 }
 
-// loadAuthority returns the authority of an earlier demo in the folder, or a new one.
+// loadAuthority returns the certificate authority of an earlier demo in the folder, or a new one.
 func loadAuthority(folder string) (keys.Authority, error) {
 	if a, err := keys.LoadAuthority(folder); err == nil {
 		return a, nil
@@ -70,7 +70,7 @@
 	return node.Peer{Name: name, Address: freeAddress(), Zone: "bogota-norte"}
 }
 
-// freeAddress returns a loopback address that nobody listens on; the system never hands out one twice in a row.
+// freeAddress returns an unused loopback address; the operating system does not assign the same port twice in a row.
 func freeAddress() netip.AddrPort {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -103,7 +103,7 @@
 	}, nil
 }
 
-// start runs all parts.
+// start starts all components.
 func (s *site) start() error {
 	for _, p := range s.control {
 		if err := s.startControl(p); err != nil {
@@ -129,7 +129,7 @@
 	if err != nil {
 		return err
 	}
-	s.parts[p.Name] = startPart(p.Name, c.Run)
+	s.components[p.Name] = startComponent(p.Name, c.Run)
 	return nil
 }
 
@@ -143,11 +143,11 @@
 	if err != nil {
 		return err
 	}
-	s.parts[p.Name] = startPart(p.Name, e.Run)
+	s.components[p.Name] = startComponent(p.Name, e.Run)
 	return nil
 }
 
-// startStandins runs small backend servers of both deployments.
+// startStandins starts stand-ins for small backend servers of both deployments.
 func (s *site) startStandins() {
 	s.startEngine("drafting-1", "draft", "lot-note-check")
 	s.startEngine("drafting-2", "draft", "lot-note-check")
@@ -159,7 +159,7 @@
 	s.startStandin("store-1", process.Store, process.File{Store: process.StoreFile{MemoryBytes: 1 << 30, DiskBytes: 4 << 30, LinkRate: 400 << 20}})
 }
 
-// Speeds and sizes of the demo's engines; a dossier of ten pieces takes about a second to compute.
+// Rates and sizes of the demo's engines; the prefill of a dossier of ten pieces takes about a second.
 const (
 	prefillRate = 40_000
 	decodeRate  = 200
@@ -189,15 +189,15 @@
 	for _, a := range s.http {
 		f.Entries = append(f.Entries, "http://"+a.String())
 	}
-	s.parts[name] = startPart(name, func(ctx context.Context) error {
+	s.components[name] = startComponent(name, func(ctx context.Context) error {
 		return process.Run(ctx, k, f, s.config.Logs)
 	})
 }
 
-// stop ends all parts that run: backend servers first, then entries, then control replicas.
+// stop stops all running components: backend servers first, then entries, then control replicas.
 func (s *site) stop() error {
 	groups := [][]string{{}, {}, {}}
-	for name := range s.parts {
+	for name := range s.components {
 		groups[s.group(name)] = append(groups[s.group(name)], name)
 	}
 	var all []error
@@ -225,11 +225,11 @@
 	errs := make([]error, len(names))
 	var stopped sync.WaitGroup
 	for i, n := range names {
-		stopped.Go(func() { errs[i] = s.parts[n].stop() })
+		stopped.Go(func() { errs[i] = s.components[n].stop() })
 	}
 	stopped.Wait()
 	for _, n := range names {
-		delete(s.parts, n)
+		delete(s.components, n)
 	}
 	return errors.Join(errs...)
 }
--- a/internal/cli/demo/tour.go
+++ b/internal/cli/demo/tour.go
@@ -11,28 +11,28 @@
 	"hornbeamwood/internal/entry/status"
 )
 
-// Sizes of the tour's prompts in pieces of 4,000 tokens.
+// Sizes of the tour's prompts in pieces of 4,000 tokens, and the time limits of its steps.
 const (
-	pieceText    = 16_000
-	dossierSize  = 8
-	fillerSize   = 5
-	fillers      = 4
-	waitTime     = 15 * time.Second
-	waitInterval = 50 * time.Millisecond
+	pieceTextBytes  = 16_000
+	dossierPieces   = 8
+	fillerPieces    = 5
+	fillersPerRound = 4
+	stepTimeout     = 15 * time.Second
+	retryInterval   = 50 * time.Millisecond
 )
 
 // tour is the scripted run of demo --once.
 type tour struct {
 	site *site
 	rows []row
-	// pushed counts the prompts that pushed others out; each is a new one.
-	pushed int
+	// fillersSent counts the filler prompts, which evict other prompts; each is different.
+	fillersSent int
 }
 
-// steps of the tour in their order.
+// steps lists the steps of the tour in order.
 var steps = []struct {
 	name string
-	run  func(t *tour, ctx context.Context) (answer, error)
+	run  func(t *tour, ctx context.Context) (response, error)
 }{
 	{"dossier, first time", (*tour).dossierFirst},
 	{"dossier returns after eviction", (*tour).dossierReturns},
@@ -42,17 +42,17 @@
 	{"issue stamp sent twice", (*tour).stampTwice},
 	{"settings change in force", (*tour).settingsChange},
 	{"backend server lost", (*tour).serverLost},
-	{"control leader gone, edit accepted", (*tour).leaderGone},
+	{"control leader gone, edit accepted", (*tour).leaderStopped},
 }
 
-// run carries out all steps and returns whether all held.
+// run runs all steps and reports whether all passed.
 func (t *tour) run(ctx context.Context) bool {
 	all := true
 	for _, s := range steps {
 		a, err := s.run(t, ctx)
-		r := row{step: s.name, answer: a, held: err == nil}
+		r := row{step: s.name, response: a, passed: err == nil}
 		if err != nil {
-			r.because = err.Error()
+			r.reason = err.Error()
 			all = false
 		}
 		t.rows = append(t.rows, r)
@@ -60,56 +60,56 @@
 	return all
 }
 
-// text returns a prompt of n pieces that no other name gives.
-func text(name string, n int) string {
-	line := name + ": coating lot, plant, date, result; "
-	return strings.Repeat(line, n*pieceText/len(line)+1)
+// promptText returns a prompt of n pieces that is unique to name.
+func promptText(name string, n int) string {
+	sentence := name + ": coating lot, plant, date, result; "
+	return strings.Repeat(sentence, n*pieceTextBytes/len(sentence)+1)
 }
 
-// whole sends a completion and fails unless the whole answer came.
-func (t *tour) whole(ctx context.Context, entry int, key, model, prompt string) (answer, error) {
+// complete sends a completion request and returns an error unless the response is complete.
+func (t *tour) complete(ctx context.Context, entry int, key, model, prompt string) (response, error) {
 	a, err := completion(t.site.url(entry), key, model, prompt).do(ctx)
 	if err != nil {
 		return a, err
 	}
-	if a.status != http.StatusOK || !a.Whole {
-		return a, fmt.Errorf("status %d, whole %v: %.200s", a.status, a.Whole, a.body)
+	if a.status != http.StatusOK || !a.Complete {
+		return a, fmt.Errorf("status %d, complete %v: %.200s", a.status, a.Complete, a.body)
 	}
 	return a, nil
 }
 
-func (t *tour) dossierFirst(ctx context.Context) (answer, error) {
-	return t.whole(ctx, 0, draftKey, "draft", text("dossier", dossierSize))
+func (t *tour) dossierFirst(ctx context.Context) (response, error) {
+	return t.complete(ctx, 0, draftKey, "draft", promptText("dossier", dossierPieces))
 }
 
-func (t *tour) dossierReturns(ctx context.Context) (answer, error) {
-	return t.returns(ctx, draftKey, "draft", "lot-note-check", text("dossier", dossierSize))
+func (t *tour) dossierReturns(ctx context.Context) (response, error) {
+	return t.sendAfterEviction(ctx, draftKey, "draft", "lot-note-check", promptText("dossier", dossierPieces))
 }
 
-func (t *tour) logbookFirst(ctx context.Context) (answer, error) {
-	return t.whole(ctx, 0, logbookKey, "logbook-check", text("logbook", dossierSize))
+func (t *tour) logbookFirst(ctx context.Context) (response, error) {
+	return t.complete(ctx, 0, logbookKey, "logbook-check", promptText("logbook", dossierPieces))
 }
 
-func (t *tour) logbookReturns(ctx context.Context) (answer, error) {
-	return t.returns(ctx, logbookKey, "logbook-check", "schedule-question", text("logbook", dossierSize))
+func (t *tour) logbookReturns(ctx context.Context) (response, error) {
+	return t.sendAfterEviction(ctx, logbookKey, "logbook-check", "schedule-question", promptText("logbook", dossierPieces))
 }
 
-// returns pushes a prompt out of the engines' memory by others and sends it
-// again through the other entry, until its pieces come from a store.
-func (t *tour) returns(ctx context.Context, key, model, filler, prompt string) (answer, error) {
-	var a answer
+// sendAfterEviction evicts a prompt from the engines' caches with filler prompts and
+// sends it again through the other entry, until its pieces come from a store.
+func (t *tour) sendAfterEviction(ctx context.Context, key, model, filler, prompt string) (response, error) {
+	var a response
 	err := t.until(ctx, "most of the prompt comes from the store", func() error {
-		for i := range fillers {
-			if _, err := t.whole(ctx, i%entries, key, filler, t.filler()); err != nil {
+		for i := range fillersPerRound {
+			if _, err := t.complete(ctx, i%entries, key, filler, t.filler()); err != nil {
 				return err
 			}
 		}
 		var err error
-		if a, err = t.whole(ctx, 1, key, model, prompt); err != nil {
+		if a, err = t.complete(ctx, 1, key, model, prompt); err != nil {
 			return err
 		}
-		if a.Imported == 0 || a.Recomputed() > 0.5 {
-			return fmt.Errorf("%.0f %% recomputed, %d bytes imported", 100*a.Recomputed(), a.Imported)
+		if a.ImportedBytes == 0 || a.RecomputedShare() > 0.5 {
+			return fmt.Errorf("%.0f %% recomputed, %d bytes imported", 100*a.RecomputedShare(), a.ImportedBytes)
 		}
 		return nil
 	})
@@ -117,17 +117,17 @@
 }
 
 func (t *tour) filler() string {
-	t.pushed++
-	return text(fmt.Sprintf("filler %d", t.pushed), fillerSize)
+	t.fillersSent++
+	return promptText(fmt.Sprintf("filler %d", t.fillersSent), fillerPieces)
 }
 
-func (t *tour) statusRead(ctx context.Context) (answer, error) {
-	return t.whole(ctx, 1, draftKey, "status-read", "is lot 7 released?")
+func (t *tour) statusRead(ctx context.Context) (response, error) {
+	return t.complete(ctx, 1, draftKey, "status-read", "is lot 7 released?")
 }
 
-func (t *tour) stampTwice(ctx context.Context) (answer, error) {
-	stamp := call{method: http.MethodPost, key: draftKey, body: `{"lot": 7}`, header: map[string]string{"Idempotency-Key": "lot-7"}}
-	var all []answer
+func (t *tour) stampTwice(ctx context.Context) (response, error) {
+	stamp := apiCall{method: http.MethodPost, key: draftKey, body: `{"lot": 7}`, header: map[string]string{"Idempotency-Key": "lot-7"}}
+	var all []response
 	for i := range entries {
 		stamp.url = t.site.url(i) + "/services/issue-stamps/issue"
 		a, err := stamp.do(ctx)
@@ -145,14 +145,14 @@
 	return all[1], nil
 }
 
-// edit sets one value against the newest revision and waits until it is in force.
-func (t *tour) edit(ctx context.Context, id, body string) (answer, error) {
+// edit changes one setting based on the newest revision and waits until it is in force.
+func (t *tour) edit(ctx context.Context, id, body string) (response, error) {
 	branch := t.site.url(1) + "/settings/workspaces/bogota"
-	got, err := call{method: http.MethodGet, url: branch, key: operatorKey}.do(ctx)
+	got, err := apiCall{method: http.MethodGet, url: branch, key: operatorKey}.do(ctx)
 	if err != nil {
 		return got, err
 	}
-	a, err := call{
+	a, err := apiCall{
 		method: http.MethodPatch, url: branch + "?wait=in-force", key: operatorKey, body: body,
 		header: map[string]string{"Content-Type": "application/toml", "If-Match": got.etag, "Idempotency-Key": id},
 	}.do(ctx)
@@ -162,35 +162,35 @@
 	return a, err
 }
 
-func (t *tour) settingsChange(ctx context.Context) (answer, error) {
+func (t *tour) settingsChange(ctx context.Context) (response, error) {
 	return t.edit(ctx, "tour-1", "max-in-flight = 200\n")
 }
 
-// serverLost takes away one of the two drafting servers without notice.
-func (t *tour) serverLost(ctx context.Context) (answer, error) {
-	t.site.parts["drafting-1"].lose()
-	delete(t.site.parts, "drafting-1")
-	var a answer
-	for i := range fillers {
+// serverLost crashes one of the two drafting servers.
+func (t *tour) serverLost(ctx context.Context) (response, error) {
+	t.site.components["drafting-1"].crash()
+	delete(t.site.components, "drafting-1")
+	var a response
+	for i := range fillersPerRound {
 		var err error
-		if a, err = t.whole(ctx, i%entries, draftKey, "draft", fmt.Sprintf("short draft %d", i)); err != nil {
+		if a, err = t.complete(ctx, i%entries, draftKey, "draft", fmt.Sprintf("short draft %d", i)); err != nil {
 			return a, err
 		}
 	}
 	return a, nil
 }
 
-// leaderGone stops the control log's leader for good.
-func (t *tour) leaderGone(ctx context.Context) (answer, error) {
+// leaderStopped stops the leader of the control log permanently.
+func (t *tour) leaderStopped(ctx context.Context) (response, error) {
 	name, err := t.leader(ctx)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	if err := t.site.parts[name].stop(); err != nil {
-		return answer{}, err
+	if err := t.site.components[name].stop(); err != nil {
+		return response{}, err
 	}
-	delete(t.site.parts, name)
-	var a answer
+	delete(t.site.components, name)
+	var a response
 	err = t.until(ctx, "the edit is accepted", func() error {
 		var err error
 		a, err = t.edit(ctx, "tour-2", "max-in-flight = 220\n")
@@ -200,7 +200,7 @@
 }
 
 func (t *tour) leader(ctx context.Context) (string, error) {
-	a, err := call{method: http.MethodGet, url: t.site.url(1) + "/status", key: operatorKey}.do(ctx)
+	a, err := apiCall{method: http.MethodGet, url: t.site.url(1) + "/status", key: operatorKey}.do(ctx)
 	if err != nil {
 		return "", err
 	}
@@ -213,12 +213,12 @@
 			return x.Name, nil
 		}
 	}
-	return "", fmt.Errorf("no control replica leads")
+	return "", fmt.Errorf("no control replica is the leader")
 }
 
-// until repeats f until it succeeds.
+// until retries f until it succeeds or the timeout ends.
 func (t *tour) until(ctx context.Context, what string, f func() error) error {
-	end := time.Now().Add(waitTime)
+	end := time.Now().Add(stepTimeout)
 	for {
 		err := f()
 		if err == nil {
@@ -227,6 +227,6 @@
 		if ctx.Err() != nil || time.Now().After(end) {
 			return fmt.Errorf("%s: %w", what, err)
 		}
-		time.Sleep(waitInterval)
+		time.Sleep(retryInterval)
 	}
 }
--- a/internal/cli/demo/tree.go
+++ b/internal/cli/demo/tree.go
@@ -21,8 +21,8 @@
 
 // mergedTree returns one settings tree with the workspaces, models and services of both examples.
 //
-// What an example sets at its root holds for its own workspaces and models
-// only, so it moves down to them.
+// The root settings of an example apply to its own workspaces and models only, so
+// they are pushed down to these.
 func mergedTree() ([]byte, error) {
 	first, err := decode(examples.Certilote)
 	if err != nil {
@@ -33,11 +33,11 @@
 		return nil, err
 	}
 	for _, t := range []table{first, second} {
-		t.sink()
-		t.move()
+		t.pushDownRootSettings()
+		t.setRegion()
 	}
 	for _, name := range []string{workspacesTable, modelsTable, servicesTable} {
-		maps.Copy(first.sub(name), second.sub(name))
+		maps.Copy(first.subtable(name), second.subtable(name))
 	}
 	return toml.Marshal(first)
 }
@@ -50,36 +50,36 @@
 	return t, nil
 }
 
-// sub returns the table of the given name below t.
-func (t table) sub(name string) table {
+// subtable returns the table with the given name in t.
+func (t table) subtable(name string) table {
 	m, _ := t[name].(map[string]any)
 	return m
 }
 
-// region is that of the demo's processes; a workspace's calls are claimed in its own region only.
+// region is the region of the demo's components; calls of a workspace are claimed only in its own region.
 const region = "andes-centro"
 
-// move puts all workspaces into the demo's region.
-func (t table) move() {
-	for _, b := range t.sub(workspacesTable) {
+// setRegion assigns all workspaces to the demo's region.
+func (t table) setRegion() {
+	for _, b := range t.subtable(workspacesTable) {
 		if m, ok := b.(map[string]any); ok {
 			m["region"] = region
 		}
 	}
 }
 
-// modelSettings are those of a root's settings that belong to models.
+// modelSettings are the root settings that belong to models.
 var modelSettings = map[string]bool{"piece-tokens": true, "context-tokens": true}
 
-// sink moves the settings of the root to the branches below it.
-func (t table) sink() {
+// pushDownRootSettings moves the root settings to the branches below, where they do not override a setting.
+func (t table) pushDownRootSettings() {
 	for key, value := range t {
 		if _, ok := value.(map[string]any); ok {
 			continue
 		}
-		below := t.sub(workspacesTable)
+		below := t.subtable(workspacesTable)
 		if modelSettings[key] {
-			below = t.sub(modelsTable)
+			below = t.subtable(modelsTable)
 		}
 		for _, b := range below {
 			if m, ok := b.(map[string]any); ok && m[key] == nil {
--- a/internal/cli/explain/doc.go
+++ b/internal/cli/explain/doc.go
@@ -1,3 +1,3 @@
-// Package explain tells the story of one request from the logs of several
-// processes.
+// Package explain reconstructs from the logs of several processes what happened
+// to one request, and counts the causes of late answers and of prefill.
 package explain
--- a/internal/cli/explain/line.go
+++ b/internal/cli/explain/line.go
@@ -19,8 +19,8 @@
 	Fields  map[string]any `json:"fields"`
 }
 
-// parse returns the log line in b and false when there is none; what stands
-// before it, as collectors of logs add, is passed over.
+// parse returns the log line in b, and false if there is none. It skips a
+// prefix, as log collectors add.
 func parse(b []byte) (line, bool) {
 	at := bytes.IndexByte(b, '{')
 	if at < 0 {
@@ -36,13 +36,13 @@
 	return l, true
 }
 
-// text returns a field as text, empty when it isn't there.
+// text returns a string field, or an empty string if the field is missing.
 func (l line) text(name string) string {
 	s, _ := l.Fields[name].(string)
 	return s
 }
 
-// number returns a field as a number, -1 when it isn't there.
+// number returns an integer field, or -1 if the field is missing.
 func (l line) number(name string) int64 {
 	n, ok := l.Fields[name].(json.Number)
 	if !ok {
@@ -55,19 +55,19 @@
 	return v
 }
 
-// millis returns a field that counts milliseconds, zero when it isn't there.
+// millis returns a field in milliseconds, or zero if the field is missing.
 func (l line) millis(name string) time.Duration {
 	return time.Duration(max(0, l.number(name))) * time.Millisecond
 }
 
-// each calls take with every log line.
-func each(logs []io.Reader, take func(l line)) error {
+// forEachLine calls visit with every log line.
+func forEachLine(logs []io.Reader, visit func(l line)) error {
 	for _, r := range logs {
 		scanner := bufio.NewScanner(r)
 		scanner.Buffer(nil, maxLine)
 		for scanner.Scan() {
 			if l, ok := parse(scanner.Bytes()); ok {
-				take(l)
+				visit(l)
 			}
 		}
 		if err := scanner.Err(); err != nil {
--- a/internal/cli/explain/losses.go
+++ b/internal/cli/explain/losses.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-// LossesConfig says what counts as late.
+// LossesConfig holds the latency targets of the report.
 type LossesConfig struct {
-	// Target is the time to the first event, or to the whole answer where there are no events, within which an answer is on time.
+	// Target is the latency target: the time to the first event, or to the complete response if it is not a stream.
 	Target time.Duration
-	// Targets are those of single routes.
+	// Targets overrides Target for individual routes.
 	Targets map[string]time.Duration
-	// Gap is the longest pause between events at which a stream is on time.
-	Gap time.Duration
-	// Step is the span of one row of the course.
+	// EventGap is the longest event gap of a stream that is on time.
+	EventGap time.Duration
+	// Step is the interval that one row of the time series covers.
 	Step time.Duration
 }
 
-// onTime is the reason of a request that lost nothing.
+// onTime is the reason recorded for a request that met its target.
 const onTime = "on time"
 
-// Losses counts why requests were not answered on time.
+// Losses counts the reasons why requests were not answered on time.
 type Losses struct {
 	config LossesConfig
-	// routed are the last routing decisions of the requests that haven't ended.
+	// routed holds the last routing decision of each request.
 	routed map[string]line
-	// reasons are counts by route and reason, course by step and reason.
+	// reasons counts requests by route and reason, series by step and reason.
 	reasons map[string]map[string]int
-	course  map[int64]map[string]int
+	series  map[int64]map[string]int
 	first   time.Time
 }
 
-// ReadLosses counts the requests in logs of entries.
+// ReadLosses counts the requests in the logs of entries.
 func ReadLosses(c LossesConfig, logs ...io.Reader) (Losses, error) {
-	s := Losses{config: c, routed: map[string]line{}, reasons: map[string]map[string]int{}, course: map[int64]map[string]int{}}
+	s := Losses{config: c, routed: map[string]line{}, reasons: map[string]map[string]int{}, series: map[int64]map[string]int{}}
 	var ended []line
-	err := each(logs, func(l line) {
+	err := forEachLine(logs, func(l line) {
 		switch l.Message {
 		case "attempt-routed":
 			s.routed[l.text("request")] = l
@@ -57,7 +57,7 @@
 	return s, nil
 }
 
-// count adds a request that has ended, at the moment of its arrival.
+// count adds a request that has ended to the step in which it arrived.
 func (s *Losses) count(l line) {
 	at, err := time.Parse(time.RFC3339Nano, l.Time)
 	if err != nil {
@@ -69,7 +69,7 @@
 	}
 	reason := s.reason(l, s.routed[l.text("request")])
 	add(s.reasons, l.text("route"), reason)
-	add(s.course, int64(at.Sub(s.first)/s.config.Step), reason)
+	add(s.series, int64(at.Sub(s.first)/s.config.Step), reason)
 }
 
 func add[K comparable](counts map[K]map[string]int, key K, reason string) {
@@ -79,12 +79,12 @@
 	counts[key][reason]++
 }
 
-// reason says why a request was not answered on time.
+// reason returns why a request was not answered on time.
 func (s *Losses) reason(ended, routed line) string {
 	status := ended.number("status")
 	switch {
 	case ended.text("reason") == "caller-left":
-		return "caller left, " + where(ended, routed)
+		return "caller left, " + progress(ended, routed)
 	case ended.text("verdict") == "not-run" && status >= http.StatusBadRequest:
 		return "refused, " + ended.text("reason")
 	case status < http.StatusOK || status >= http.StatusMultipleChoices || ended.text("reason") != "":
@@ -93,8 +93,8 @@
 	return s.lateness(ended, routed)
 }
 
-// where says how far a request had come when its caller left.
-func where(ended, routed line) string {
+// progress describes how far a request had come when its caller disconnected.
+func progress(ended, routed line) string {
 	switch {
 	case ended.number("first-ms") >= 0:
 		return "in the stream"
@@ -106,7 +106,7 @@
 	return "before the first event"
 }
 
-// lateness says why an answer was late.
+// lateness returns why an answer was late.
 func (s *Losses) lateness(ended, routed line) string {
 	target, ok := s.config.Targets[ended.text("route")]
 	if !ok {
@@ -118,7 +118,7 @@
 	}
 	from := routed.text("from")
 	switch {
-	case first <= target && ended.millis("longest-pause-ms") > s.config.Gap:
+	case first <= target && ended.millis("longest-pause-ms") > s.config.EventGap:
 		return "late, pause in the stream"
 	case first <= target:
 		return onTime
@@ -132,7 +132,7 @@
 	return "late, at the server"
 }
 
-// Write writes the counts by route and reason, and the course of the losses.
+// Write writes the counts by route and reason, followed by the time series.
 func (s Losses) Write(w io.Writer) error {
 	var b strings.Builder
 	b.WriteString("requests by route and reason\n")
@@ -142,20 +142,20 @@
 		}
 	}
 	b.WriteString("seconds since the first, requests, on time, most frequent losses\n")
-	for _, step := range sorted(s.course) {
-		fmt.Fprintf(&b, "  %5.1f %s\n", (time.Duration(step) * s.config.Step).Seconds(), row(s.course[step]))
+	for _, step := range sorted(s.series) {
+		fmt.Fprintf(&b, "  %5.1f %s\n", (time.Duration(step) * s.config.Step).Seconds(), row(s.series[step]))
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
-// row tells one step of the course.
+// row formats one step of the time series.
 func row(counts map[string]int) string {
-	const most = 3
+	const maxLosses = 3
 	all, losses := 0, []string{}
 	for _, reason := range byCount(counts) {
 		all += counts[reason]
-		if reason != onTime && len(losses) < most {
+		if reason != onTime && len(losses) < maxLosses {
 			losses = append(losses, fmt.Sprintf("%d %s", counts[reason], reason))
 		}
 	}
@@ -172,7 +172,7 @@
 	return keys
 }
 
-// byCount returns the reasons, the most frequent first.
+// byCount returns the reasons, most frequent first.
 func byCount(counts map[string]int) []string {
 	all := sorted(counts)
 	slices.SortStableFunc(all, func(a, b string) int { return counts[b] - counts[a] })
--- a/internal/cli/explain/losses_test.go
+++ b/internal/cli/explain/losses_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// After a bad morning the engineer asks what was lost, when and why. Each way of
-// losing a request must be told apart from the logs alone.
+// After an incident an engineer asks which requests were lost, when and why. The
+// logs alone must distinguish each way of losing a request.
 func TestLosses(t *testing.T) {
 	f, err := os.Open(filepath.Join("testdata", "losses.log"))
 	if err != nil {
@@ -17,7 +17,7 @@
 	}
 	defer f.Close()
 	s, err := ReadLosses(LossesConfig{
-		Target: time.Second, Gap: 500 * time.Millisecond, Step: 2 * time.Second,
+		Target: time.Second, EventGap: 500 * time.Millisecond, Step: 2 * time.Second,
 		Targets: map[string]time.Duration{"status": 100 * time.Millisecond},
 	}, f)
 	if err != nil {
--- a/internal/cli/explain/readings_test.go
+++ b/internal/cli/explain/prefills_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Guards against causes of readings, whose remedies differ, being counted as one.
+// Causes of prefill have different remedies; this guards against counting them as one.
 func TestReadings(t *testing.T) {
 	f, err := os.Open(filepath.Join("testdata", "readings.log"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	s, err := ReadReadings(ReadingsConfig{Step: 2 * time.Second, News: 2 * time.Second}, f)
+	s, err := ReadPrefills(PrefillsConfig{Step: 2 * time.Second, UpdateDelay: 2 * time.Second}, f)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cli/explain/story_test.go
+++ b/internal/cli/explain/timeline_test.go
@@ -10,11 +10,11 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// The logs that docs/OPERATIONS.md works from. Each of its three requests must
-// lead to its cause with the command that the page names.
-func TestStories(t *testing.T) {
+// These are the logs that docs/OPERATIONS.md uses. The command named there must
+// lead from each of its three requests to the cause.
+func TestTimelines(t *testing.T) {
 	for _, request := range []string{"5f1c7a20e4", "8b03d94c17", "c26e51f8a9"} {
 		var logs [2]*os.File
 		for i, name := range []string{"entry-1.log", "entry-2.log"} {
@@ -38,12 +38,12 @@
 }
 
 func TestUnknownRequest(t *testing.T) {
-	if _, err := Read("nobody", strings.NewReader("not a log line\n{}\n")); !errors.Is(err, ErrUnknown) {
+	if _, err := Read("nobody", strings.NewReader("not a log line\n{}\n")); !errors.Is(err, ErrUnknownRequest) {
 		t.Errorf("got %v", err)
 	}
 }
 
-// golden compares with the golden file of that name.
+// golden compares got with the golden file of that name.
 func golden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
--- a/internal/cli/keys/doc.go
+++ b/internal/cli/keys/doc.go
@@ -1,2 +1,2 @@
-// Package keys is the command line's part that makes the keys of nodes.
+// Package keys implements the keys commands, which create the certificates and keys of nodes.
 package keys
--- a/internal/cli/keys/keys.go
+++ b/internal/cli/keys/keys.go
@@ -9,23 +9,23 @@
 	"hornbeamwood/internal/node/keys"
 )
 
-// Config is what the verbs of keys take.
+// Config holds the flags of the keys commands.
 type Config struct {
 	// Folder holds the authority's files.
 	Folder string
-	// Out is where a node's files go; the authority's folder when empty.
+	// Out is the folder for a node's files; empty means Folder.
 	Out string
 	// Name is the node's name in its node file.
 	Name string
 	// Role is entry, control or operator.
 	Role string
-	// Valid is how long the certificate is valid.
-	Valid time.Duration
+	// Validity is how long the certificate is valid.
+	Validity time.Duration
 }
 
-// Authority makes a certificate authority and says where its files are.
+// Authority creates a certificate authority and prints the paths of its files.
 func Authority(c Config, w io.Writer) error {
-	if _, err := keys.NewAuthority(c.Folder, c.Valid); err != nil {
+	if _, err := keys.NewAuthority(c.Folder, c.Validity); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(w, "certificate  %s\nprivate key  %s  (keep it off the nodes)\n",
@@ -33,7 +33,7 @@
 	return err
 }
 
-// Node makes the keys of one node and says where its files are.
+// Node issues the keys of one node and prints the paths of its files.
 func Node(c Config, w io.Writer) error {
 	a, err := keys.LoadAuthority(c.Folder)
 	if err != nil {
@@ -43,7 +43,7 @@
 	if out == "" {
 		out = c.Folder
 	}
-	i, err := a.Issue(keys.Request{Name: c.Name, Role: keys.Role(c.Role), Valid: c.Valid}, out)
+	i, err := a.Issue(keys.Request{Name: c.Name, Role: keys.Role(c.Role), Valid: c.Validity}, out)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/load/doc.go
+++ b/internal/cli/load/doc.go
@@ -1,5 +1,5 @@
 // Package load replays the workload of a deployment against running entries.
 //
-// Requests go out at their arrival times whatever the entries do (an open
-// loop), so that an overload shows as it would to callers.
+// Requests are sent at their arrival times regardless of how the entries respond
+// (an open loop), so that overload shows as it would to callers.
 package load
--- a/internal/cli/load/load.go
+++ b/internal/cli/load/load.go
@@ -14,35 +14,35 @@
 	"hornbeamwood/internal/load/workload"
 )
 
-// idleConns is the number of kept connections to one entry.
+// idleConns is the number of idle connections that are kept to one entry.
 const idleConns = 256
 
 // Run replays the workload and writes the result to w.
 func Run(ctx context.Context, c Config, w io.Writer) error {
 	if len(c.Entries) == 0 {
-		return errors.New("--entry: name at least one entry")
+		return errors.New("--entry: at least one entry is required")
 	}
 	g, err := c.workload()
 	if err != nil {
 		return err
 	}
 	t := newTally()
-	began := time.Now()
-	stop := report(c, t, began)
-	replay(ctx, c, g, t, began)
+	start := time.Now()
+	stop := startProgress(c, t, start)
+	replay(ctx, c, g, t, start)
 	stop()
-	return write(c, t.result(time.Since(began)), w)
+	return writeResult(c, t.result(time.Since(start)), w)
 }
 
-// replay sends each request at its time and waits for the last answer.
-func replay(ctx context.Context, c Config, g workload.Config, t *tally, began time.Time) {
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConns}, Timeout: requestTime}
+// replay sends each request at its arrival time and waits for the last response.
+func replay(ctx context.Context, c Config, g workload.Config, t *tally, start time.Time) {
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConns}, Timeout: requestTimeout}
 	source := workload.New(g)
 	var running sync.WaitGroup
 	defer running.Wait()
 	for {
 		a, ok := source.Next()
-		if !ok || !until(ctx, began.Add(a.At)) {
+		if !ok || !sleepUntil(ctx, start.Add(a.At)) {
 			return
 		}
 		class := g.Deployment.Classes[a.Class].Name
@@ -60,7 +60,7 @@
 	}
 }
 
-func until(ctx context.Context, at time.Time) bool {
+func sleepUntil(ctx context.Context, at time.Time) bool {
 	t := time.NewTimer(time.Until(at))
 	defer t.Stop()
 	select {
@@ -71,8 +71,8 @@
 	}
 }
 
-// report writes a progress line a second until the returned function is called.
-func report(c Config, t *tally, began time.Time) (stop func()) {
+// startProgress writes a progress line every second until the returned function is called.
+func startProgress(c Config, t *tally, start time.Time) (stop func()) {
 	if c.Progress == nil {
 		return func() {}
 	}
@@ -88,9 +88,9 @@
 				return
 			case <-tick.C:
 			}
-			sent, whole, refused, failed, inFlight := t.sums()
+			sent, whole, refused, failed, inFlight := t.totals()
 			fmt.Fprintf(c.Progress, "\r%4.0f s  sent %d  whole %d  refused %d  failed %d  in flight %d   ",
-				time.Since(began).Seconds(), sent, whole, refused, failed, inFlight)
+				time.Since(start).Seconds(), sent, whole, refused, failed, inFlight)
 		}
 	})
 	return func() {
@@ -99,7 +99,7 @@
 	}
 }
 
-func write(c Config, r Result, w io.Writer) error {
+func writeResult(c Config, r Result, w io.Writer) error {
 	if c.JSON {
 		e := json.NewEncoder(w)
 		e.SetIndent("", "  ")
@@ -109,13 +109,13 @@
 	fmt.Fprintln(t, "CLASS\tSENT\tWHOLE\tREFUSED\tFAILED\tP50 MS\tP95 MS\tP99 MS\tRECOMPUTED\tIMPORTED MB\t")
 	for _, x := range r.Rows {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%s\t%.1f\t\n", x.Class, x.Sent, x.Whole, x.Refused, x.Failed,
-			x.P50, x.P95, x.P99, share(x.ComputedTokens, x.PromptTokens), float64(x.ImportedBytes)/1e6)
+			x.P50, x.P95, x.P99, percent(x.ComputedTokens, x.PromptTokens), float64(x.ImportedBytes)/1e6)
 	}
 	fmt.Fprintf(t, "\n%.1f s, %d not sent\n", r.Seconds, r.NotSent)
 	return t.Flush()
 }
 
-func share(part, all int64) string {
+func percent(part, all int64) string {
 	if all == 0 {
 		return "-"
 	}
--- a/internal/cli/load/outcome.go
+++ b/internal/cli/load/outcome.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// outcome is what came of one request.
+// outcome is the result of one request.
 type outcome struct {
 	class string
-	// first is the time to the first token, or to the answer of a plain service.
+	// first is the time to the first token, or to the response of a plain service.
 	first time.Duration
-	// status is the HTTP status, 0 when no answer came.
+	// status is the HTTP status, 0 if there was no response.
 	status int
-	// whole says that the answer came to its end.
+	// whole reports whether the response was complete.
 	whole bool
-	// verdict is what a refusal says.
+	// verdict is the Hornbeamwood-Verdict header of the response.
 	verdict string
-	// prompt, cached and imported are tokens, tokens and bytes.
+	// prompt and cached count tokens; imported counts bytes.
 	prompt, cached, imported int64
 }
--- a/internal/cli/load/request.go
+++ b/internal/cli/load/request.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// bytesPerToken is how entries and stand-ins count the tokens of a text.
-	bytesPerToken = 4
-	requestTime   = 3 * time.Minute
+	// bytesPerToken is the ratio by which entries and stand-ins estimate the tokens of a text.
+	bytesPerToken  = 4
+	requestTimeout = 3 * time.Minute
 )
 
-// prompt returns the text of an arrival; equal pieces give equal text.
+// prompt returns the prompt of an arrival; equal pieces give equal text.
 func prompt(d *workload.Deployment, a workload.Arrival) string {
 	var b strings.Builder
 	for _, k := range a.Pieces {
-		fill(&b, fmt.Sprintf("%016x ", k), d.PieceTokens*bytesPerToken)
+		repeatTo(&b, fmt.Sprintf("%016x ", k), d.PieceTokens*bytesPerToken)
 	}
-	fill(&b, fmt.Sprintf("question %d ", a.Number), a.Tail*bytesPerToken)
+	repeatTo(&b, fmt.Sprintf("question %d ", a.Number), a.Tail*bytesPerToken)
 	return b.String()
 }
 
-// fill writes word again and again until size bytes are written.
-func fill(b *strings.Builder, word string, size int) {
+// repeatTo writes word repeatedly until size bytes are written.
+func repeatTo(b *strings.Builder, word string, size int) {
 	whole := size / len(word)
 	for range whole {
 		b.WriteString(word)
@@ -55,7 +55,7 @@
 func newRequest(ctx context.Context, c Config, d *workload.Deployment, a workload.Arrival, entry string) (*http.Request, error) {
 	class := d.Classes[a.Class]
 	if class.Service != "" {
-		return newCall(ctx, c, class, a, entry)
+		return newServiceRequest(ctx, c, class, a, entry)
 	}
 	b, err := json.Marshal(body{
 		Model: class.Name, Prompt: prompt(d, a), MaxTokens: max(1, a.Answer),
@@ -69,11 +69,11 @@
 		return nil, err
 	}
 	q.Header.Set("Content-Type", "application/json")
-	q.Header.Set("Authorization", "Bearer "+c.key(a.Workspace))
+	q.Header.Set("Authorization", "Bearer "+c.apiKey(a.Workspace))
 	return q, nil
 }
 
-func newCall(ctx context.Context, c Config, class workload.Class, a workload.Arrival, entry string) (*http.Request, error) {
+func newServiceRequest(ctx context.Context, c Config, class workload.Class, a workload.Arrival, entry string) (*http.Request, error) {
 	method := http.MethodGet
 	if class.Rules.NonIdempotent {
 		method = http.MethodPost
@@ -82,14 +82,14 @@
 	if err != nil {
 		return nil, err
 	}
-	q.Header.Set("Authorization", "Bearer "+c.key(a.Workspace))
+	q.Header.Set("Authorization", "Bearer "+c.apiKey(a.Workspace))
 	if class.Rules.NonIdempotent {
 		q.Header.Set("Idempotency-Key", fmt.Sprintf("load-%d-%d-%d", c.Seed, time.Now().UnixNano(), a.Number))
 	}
 	return q, nil
 }
 
-// send carries out one request and returns its outcome.
+// send sends one request and returns its outcome.
 func send(client *http.Client, q *http.Request, class string) outcome {
 	o := outcome{class: class}
 	sent := time.Now()
@@ -107,7 +107,7 @@
 		return o
 	}
 	a, err := stream.Read(r.Body, sent)
-	o.first, o.whole = a.First, a.Whole && err == nil
-	o.prompt, o.cached, o.imported = a.Prompt, a.Cached, a.Imported
+	o.first, o.whole = a.FirstEvent, a.Complete && err == nil
+	o.prompt, o.cached, o.imported = a.PromptTokens, a.CachedTokens, a.ImportedBytes
 	return o
 }
--- a/internal/cli/run/doc.go
+++ b/internal/cli/run/doc.go
@@ -1,2 +1,2 @@
-// Package run starts the long-running verbs: it sets up logs and signals.
+// Package run sets up logging and signal handling for long-running commands.
 package run
--- a/internal/cli/run/logger.go
+++ b/internal/cli/run/logger.go
@@ -10,7 +10,7 @@
 	"hornbeamwood/internal/settings/node"
 )
 
-// NewLogger returns a logger that writes lines of the given format to w.
+// NewLogger returns a logger that writes lines in the given format to w.
 func NewLogger(f node.LogFormat, w io.Writer) log.Interface {
 	l := &log.Logger{Level: log.InfoLevel, Handler: json.New(w)}
 	if f == node.Text {
--- a/internal/cli/run/signals.go
+++ b/internal/cli/run/signals.go
@@ -7,10 +7,10 @@
 	"syscall"
 )
 
-// ExitCut is the exit code after a second signal.
-const ExitCut = 1
+// ExitInterrupted is the exit code after a second signal.
+const ExitInterrupted = 1
 
-// UntilSignal returns a context that ends on the first SIGTERM or SIGINT; a second one ends the process at once.
+// UntilSignal returns a context that is canceled on the first SIGTERM or SIGINT. A second signal exits the process at once.
 func UntilSignal() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	signals := make(chan os.Signal, 2)
@@ -19,7 +19,7 @@
 		<-signals
 		cancel()
 		<-signals
-		os.Exit(ExitCut)
+		os.Exit(ExitInterrupted)
 	}()
 	return ctx
 }
--- a/internal/cli/settings/check.go
+++ b/internal/cli/settings/check.go
@@ -12,13 +12,13 @@
 	"hornbeamwood/internal/settings/tree"
 )
 
-// Check reads a node file or a settings tree without starting anything; faults are tomlfile.Problems.
+// Check validates a node file or a settings tree without starting anything. Errors in the file are returned as tomlfile.Problems.
 func Check(c Config, stdout io.Writer) error {
 	b, err := c.read()
 	if err != nil {
 		return err
 	}
-	if isNode(b) {
+	if isNodeFile(b) {
 		f, err := node.Parse(c.File, b)
 		if err != nil {
 			return err
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// isNode says whether a TOML text is meant as a node file: only those have a role.
-func isNode(b []byte) bool {
+// isNodeFile reports whether a TOML text is a node file: only those have a role.
+func isNodeFile(b []byte) bool {
 	var top struct {
 		Role any `toml:"role"`
 	}
@@ -43,7 +43,7 @@
 	return err == nil && top.Role != nil
 }
 
-// CheckTree returns the valid tree that a TOML text holds, or tomlfile.Problems with file, line and key.
+// CheckTree returns the settings tree in a TOML text, or tomlfile.Problems with file, line and key if it is invalid.
 func CheckTree(file string, b []byte) (tree.Tree, error) {
 	s, err := tree.ParseTOML(tree.RootPath, file, b)
 	if err != nil {
--- a/internal/cli/settings/client.go
+++ b/internal/cli/settings/client.go
@@ -16,31 +16,31 @@
 	"hornbeamwood/internal/settings/tree"
 )
 
-// maxAnswer bounds what is read of an answer.
-const maxAnswer = 64 << 20
+// maxResponse bounds the bytes that are read of a response.
+const maxResponse = 64 << 20
 
 // request is one request to the operators' interface.
 type request struct {
-	method string
-	route  string
-	path   tree.Path
-	query  url.Values
-	media  string
-	accept string
-	body   []byte
-	base   string
-	editID string
+	method      string
+	route       string
+	path        tree.Path
+	query       url.Values
+	contentType string
+	accept      string
+	body        []byte
+	base        string
+	editID      string
 }
 
-// response is one answer that was a success.
+// response is one successful response.
 type response struct {
 	status   int
 	revision string
 	body     []byte
 }
 
-// do sends r once. An error of RefusedError is the entry's own answer; any
-// other error leaves open whether the request arrived.
+// do sends r once. A RefusedError is the entry's own response; after any other
+// error it is unknown whether the request arrived.
 func (c Config) do(ctx context.Context, r request) (response, error) {
 	target, err := c.target(r)
 	if err != nil {
@@ -53,7 +53,7 @@
 	for name, value := range map[string]string{
 		"Authorization":       "Bearer " + c.Key,
 		"Accept":              r.accept,
-		"Content-Type":        r.media,
+		"Content-Type":        r.contentType,
 		operator.BaseHeader:   r.base,
 		operator.EditIDHeader: r.editID,
 	} {
@@ -66,12 +66,12 @@
 		return response{}, fmt.Errorf("entry %s: %w", c.Entry, err)
 	}
 	defer a.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxResponse))
 	if err != nil {
 		return response{}, fmt.Errorf("entry %s: %w", c.Entry, err)
 	}
 	if a.StatusCode >= http.StatusMultipleChoices {
-		return response{}, refusal(a.StatusCode, body)
+		return response{}, refusedError(a.StatusCode, body)
 	}
 	return response{status: a.StatusCode, revision: a.Header.Get("ETag"), body: body}, nil
 }
@@ -79,27 +79,27 @@
 func (c Config) target(r request) (string, error) {
 	base, err := url.Parse(c.Entry)
 	if err != nil || base.Host == "" || (base.Scheme != "http" && base.Scheme != "https") {
-		return "", usage("--entry", "the URL of an entry is needed, for example http://127.0.0.1:8080, not %q", c.Entry)
+		return "", usage("--entry", "must be the URL of an entry, for example http://127.0.0.1:8080, not %q", c.Entry)
 	}
 	if c.Key == "" {
-		return "", usage("--key-file", "an operator's key is needed")
+		return "", usage("--key-file", "an operator's key is required")
 	}
 	u := base.JoinPath(r.route, strings.TrimSuffix(string(r.path), "/"))
 	u.RawQuery = r.query.Encode()
 	return u.String(), nil
 }
 
-func refusal(status int, body []byte) error {
+func refusedError(status int, body []byte) error {
 	e := RefusedError{Status: status}
 	if err := json.Unmarshal(body, &e.Failure); err != nil || e.Failure.Error.Code == "" {
 		e.Failure.Error.Code = "unexpected-answer"
-		e.Failure.Error.Message = fmt.Sprintf("the answer has status %d and is none of an entry's", status)
+		e.Failure.Error.Message = fmt.Sprintf("the response with status %d was not written by an entry", status)
 	}
 	return e
 }
 
-// unknown says whether err leaves open what became of an edit.
-func unknown(err error) bool {
+// outcomeUnknown reports whether the outcome of an edit is unknown after err.
+func outcomeUnknown(err error) bool {
 	var u UsageError
 	if err == nil || errors.As(err, &u) {
 		return false
--- a/internal/cli/settings/doc.go
+++ b/internal/cli/settings/doc.go
@@ -1,3 +1,3 @@
-// Package settings is the command line towards the operators' interface of any
-// entry, and the check of settings files without a running system.
+// Package settings implements the settings commands, which use the operator API
+// of any entry, and the offline check of settings files.
 package settings
--- a/internal/cli/settings/edit.go
+++ b/internal/cli/settings/edit.go
@@ -16,13 +16,13 @@
 	"hornbeamwood/internal/settings/tree"
 )
 
-// resends is how often an edit of unknown outcome is sent again.
-const resends = 5
+// maxAttempts is how often an edit is sent in all while its outcome is unknown.
+const maxAttempts = 5
 
 // inForce is the only value of --wait.
 const inForce = "in-force"
 
-// Set gives one setting of a branch a value.
+// Set assigns a value to one setting of a branch.
 func Set(ctx context.Context, c Config, stdout io.Writer) error {
 	p, s, err := c.setting()
 	if err != nil {
@@ -36,10 +36,10 @@
 	if err != nil {
 		return err
 	}
-	return c.withDefaults().edit(ctx, stdout, request{method: http.MethodPatch, path: p, media: "application/json", body: body})
+	return c.withDefaults().edit(ctx, stdout, request{method: http.MethodPatch, path: p, contentType: "application/json", body: body})
 }
 
-// Unset takes one setting, or the whole branch when none is named, from the tree.
+// Unset removes one setting from the tree, or the whole branch if no setting is named.
 func Unset(ctx context.Context, c Config, stdout io.Writer) error {
 	p, err := c.branch()
 	if err != nil {
@@ -55,7 +55,7 @@
 	return c.withDefaults().edit(ctx, stdout, request{method: http.MethodDelete, path: p, query: q})
 }
 
-// Apply makes a branch and all below it equal to a TOML file.
+// Apply replaces a branch and everything below it with the contents of a TOML file.
 func Apply(ctx context.Context, c Config, stdout io.Writer) error {
 	p, err := c.branch()
 	if err != nil {
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	err = c.withDefaults().edit(ctx, stdout, request{method: http.MethodPut, path: p, media: "application/toml", body: b})
+	err = c.withDefaults().edit(ctx, stdout, request{method: http.MethodPut, path: p, contentType: "application/toml", body: b})
 	var r RefusedError
 	if errors.As(err, &r) {
 		r.Failure.Error.Reasons = s.Locate(c.File, withoutLines(r.Failure.Error.Reasons))
@@ -78,19 +78,19 @@
 	return err
 }
 
-// withoutLines returns problems whose lines will be looked up in the file.
+// withoutLines returns the problems without line numbers, which are then looked up in the local file.
 func withoutLines(all tomlfile.Problems) tomlfile.Problems {
-	var bare tomlfile.Problems
+	var cleared tomlfile.Problems
 	for _, p := range all {
 		p.Line = 0
-		bare = append(bare, p)
+		cleared = append(cleared, p)
 	}
-	return bare
+	return cleared
 }
 
 func (c Config) read() ([]byte, error) {
 	if c.File == "" {
-		return nil, usage("FILE", "a TOML file is needed")
+		return nil, usage("FILE", "a TOML file is required")
 	}
 	if c.File == "-" {
 		return io.ReadAll(c.Stdin)
@@ -102,10 +102,10 @@
 	return b, nil
 }
 
-// edit sends r, again with the same edit id as long as its outcome is unknown.
+// edit sends r, and retries it with the same edit ID while its outcome is unknown.
 //
-// The answer to an accepted edit may be lost. A new edit in its place would
-// meet a conflict with the first; the same one is answered by its outcome.
+// The response to an accepted edit may be lost. A new edit would then conflict
+// with the first, whereas a retry returns the outcome of the first.
 func (c Config) edit(ctx context.Context, stdout io.Writer, r request) error {
 	if c.Wait != "" && c.Wait != inForce {
 		return usage("--wait", "takes %s only", inForce)
@@ -122,11 +122,11 @@
 	}
 	r.route, r.base, r.editID = "settings", `"`+base+`"`, c.EditID
 	a, err := c.do(ctx, r)
-	for tried := 1; unknown(err) && tried < resends && pause(ctx, c.Pause); tried++ {
+	for attempt := 1; outcomeUnknown(err) && attempt < maxAttempts && sleep(ctx, c.RetryDelay); attempt++ {
 		a, err = c.do(ctx, r)
 	}
-	if unknown(err) {
-		return UnknownError{EditID: c.EditID, Base: base, Cause: err}
+	if outcomeUnknown(err) {
+		return UnknownOutcomeError{EditID: c.EditID, Base: base, Cause: err}
 	}
 	if err != nil {
 		return err
@@ -134,7 +134,7 @@
 	return c.accepted(stdout, a)
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -145,7 +145,7 @@
 	}
 }
 
-// base returns the revision to edit against: the one that was given, or the newest.
+// base returns the revision that the edit is based on: the given one, or the newest.
 func (c Config) base(ctx context.Context) (string, error) {
 	if c.IfMatch != "" {
 		return strings.Trim(c.IfMatch, `"`), nil
@@ -157,7 +157,7 @@
 	return strings.Trim(a.revision, `"`), nil
 }
 
-// accepted is what is shown of an accepted edit.
+// accepted holds the fields of an accepted edit that are shown.
 type accepted struct {
 	Revision uint64 `json:"revision"`
 	Repeated bool   `json:"repeated"`
@@ -182,7 +182,7 @@
 	}
 	fmt.Fprintln(stdout, text)
 	if c.Wait == inForce && !x.InForce {
-		return fmt.Errorf("revision %d is accepted, and not yet in force everywhere", x.Revision)
+		return fmt.Errorf("revision %d is accepted, but not yet in force everywhere", x.Revision)
 	}
 	return nil
 }
--- a/internal/cli/settings/examples_test.go
+++ b/internal/cli/settings/examples_test.go
@@ -13,7 +13,7 @@
 
 const examples = "../../../examples"
 
-// An example that no longer fits the code misleads the operator who starts
+// An example that the code no longer accepts would mislead an operator who starts
 // from it.
 func TestExamplesAreValid(t *testing.T) {
 	for _, deployment := range []string{"certilote", "association"} {
@@ -32,11 +32,11 @@
 	}
 }
 
-// The measured workloads run under the rules of their classes. An example tree
-// with other rules would not give an operator the service that was measured.
+// The measured workloads use the rules of their classes. An example tree with
+// different rules would not give an operator the measured service.
 func TestExampleTreesHaveTheRulesThatAreMeasured(t *testing.T) {
 	for _, d := range []workload.Deployment{workload.Certilote(), workload.Association()} {
-		s := snapshot(t, d.Name)
+		s := exampleSnapshot(t, d.Name)
 		if len(s.Workspaces) != len(d.Customers) {
 			t.Errorf("%s has %d workspaces", d.Name, len(s.Workspaces))
 		}
@@ -47,7 +47,7 @@
 				if class.Service != "" {
 					got = w.Services[class.Service]
 				}
-				compare(t, d.Name+" "+c.Workspace+" "+class.Name, got, class.Rules)
+				checkRules(t, d.Name+" "+c.Workspace+" "+class.Name, got, class.Rules)
 			}
 		}
 		for _, m := range s.Models {
@@ -58,7 +58,7 @@
 	}
 }
 
-func snapshot(t *testing.T, deployment string) rules.Snapshot {
+func exampleSnapshot(t *testing.T, deployment string) rules.Snapshot {
 	t.Helper()
 	file := filepath.Join(examples, deployment, "tree.toml")
 	b, err := os.ReadFile(file)
@@ -75,8 +75,8 @@
 	return example.Build(1)
 }
 
-// compare holds the rules that a class states against those of the tree.
-func compare(t *testing.T, name string, got, want rules.Rules) {
+// checkRules compares the rules of the tree with those that a class states.
+func checkRules(t *testing.T, name string, got, want rules.Rules) {
 	t.Helper()
 	if got.Priority != want.Priority || got.Deadline != want.Deadline || got.Worth != want.Worth || got.NonIdempotent != want.NonIdempotent {
 		t.Errorf("%s: got %+v, want %+v", name, got, want)
--- a/internal/cli/settings/fake_test.go
+++ b/internal/cli/settings/fake_entry_test.go
@@ -20,47 +20,47 @@
 	"hornbeamwood/internal/settings/section"
 )
 
-var update = flag.Bool("update", false, "write the golden files")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// host is an entry with a control log of one replica.
-type host struct {
-	section section.Section
-	copy    follower.Follower
-	lose    atomic.Int32
+// fakeEntry is an entry with a control log of one replica. It drops the responses to the next dropResponses edits.
+type fakeEntry struct {
+	section       section.Section
+	follower      follower.Follower
+	dropResponses atomic.Int32
 }
 
-// Propose implements operator.Log; the time of all commands is the same, for golden files.
-func (h *host) Propose(_ context.Context, _ string, body []byte) ([]byte, error) {
+// Propose implements operator.Log. All commands have the same time, for the golden files.
+func (h *fakeEntry) Propose(_ context.Context, _ string, body []byte) ([]byte, error) {
 	b := h.section.Apply(time.Unix(1_800_000_000, 0), body)
-	_, err := h.copy.Apply(h.section.Changes(h.copy.View().Revision()))
+	_, err := h.follower.Apply(h.section.Changes(h.follower.View().Revision()))
 	return b, err
 }
 
 // Read implements operator.Log.
-func (h *host) Read(_ context.Context, _ string, body []byte) ([]byte, error) {
+func (h *fakeEntry) Read(_ context.Context, _ string, body []byte) ([]byte, error) {
 	return h.section.Query(body)
 }
 
 // Check implements operator.Lease.
-func (h *host) Check() error { return nil }
+func (h *fakeEntry) Check() error { return nil }
 
 // Wait implements operator.Force.
-func (h *host) Wait(context.Context, uint64) error { return nil }
+func (h *fakeEntry) Wait(context.Context, uint64) error { return nil }
 
-// newHost returns a host and the Config that reaches it, with one operator at revision 1.
-func newHost(t *testing.T) (*host, Config) {
+// newFakeEntry returns a fakeEntry and the Config that reaches it, with one operator at revision 1.
+func newFakeEntry(t *testing.T) (*fakeEntry, Config) {
 	t.Helper()
-	h := &host{section: section.New(), copy: follower.New()}
-	handler := operator.New(operator.Config{Log: h, Settings: h.copy, Lease: h, Force: h, BootstrapKeyDigest: digest.Of("bootstrap")})
+	h := &fakeEntry{section: section.New(), follower: follower.New()}
+	handler := operator.New(operator.Config{Log: h, Settings: h.follower, Lease: h, Force: h, BootstrapKeyDigest: digest.Of("bootstrap")})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.Method != http.MethodGet && h.lose.Add(-1) >= 0 {
+		if r.Method != http.MethodGet && h.dropResponses.Add(-1) >= 0 {
 			handler.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
 		}
 		handler.ServeHTTP(w, r)
 	}))
 	t.Cleanup(server.Close)
-	c := Config{Entry: server.URL, Key: "bootstrap", Client: server.Client(), Pause: time.Millisecond, EditID: "setup", File: treeFile(t)}
+	c := Config{Entry: server.URL, Key: "bootstrap", Client: server.Client(), RetryDelay: time.Millisecond, EditID: "setup", File: treeFile(t)}
 	if err := Apply(t.Context(), c, &bytes.Buffer{}); err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 	}
 }
 
-func revision(t *testing.T, h *host) uint64 {
+func revision(t *testing.T, h *fakeEntry) uint64 {
 	t.Helper()
 	b, err := codec.Marshal(section.Query{Kind: section.QueryHistory})
 	if err != nil {
--- a/internal/cli/settings/path.go
+++ b/internal/cli/settings/path.go
@@ -4,7 +4,7 @@
 	"hornbeamwood/internal/settings/tree"
 )
 
-// branch returns the branch that the arguments name.
+// branch parses the branch argument.
 func (c Config) branch() (tree.Path, error) {
 	p, err := tree.ParsePath(c.Path)
 	if err != nil {
@@ -13,14 +13,14 @@
 	return p, nil
 }
 
-// setting returns the branch and the setting that the arguments name.
+// setting parses the branch and setting arguments.
 func (c Config) setting() (tree.Path, tree.Setting, error) {
 	p, err := c.branch()
 	if err != nil {
 		return "", tree.Setting{}, err
 	}
 	if c.Setting == "" {
-		return "", tree.Setting{}, usage("KEY", "the name of a setting is needed")
+		return "", tree.Setting{}, usage("KEY", "the name of a setting is required")
 	}
 	s, err := tree.Lookup(p.Kind(), c.Setting)
 	if err != nil {
--- a/internal/cli/settings/settings_test.go
+++ b/internal/cli/settings/settings_test.go
@@ -14,12 +14,12 @@
 )
 
 func TestVerbs(t *testing.T) {
-	_, c := newHost(t)
+	_, c := newFakeEntry(t)
 	var out bytes.Buffer
-	run := func(title string, verb func(context.Context, Config, io.Writer) error, c Config) {
+	run := func(title string, command func(context.Context, Config, io.Writer) error, c Config) {
 		t.Helper()
 		out.WriteString("$ " + title + "\n")
-		if err := verb(t.Context(), c, &out); err != nil {
+		if err := command(t.Context(), c, &out); err != nil {
 			t.Errorf("%s: %v", title, err)
 		}
 	}
@@ -43,12 +43,11 @@
 	golden(t, "verbs", out.Bytes())
 }
 
-// The answer to an accepted edit is lost on its way, more than once. The same
-// edit is sent again under its id: the operator gets its outcome, and the edit
-// is in the tree once.
+// The response to an accepted edit is lost more than once. The client retries with
+// the same edit ID, so the operator gets the outcome and the edit is applied once.
 func TestLostAnswersAreAskedForAgain(t *testing.T) {
-	h, c := newHost(t)
-	h.lose.Store(2)
+	h, c := newFakeEntry(t)
+	h.dropResponses.Store(2)
 	c.Path, c.Setting, c.Value = "/", "priority", "5"
 	var out bytes.Buffer
 	if err := Set(t.Context(), c, &out); err != nil {
@@ -62,27 +61,27 @@
 	}
 }
 
-// No answer comes at all. The operator must learn that the edit may be in
-// force, and how to ask for its outcome.
+// No response arrives at all. The error must say that the outcome is unknown, and
+// with which flags the operator can ask for it.
 func TestUnknownOutcomeNamesTheEditID(t *testing.T) {
-	h, c := newHost(t)
-	h.lose.Store(100)
+	h, c := newFakeEntry(t)
+	h.dropResponses.Store(100)
 	c.Path, c.Setting, c.Value = "/", "priority", "5"
 	err := Set(t.Context(), c, &bytes.Buffer{})
-	var u UnknownError
+	var u UnknownOutcomeError
 	if !errors.As(err, &u) || !strings.Contains(err.Error(), "--edit-id edit-1 --if-match 1") {
 		t.Errorf("got %v", err)
 	}
-	h.lose.Store(0)
+	h.dropResponses.Store(0)
 	c.IfMatch = u.Base
 	var out bytes.Buffer
 	if err := Set(t.Context(), c, &out); err != nil || !strings.Contains(out.String(), "revision 2 when it was first sent") {
-		t.Errorf("asked again: %v, %s", err, out.String())
+		t.Errorf("retry: %v, %s", err, out.String())
 	}
 }
 
 func TestConflictShowsTheWinner(t *testing.T) {
-	_, c := newHost(t)
+	_, c := newFakeEntry(t)
 	c.Path, c.Setting, c.Value, c.IfMatch = "/", "priority", "5", "1"
 	if err := Set(t.Context(), c, &bytes.Buffer{}); err != nil {
 		t.Fatal(err)
@@ -94,10 +93,10 @@
 	}
 }
 
-// A wrong flag, argument or file is found before anything is sent, and the
-// message names what to mend.
+// An invalid flag, argument or file is reported before anything is sent, and the
+// message names what has to be corrected.
 func TestUsageErrors(t *testing.T) {
-	_, c := newHost(t)
+	_, c := newFakeEntry(t)
 	file := func(text string) string {
 		p := filepath.Join(t.TempDir(), "f.toml")
 		if err := os.WriteFile(p, []byte(text), 0o600); err != nil {
@@ -106,9 +105,9 @@
 		return p
 	}
 	for name, x := range map[string]struct {
-		verb   func(context.Context, Config, io.Writer) error
-		change func(*Config)
-		want   string
+		command func(context.Context, Config, io.Writer) error
+		change  func(*Config)
+		want    string
 	}{
 		"mistyped key":     {Set, func(c *Config) { c.Setting = "priorty" }, "KEY: / priorty: unknown key; the nearest known key is priority"},
 		"wrong value":      {Set, func(c *Config) { c.Setting, c.Value = "deadline", "5" }, `VALUE: / deadline: a duration like "4s" is expected`},
@@ -124,7 +123,7 @@
 	} {
 		d := c
 		x.change(&d)
-		err := x.verb(t.Context(), d, io.Discard)
+		err := x.command(t.Context(), d, io.Discard)
 		if err == nil || !strings.Contains(err.Error(), x.want) {
 			t.Errorf("%s: got %v, want %s", name, err, x.want)
 		}
--- a/internal/cli/settings/show.go
+++ b/internal/cli/settings/show.go
@@ -21,7 +21,7 @@
 		return err
 	}
 	if c.Setting != "" {
-		return c.value(ctx, stdout, p)
+		return c.showValue(ctx, stdout, p)
 	}
 	accept := "application/toml"
 	if c.JSON {
@@ -38,7 +38,7 @@
 	return err
 }
 
-// explanation is what is shown of effective values.
+// explanation holds the fields of effective values that are shown.
 type explanation struct {
 	Values []struct {
 		Key   string `json:"key"`
@@ -47,12 +47,12 @@
 	} `json:"values"`
 }
 
-func (c Config) value(ctx context.Context, stdout io.Writer, p tree.Path) error {
+func (c Config) showValue(ctx context.Context, stdout io.Writer, p tree.Path) error {
 	x, _, err := c.explanation(ctx, p)
 	if err != nil || len(x.Values) != 1 {
 		return err
 	}
-	fmt.Fprintln(stdout, text(x.Values[0].Value))
+	fmt.Fprintln(stdout, formatValue(x.Values[0].Value))
 	return nil
 }
 
@@ -61,11 +61,11 @@
 	if c.Setting != "" {
 		q.Set("key", c.Setting)
 	}
-	return show[explanation](ctx, c, request{route: "settings-explain", path: p, query: q})
+	return fetchJSON[explanation](ctx, c, request{route: "settings-explain", path: p, query: q})
 }
 
-// show returns the answer to a GET, decoded and as it came.
-func show[T any](ctx context.Context, c Config, r request) (T, []byte, error) {
+// fetchJSON returns the response to a GET request, decoded and as received.
+func fetchJSON[T any](ctx context.Context, c Config, r request) (T, []byte, error) {
 	var v T
 	r.method = http.MethodGet
 	a, err := c.withDefaults().do(ctx, r)
@@ -78,7 +78,7 @@
 	return v, a.body, nil
 }
 
-func text(v any) string {
+func formatValue(v any) string {
 	if s, ok := v.(string); ok {
 		return s
 	}
@@ -89,7 +89,7 @@
 	return string(b)
 }
 
-// Explain shows the effective values of a branch, each with the branch that it comes from.
+// Explain shows the effective values of a branch, each with the branch that sets it.
 func Explain(ctx context.Context, c Config, stdout io.Writer) error {
 	p, err := c.branch()
 	if err != nil {
@@ -109,12 +109,12 @@
 		if v.From == "" {
 			v.From = "(default)"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\n", v.Key, text(v.Value), v.From)
+		fmt.Fprintf(w, "%s\t%s\t%s\n", v.Key, formatValue(v.Value), v.From)
 	}
 	return w.Flush()
 }
 
-// effect is what is shown of one difference.
+// effect holds the fields of one change that are shown.
 type effect struct {
 	Action tree.Action `json:"action"`
 	Path   tree.Path   `json:"path"`
@@ -129,13 +129,13 @@
 	case e.Action != tree.Set:
 		return fmt.Sprintf("%s %s", e.Action, label)
 	case e.Before == nil:
-		return fmt.Sprintf("set %s to %s", label, text(e.After))
+		return fmt.Sprintf("set %s to %s", label, formatValue(e.After))
 	}
-	return fmt.Sprintf("set %s from %s to %s", label, text(e.Before), text(e.After))
+	return fmt.Sprintf("set %s from %s to %s", label, formatValue(e.Before), formatValue(e.After))
 }
 
-// trail is what is shown of the audit trail.
-type trail struct {
+// auditTrail holds the fields of the audit trail that are shown.
+type auditTrail struct {
 	Oldest  uint64 `json:"oldest"`
 	Records []struct {
 		Revision uint64   `json:"revision"`
@@ -155,7 +155,7 @@
 			q.Set(name, value)
 		}
 	}
-	x, body, err := show[trail](ctx, c, request{route: "settings-history", query: q})
+	x, body, err := fetchJSON[auditTrail](ctx, c, request{route: "settings-history", query: q})
 	if err != nil {
 		return err
 	}
@@ -176,13 +176,13 @@
 // Diff shows the net differences between two revisions.
 func Diff(ctx context.Context, c Config, stdout io.Writer) error {
 	if c.From == "" {
-		return usage("--from", "a revision is needed")
+		return usage("--from", "a revision is required")
 	}
 	q := url.Values{"from": {c.From}}
 	if c.To != "" {
 		q.Set("to", c.To)
 	}
-	x, body, err := show[struct {
+	x, body, err := fetchJSON[struct {
 		Effects []effect `json:"effects"`
 	}](ctx, c, request{route: "settings-diff", query: q})
 	if err != nil {
--- a/internal/cli/settings/usage_error.go
+++ b/internal/cli/settings/usage_error.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// UsageError is a mistake in a flag or an argument.
+// UsageError reports an invalid flag or argument.
 type UsageError struct {
 	// Flag names the flag or argument.
 	Flag string
-	// Message is one sentence.
+	// Message describes the error in one sentence.
 	Message string
 }
 
-// Error names the flag.
+// Error returns the flag and the message.
 func (e UsageError) Error() string {
 	return fmt.Sprintf("%s: %s", e.Flag, e.Message)
 }
--- a/internal/cli/status/doc.go
+++ b/internal/cli/status/doc.go
@@ -1,2 +1,2 @@
-// Package status is the command line's view of a deployment.
+// Package status implements the status command, which shows the state of a deployment.
 package status
--- a/internal/cli/status/status.go
+++ b/internal/cli/status/status.go
@@ -13,23 +13,23 @@
 	"hornbeamwood/internal/entry/status"
 )
 
-// maxAnswer bounds what is read of an entry's answer.
-const maxAnswer = 16 << 20
+// maxResponse bounds the bytes that are read of an entry's response.
+const maxResponse = 16 << 20
 
-// timeout bounds the request.
-const timeout = 10 * time.Second
+// requestTimeout bounds the request.
+const requestTimeout = 10 * time.Second
 
-// Config is what the verb status takes.
+// Config holds the flags of the status command.
 type Config struct {
 	// Entry is the URL of any entry.
 	Entry string
 	// Key is the operator's key.
 	Key string
-	// JSON asks for the entry's JSON in place of a table.
+	// JSON prints the entry's JSON instead of a table.
 	JSON bool
 }
 
-// Show writes where the deployment stands.
+// Show writes the deployment's status as one entry reports it.
 func Show(ctx context.Context, c Config, w io.Writer) error {
 	b, err := fetch(ctx, c)
 	if err != nil {
@@ -41,13 +41,13 @@
 	}
 	var r status.Report
 	if err := json.Unmarshal(b, &r); err != nil {
-		return fmt.Errorf("status: the entry's answer can't be read: %w", err)
+		return fmt.Errorf("status: can't decode the entry's response: %w", err)
 	}
-	return table(r, w)
+	return writeTable(r, w)
 }
 
 func fetch(ctx context.Context, c Config) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, strings.TrimSuffix(c.Entry, "/")+"/status", nil)
 	if err != nil {
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	defer r.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(r.Body, maxAnswer))
+	b, err := io.ReadAll(io.LimitReader(r.Body, maxResponse))
 	if err != nil {
 		return nil, err
 	}
@@ -69,7 +69,7 @@
 	return b, nil
 }
 
-func table(r status.Report, w io.Writer) error {
+func writeTable(r status.Report, w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "entry %s, settings revision %d\n\n", r.Entry, r.Revision)
 	fmt.Fprintln(t, "CONTROL REPLICA\tROLE\tTERM\tAPPLIED\tVOTERS\tCAUGHT UP\tIDENTITY\tADDRESS")
--- a/internal/cli/stream/doc.go
+++ b/internal/cli/stream/doc.go
@@ -1,2 +1,2 @@
-// Package stream reads the streamed completions of an entry as a caller does.
+// Package stream reads streamed completions from an entry as a caller does.
 package stream
--- a/internal/standin/process/process.go
+++ b/internal/standin/process/process.go
@@ -12,8 +12,8 @@
 	"hornbeamwood/internal/standin/backend"
 )
 
-// ErrLost as the cause of a context's end makes a stand-in vanish as a lost VM would.
-var ErrLost = errors.New("standin: lost")
+// ErrCrashed as the cause of a context's end ends a stand-in abruptly, like the loss of its VM.
+var ErrCrashed = errors.New("standin: lost")
 
 // drainPoll is how often a leaving stand-in looks whether its last request has ended.
 const drainPoll = 20 * time.Millisecond
@@ -57,7 +57,7 @@
 		return err
 	case <-ctx.Done():
 	}
-	if errors.Is(context.Cause(ctx), ErrLost) {
+	if errors.Is(context.Cause(ctx), ErrCrashed) {
 		stop()
 		return h.Close()
 	}
