--- a/internal/standin/backend/announcer.go
+++ b/internal/standin/backend/announcer.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Paths at an entry that take what backend servers say.
+// Paths of an entry to which backend servers post.
 const (
 	AnnouncementsPath = "/fleet/announcements"
 	CacheEventsPath   = "/fleet/cache-events"
@@ -20,26 +20,26 @@
 const (
 	announceInterval = 500 * time.Millisecond
 	postTimeout      = 2 * time.Second
-	maxAnswer        = 64 << 10
+	maxResponse      = 64 << 10
 )
 
-// Config is what an Announcer needs.
+// Config holds the parameters of an Announcer.
 type Config struct {
-	// Entries are base URLs of entries; the first that answers gets the announcement.
+	// Entries are the base URLs of entries; the first that responds gets the announcement.
 	Entries []string
 	// Key is the bearer key of backend servers.
 	Key string
-	// Announcement returns the announcement to send with the given sequence number; it is encoded as JSON.
+	// Announcement returns the announcement with the given sequence number; it is encoded as JSON.
 	Announcement func(sequence uint64) any
 }
 
-// Announcer tells entries about one backend server.
+// Announcer announces one backend server to entries.
 type Announcer interface {
 	// Run announces every half second until ctx ends.
 	Run(ctx context.Context)
 	// Announce sends one announcement now.
 	Announce(ctx context.Context) error
-	// Post sends v to path at the first entry that answers and returns the body of its answer.
+	// Post posts v as JSON to path at the first entry that responds and returns the body of its response.
 	Post(ctx context.Context, path string, v any) ([]byte, error)
 }
 
@@ -47,10 +47,11 @@
 	config   Config
 	client   *http.Client
 	sequence atomic.Uint64
-	current  atomic.Uint64
+	// entry is the index of the entry in use, modulo the number of entries.
+	entry atomic.Uint64
 }
 
-// NewAnnouncer returns an Announcer; without entries it stays silent.
+// NewAnnouncer returns an Announcer; without entries it sends nothing.
 func NewAnnouncer(c Config) Announcer {
 	return &announcer{config: c, client: &http.Client{Timeout: postTimeout}}
 }
@@ -60,7 +61,7 @@
 	t := time.NewTicker(announceInterval)
 	defer t.Stop()
 	for {
-		// An entry that does not answer is no error of the server: the next second brings another try.
+		// A failed announcement is not an error of the server; the next interval retries it.
 		_ = a.Announce(ctx)
 		select {
 		case <-ctx.Done():
@@ -85,13 +86,13 @@
 	err = fmt.Errorf("no entry is configured")
 	n := uint64(len(a.config.Entries))
 	for range n {
-		at := a.current.Load()
+		current := a.entry.Load()
 		var b []byte
-		b, err = a.post(ctx, a.config.Entries[at%n]+path, body)
+		b, err = a.post(ctx, a.config.Entries[current%n]+path, body)
 		if err == nil {
 			return b, nil
 		}
-		a.current.CompareAndSwap(at, at+1)
+		a.entry.CompareAndSwap(current, current+1)
 	}
 	return nil, err
 }
@@ -108,7 +109,7 @@
 		return nil, err
 	}
 	defer r.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(r.Body, maxAnswer))
+	b, err := io.ReadAll(io.LimitReader(r.Body, maxResponse))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/standin/backend/doc.go
+++ b/internal/standin/backend/doc.go
@@ -1,6 +1,6 @@
-// Package backend is what all stand-ins of backend servers share: they
-// announce themselves to entries and answer with JSON.
+// Package backend holds what all stand-ins for backend servers share:
+// announcements to entries and JSON responses.
 //
-// Stand-ins follow the pages under docs/interfaces and share no types with
-// the system, so that a mistake in one side's reading of a page shows.
+// Stand-ins implement the pages under docs/interfaces and share no types with the
+// system, so that a different interpretation of a page becomes visible.
 package backend
--- a/internal/standin/engine/announce.go
+++ b/internal/standin/engine/announce.go
@@ -65,9 +65,9 @@
 }
 
 const (
-	eventInterval = 50 * time.Millisecond
-	maxBatch      = 1024
-	maxKeys       = 4096
+	eventInterval  = 50 * time.Millisecond
+	maxBatchEvents = 1024
+	maxListingKeys = 4096
 )
 
 // Announcement implements Engine.
@@ -91,7 +91,7 @@
 		ChecksFencing: e.config.ChecksFencing,
 		LastOrder:     e.lastOrder,
 		UptimeMillis:  time.Since(e.config.Started).Milliseconds(),
-		Load:          e.laggingLoad(sequence),
+		Load:          e.delayedLoad(sequence),
 	}
 }
 
@@ -104,8 +104,8 @@
 	return all
 }
 
-// laggingLoad measures the load now and returns the newest measurement that is as old as the lag.
-func (e *engine) laggingLoad(sequence uint64) loadReport {
+// delayedLoad measures the load and returns the newest measurement that is at least as old as ReportLag.
+func (e *engine) delayedLoad(sequence uint64) loadReport {
 	now := time.Now()
 	e.loads = append(e.loads, loadReport{
 		Sequence:     sequence,
@@ -136,18 +136,18 @@
 			return
 		case <-t.C:
 		}
-		if b, ok := e.batch(); ok {
+		if b, ok := e.nextBatch(); ok {
 			e.post(ctx, a, b)
 		}
 	}
 }
 
-// batch returns the next events; a lost batch is skipped as if the network had dropped it.
-func (e *engine) batch() (eventBatch, bool) {
+// nextBatch returns the next events, and whether to send them. A lost batch is skipped as if the network had dropped it.
+func (e *engine) nextBatch() (eventBatch, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	c := e.cache
-	n := min(len(c.events)-c.sent, maxBatch)
+	n := min(len(c.events)-c.sent, maxBatchEvents)
 	if n == 0 {
 		return eventBatch{}, false
 	}
@@ -181,10 +181,10 @@
 	e.mu.Lock()
 	keys, sequence := e.cache.keys(), len(e.cache.events)
 	e.mu.Unlock()
-	parts := max(1, (len(keys)+maxKeys-1)/maxKeys)
+	parts := max(1, (len(keys)+maxListingKeys-1)/maxListingKeys)
 	all := make([]eventBatch, 0, parts)
 	for i := range parts {
-		from, to := i*maxKeys, min((i+1)*maxKeys, len(keys))
+		from, to := i*maxListingKeys, min((i+1)*maxListingKeys, len(keys))
 		all = append(all, eventBatch{
 			Identity:    e.config.Identity,
 			Incarnation: e.config.Started.UnixNano(),
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -5,27 +5,27 @@
 	"crypto/sha256"
 )
 
-// cacheEvent is one change of the cache, numbered by its place.
+// cacheEvent is one change of the cache; its number is its position in the list of events.
 type cacheEvent struct {
 	Kind string `json:"kind"`
 	Key  string `json:"key"`
 }
 
-// cache is an LRU of pieces; the caller holds the engine's lock.
+// cache is an LRU cache of pieces. Callers hold the engine's lock.
 type cache struct {
-	room   int
-	order  *list.List
-	pieces map[string]*list.Element
-	events []cacheEvent
-	sent   int
+	capacity int
+	order    *list.List
+	pieces   map[string]*list.Element
+	events   []cacheEvent
+	sent     int
 }
 
-func newCache(room int) *cache {
-	return &cache{room: room, order: list.New(), pieces: make(map[string]*list.Element)}
+func newCache(capacity int) *cache {
+	return &cache{capacity: capacity, order: list.New(), pieces: make(map[string]*list.Element)}
 }
 
-// hits returns how many of the first keys are held.
-func (c *cache) hits(keys []string) int {
+// prefixHits returns the length of the longest prefix of keys that is cached.
+func (c *cache) prefixHits(keys []string) int {
 	for i, k := range keys {
 		e, ok := c.pieces[k]
 		if !ok {
@@ -46,12 +46,12 @@
 		c.order.MoveToFront(e)
 		return
 	}
-	for c.order.Len() >= c.room && c.order.Len() > 0 {
+	for c.order.Len() >= c.capacity && c.order.Len() > 0 {
 		oldest := c.order.Remove(c.order.Back()).(string)
 		delete(c.pieces, oldest)
 		c.events = append(c.events, cacheEvent{Kind: "evicted", Key: oldest})
 	}
-	if c.room == 0 {
+	if c.capacity == 0 {
 		return
 	}
 	c.pieces[key] = c.order.PushFront(key)
@@ -74,7 +74,7 @@
 	return all
 }
 
-// content returns the bytes that a piece of the given key must have.
+// content returns the bytes of the piece with the given key.
 func content(key string, size int) []byte {
 	b := make([]byte, 0, size+sha256.Size)
 	d := sha256.Sum256([]byte(key))
--- a/internal/standin/engine/complete.go
+++ b/internal/standin/engine/complete.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	maxBody          = 64 << 20
+	maxBodyBytes     = 64 << 20
 	bytesPerToken    = 4
 	defaultMaxTokens = 16
 )
 
-// complete starts a run, or goes on with one, and streams its events.
+// complete starts a run, or resumes one, and streams its events.
 func (e *engine) complete(w http.ResponseWriter, q *http.Request, chat bool) {
 	attempt := q.Header.Get("Hornbeamwood-Attempt")
 	if after := q.Header.Get("Hornbeamwood-Resume-After"); after != "" {
@@ -26,8 +26,8 @@
 		return
 	}
 	var c completion
-	if err := json.NewDecoder(io.LimitReader(q.Body, maxBody)).Decode(&c); err != nil {
-		backend.Refuse(w, http.StatusBadRequest, true, "malformed", err.Error())
+	if err := json.NewDecoder(io.LimitReader(q.Body, maxBodyBytes)).Decode(&c); err != nil {
+		backend.WriteError(w, http.StatusBadRequest, true, "malformed", err.Error())
 		return
 	}
 	r := newRun(q, c, chat)
@@ -36,7 +36,7 @@
 		if refusal == "weight-version" || refusal == "attempt-exists" {
 			status = http.StatusConflict
 		}
-		backend.Refuse(w, status, true, refusal, "the engine does not take this run")
+		backend.WriteError(w, status, true, refusal, "the engine does not accept this run")
 		return
 	}
 	e.stream(w, q, r, 0)
@@ -65,7 +65,7 @@
 	}
 }
 
-// admit queues r for prefill, or returns why it does not.
+// admit queues r for prefill, or returns the reason why it does not.
 func (e *engine) admit(r *run, version string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -102,7 +102,7 @@
 	}
 	e.mu.Unlock()
 	if err != nil || !ok {
-		backend.Refuse(w, http.StatusConflict, false, "resume-impossible", "the run is not kept")
+		backend.WriteError(w, http.StatusConflict, false, "resume-impossible", "the run is no longer kept")
 		return
 	}
 	e.stream(w, q, r, n)
@@ -147,15 +147,15 @@
 	r, ok := e.runs[q.PathValue("attempt")]
 	e.mu.Unlock()
 	if !ok {
-		backend.Refuse(w, http.StatusNotFound, true, "unknown-run", "the run is not known")
+		backend.WriteError(w, http.StatusNotFound, true, "unknown-run", "the run is unknown")
 		return
 	}
 	r.cancel()
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// word returns the i-th token of the answer; it shows the request's own prompt.
-func (r *run) word(i int, digest string) string {
+// tokenText returns the i-th token of a completion, which identifies the request's prompt.
+func (r *run) tokenText(i int, digest string) string {
 	return fmt.Sprintf("%s-%d ", digest, i)
 }
 
--- a/internal/standin/engine/config.go
+++ b/internal/standin/engine/config.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// Config is the size and behaviour of an engine.
+// Config holds the size and the behavior of an engine.
 type Config struct {
 	// Identity, Zone and Address are what the engine announces.
 	Identity, Zone, Address string
-	// Models are what it holds at the start, all in WeightVersion.
+	// Models are the models that it has at the start, all in WeightVersion.
 	Models        []string
 	WeightVersion string
-	// Role is what it announces as its role.
+	// Role is the role that it announces.
 	Role string
-	// PrefillRate is in prompt tokens a second.
+	// PrefillRate is the prefill rate in prompt tokens a second.
 	PrefillRate float64
-	// DecodeRate is in tokens a second of one request.
+	// DecodeRate is the decode rate of one request in tokens a second.
 	DecodeRate float64
-	// MaxRunning is the largest batch.
+	// MaxRunning is the size of the largest batch.
 	MaxRunning int
-	// CachePieces is the room of the prefix cache.
+	// CachePieces is the capacity of the prefix cache.
 	CachePieces int
 	// PieceBytes is the size of one exported piece.
 	PieceBytes int
-	// ChecksFencing says whether orders with an old fencing number are refused.
+	// ChecksFencing makes the engine refuse orders with an old fencing number.
 	ChecksFencing bool
-	// WeightStore is the base URL of the weight store; empty loads at once.
+	// WeightStore is the base URL of the weight store; without one, loads complete at once.
 	WeightStore string
-	// ReportLag is the age of load reports.
+	// ReportLag is the delay of load reports.
 	ReportLag time.Duration
-	// EventLag is how late cache events are sent.
+	// EventLag is the delay of cache events.
 	EventLag time.Duration
 	// EventLoss is the share of event batches that are lost.
 	EventLoss float64
-	// Seed starts the random choice of lost batches.
+	// Seed seeds the random choice of lost batches.
 	Seed uint64
-	// Started is the incarnation.
+	// Started is the start time, which is announced as the incarnation.
 	Started time.Time
 	// Crash is called when a prompt that holds CrashMarker runs; nil ignores the marker.
 	Crash func()
--- a/internal/standin/engine/doc.go
+++ b/internal/standin/engine/doc.go
@@ -1,4 +1,4 @@
-// Package engine is a stand-in of a model engine: continuous batching with a
-// prefill rate, a prefix cache with LRU eviction, export and import of cache
-// pieces, late cache events and orders, as docs/interfaces says.
+// Package engine is a stand-in for a model engine. It has continuous batching with
+// a prefill rate, a prefix cache with LRU eviction, export and import of cache
+// pieces, delayed cache events, and orders, as specified in docs/interfaces.
 package engine
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -13,28 +13,28 @@
 // Engine serves completions, cache exports and orders.
 type Engine interface {
 	http.Handler
-	// Announcement returns what the engine says of itself now.
+	// Announcement returns the current announcement with the given sequence number.
 	Announcement(sequence uint64) any
 	// SendEvents posts cache events through a until ctx ends.
 	SendEvents(ctx context.Context, a backend.Announcer)
-	// Leave makes the engine announce that it leaves; it takes no new work from then on.
+	// Leave makes the engine announce that it is leaving and refuse new work.
 	Leave()
 	// Running returns the number of runs that have not ended.
 	Running() int
-	// Report returns the counters.
+	// Report returns the counters for tests.
 	Report() Report
-	// Close ends the prefill goroutine.
+	// Close stops the goroutines of the engine and waits for them.
 	Close()
 }
 
 type engine struct {
-	config Config
-	mux    *http.ServeMux
-	client *http.Client
-	ctx    context.Context
-	stop   context.CancelFunc
-	work   chan struct{}
-	loops  sync.WaitGroup
+	config     Config
+	mux        *http.ServeMux
+	client     *http.Client
+	ctx        context.Context
+	stop       context.CancelFunc
+	work       chan struct{}
+	goroutines sync.WaitGroup
 
 	mu           sync.Mutex
 	random       *rand.Rand
@@ -56,7 +56,7 @@
 
 const importTimeout = 30 * time.Second
 
-// New returns an Engine with an empty cache; Close ends it.
+// New returns an Engine with an empty cache. Close stops it.
 func New(c Config) Engine {
 	ctx, stop := context.WithCancel(context.Background())
 	e := &engine{
@@ -77,7 +77,7 @@
 		e.versions[m] = c.WeightVersion
 	}
 	e.routes()
-	e.loops.Go(func() { e.prefillLoop() })
+	e.goroutines.Go(func() { e.prefillLoop() })
 	return e
 }
 
@@ -86,10 +86,10 @@
 	e.mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, q *http.Request) { e.complete(w, q, true) })
 	e.mux.HandleFunc("DELETE /v1/runs/{attempt}", e.cancelRun)
 	e.mux.HandleFunc("POST /v1/cache/exports", e.export)
-	e.mux.HandleFunc("POST /v1/orders", e.takeOrder)
-	e.mux.HandleFunc("GET /v1/orders/{id}", e.readOrder)
+	e.mux.HandleFunc("POST /v1/orders", e.acceptOrder)
+	e.mux.HandleFunc("GET /v1/orders/{id}", e.getOrder)
 	e.mux.HandleFunc("GET /standin/report", func(w http.ResponseWriter, _ *http.Request) {
-		backend.Answer(w, http.StatusOK, e.Report())
+		backend.WriteJSON(w, http.StatusOK, e.Report())
 	})
 }
 
@@ -101,7 +101,7 @@
 // Close implements Engine.
 func (e *engine) Close() {
 	e.stop()
-	e.loops.Wait()
+	e.goroutines.Wait()
 }
 
 // Leave implements Engine.
--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/events.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
+// digestDigits is the length of a Digest in hex digits.
 const digestDigits = 8
 
-// note keeps what the usage event tells.
-func (r *run) note(cached int, t transferred) {
+// recordUsage stores the values of the usage event.
+func (r *run) recordUsage(cached int, t transferred) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cached = cached
 	r.transferred = t
 }
 
-// digest returns hex digits that only this prompt gives.
+// digest returns hex digits that identify the run's prompt.
 func (r *run) digest() string {
 	return Digest(r.body.Prompt + string(r.body.Messages))
 }
 
-// Digest returns the word with which each token of an answer to prompt begins.
+// Digest returns the hex digits with which each token of a completion of prompt begins.
 func Digest(prompt string) string {
 	d := sha256.Sum256([]byte(prompt))
 	return hex.EncodeToString(d[:])[:digestDigits]
@@ -30,14 +31,14 @@
 
 func (r *run) token(i int, digest string) string {
 	c := choice{}
-	word := r.word(i, digest)
+	text := r.tokenText(i, digest)
 	if r.chat {
-		c.Delta = &delta{Content: word}
+		c.Delta = &delta{Content: text}
 		if i == 1 {
 			c.Delta.Role = "assistant"
 		}
 	} else {
-		c.Text = &word
+		c.Text = &text
 	}
 	if i == r.body.MaxTokens {
 		stop := "stop"
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -30,49 +30,49 @@
 	Fencing uint64 `json:"fencing"`
 }
 
-// takeOrder carries out each order id once; a resend gets the state of the first.
-func (e *engine) takeOrder(w http.ResponseWriter, q *http.Request) {
+// acceptOrder executes each order ID once; a retry gets the state of the first.
+func (e *engine) acceptOrder(w http.ResponseWriter, q *http.Request) {
 	var o order
-	if err := json.NewDecoder(io.LimitReader(q.Body, maxBody)).Decode(&o); err != nil || o.ID == "" {
-		backend.Refuse(w, http.StatusBadRequest, true, "malformed", "the order can't be read")
+	if err := json.NewDecoder(io.LimitReader(q.Body, maxBodyBytes)).Decode(&o); err != nil || o.ID == "" {
+		backend.WriteError(w, http.StatusBadRequest, true, "malformed", "the order is malformed")
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s, ok := e.orders[o.ID]; ok {
-		backend.Answer(w, http.StatusOK, *s)
+		backend.WriteJSON(w, http.StatusOK, *s)
 		return
 	}
 	if e.leaving {
-		backend.Refuse(w, http.StatusServiceUnavailable, true, "leaving", "the engine leaves")
+		backend.WriteError(w, http.StatusServiceUnavailable, true, "leaving", "the engine is leaving")
 		return
 	}
 	if e.config.ChecksFencing && o.Fencing < e.fencing {
-		backend.Answer(w, http.StatusConflict, oldFencing{Error: map[string]string{"code": "old-fencing", "message": "a newer number was seen"}, Fencing: e.fencing})
+		backend.WriteJSON(w, http.StatusConflict, oldFencing{Error: map[string]string{"code": "old-fencing", "message": "a higher fencing number was seen"}, Fencing: e.fencing})
 		return
 	}
 	e.fencing = max(e.fencing, o.Fencing)
 	s := &orderState{ID: o.ID, State: "running"}
 	e.orders[o.ID] = s
-	e.loops.Go(func() { e.carryOut(o, s) })
-	backend.Answer(w, http.StatusOK, *s)
+	e.goroutines.Go(func() { e.execute(o, s) })
+	backend.WriteJSON(w, http.StatusOK, *s)
 }
 
-func (e *engine) readOrder(w http.ResponseWriter, q *http.Request) {
+func (e *engine) getOrder(w http.ResponseWriter, q *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s, ok := e.orders[q.PathValue("id")]
 	if !ok {
-		backend.Refuse(w, http.StatusNotFound, true, "unknown-order", "the order is not known")
+		backend.WriteError(w, http.StatusNotFound, true, "unknown-order", "the order is unknown")
 		return
 	}
-	backend.Answer(w, http.StatusOK, *s)
+	backend.WriteJSON(w, http.StatusOK, *s)
 }
 
-func (e *engine) carryOut(o order, s *orderState) {
+func (e *engine) execute(o order, s *orderState) {
 	var err error
 	if o.Kind == "load-weights" {
-		err = e.fetch(o.Model, o.WeightVersion)
+		err = e.loadWeights(o.Model, o.WeightVersion)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -93,7 +93,7 @@
 	}
 }
 
-func (e *engine) fetch(model, version string) error {
+func (e *engine) loadWeights(model, version string) error {
 	if e.config.WeightStore == "" {
 		return nil
 	}
--- a/internal/standin/engine/prefill.go
+++ b/internal/standin/engine/prefill.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// keptFor is how long an ended run is kept for a resume.
-const keptFor = 10 * time.Second
+// runRetention is how long an ended run is kept so that it can be resumed.
+const runRetention = 10 * time.Second
 
 // prefillLoop computes one prompt at a time, the highest priority first.
 func (e *engine) prefillLoop() {
@@ -21,11 +21,11 @@
 			continue
 		}
 		e.prefill(r)
-		e.loops.Go(func() { e.decode(r) })
+		e.goroutines.Go(func() { e.decode(r) })
 	}
 }
 
-// next takes the run that is to be computed, nil when there is none or the batch is full.
+// next removes the next run from the wait queue. It returns nil if there is none or the batch is full.
 func (e *engine) next() *run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -52,13 +52,13 @@
 	t := e.importPieces(r)
 	e.mu.Lock()
 	keys := r.body.Transfer.Keys
-	hits := e.cache.hits(keys)
+	hits := e.cache.prefixHits(keys)
 	cached := min(hits*r.body.Transfer.PieceTokens, r.promptTokens)
 	computed := r.promptTokens - cached
 	e.report.ComputedTokens += computed
 	e.mu.Unlock()
 
-	e.wait(r, time.Duration(float64(computed)/e.config.PrefillRate*float64(time.Second)))
+	e.sleep(r, time.Duration(float64(computed)/e.config.PrefillRate*float64(time.Second)))
 
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -66,10 +66,10 @@
 		e.cache.insert(k)
 	}
 	e.queuedTokens -= int64(r.promptTokens)
-	r.note(cached, t)
+	r.recordUsage(cached, t)
 }
 
-func (e *engine) wait(r *run, d time.Duration) {
+func (e *engine) sleep(r *run, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-r.ctx.Done():
@@ -77,13 +77,13 @@
 	}
 }
 
-// decode emits the answer's tokens at the engine's rate, then the usage.
+// decode emits the tokens of a completion at the engine's rate, then the usage event.
 func (e *engine) decode(r *run) {
-	defer e.ended(r)
+	defer e.endRun(r)
 	digest := r.digest()
 	for i := 1; i <= r.body.MaxTokens; i++ {
 		if i > 1 {
-			e.wait(r, time.Duration(float64(time.Second)/e.config.DecodeRate))
+			e.sleep(r, time.Duration(float64(time.Second)/e.config.DecodeRate))
 		}
 		if r.ctx.Err() != nil || e.ctx.Err() != nil {
 			return
@@ -94,11 +94,11 @@
 	r.finish()
 }
 
-func (e *engine) ended(r *run) {
+func (e *engine) endRun(r *run) {
 	e.mu.Lock()
 	e.running--
 	e.mu.Unlock()
-	time.AfterFunc(keptFor, func() {
+	time.AfterFunc(runRetention, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		delete(e.runs, r.attempt)
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// run is one attempt; its events are kept so that a broken connection can be resumed.
+// run is one attempt. Its events are kept so that it can be resumed after a connection error.
 type run struct {
 	request, attempt string
 	chat             bool
@@ -28,22 +28,22 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events = append(r.events, line)
-	r.wake()
+	r.notify()
 }
 
 func (r *run) finish() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.done = true
-	r.wake()
+	r.notify()
 }
 
-func (r *run) wake() {
+func (r *run) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// after returns the events past the given position, whether the run ended, and a channel that closes on the next change.
+// after returns the events after the given position, whether the run has ended, and a channel that is closed on the next change.
 func (r *run) after(position int) ([]string, bool, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/engine/transfer.go
+++ b/internal/standin/engine/transfer.go
@@ -38,7 +38,7 @@
 	Bytes      int    `json:"bytes,omitempty"`
 }
 
-// importPieces fetches what the entry named; a piece that does not come whole and right is computed instead.
+// importPieces fetches the pieces that the entry named. A piece that is incomplete or corrupt is computed instead.
 func (e *engine) importPieces(r *run) transferred {
 	t := transferred{Failed: []string{}}
 	for _, i := range r.body.Transfer.Imports {
@@ -62,7 +62,7 @@
 	return t
 }
 
-func (e *engine) importPiece(r *run, i importFrom) (int, error) {
+func (e *engine) importPiece(r *run, i importSource) (int, error) {
 	q, err := http.NewRequestWithContext(r.ctx, http.MethodGet, "http://"+i.Store+"/pieces/"+i.Key, nil)
 	if err != nil {
 		return 0, err
@@ -73,7 +73,7 @@
 		return 0, err
 	}
 	defer a.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(a.Body, maxBody))
+	b, err := io.ReadAll(io.LimitReader(a.Body, maxBodyBytes))
 	if err != nil {
 		return 0, err
 	}
@@ -91,15 +91,15 @@
 
 func (e *engine) export(w http.ResponseWriter, q *http.Request) {
 	var x exportBody
-	if err := json.NewDecoder(io.LimitReader(q.Body, maxBody)).Decode(&x); err != nil {
-		backend.Refuse(w, http.StatusBadRequest, true, "malformed", err.Error())
+	if err := json.NewDecoder(io.LimitReader(q.Body, maxBodyBytes)).Decode(&x); err != nil {
+		backend.WriteError(w, http.StatusBadRequest, true, "malformed", err.Error())
 		return
 	}
 	a := exportAnswer{Results: []exportResult{}}
 	for _, p := range x.Pieces {
 		a.Results = append(a.Results, e.exportPiece(q, p))
 	}
-	backend.Answer(w, http.StatusOK, a)
+	backend.WriteJSON(w, http.StatusOK, a)
 }
 
 func (e *engine) exportPiece(q *http.Request, p exportPiece) exportResult {
--- a/internal/standin/engine/wire.go
+++ b/internal/standin/engine/wire.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// completion is the body of both completion paths, as far as the engine reads it.
+// completion holds the fields that the engine uses of the body of both completion paths.
 type completion struct {
 	Model     string          `json:"model"`
 	Prompt    string          `json:"prompt"`
@@ -12,13 +12,13 @@
 }
 
 type transfer struct {
-	WeightVersion string       `json:"weight-version"`
-	PieceTokens   int          `json:"piece-tokens"`
-	Keys          []string     `json:"keys"`
-	Imports       []importFrom `json:"imports"`
+	WeightVersion string         `json:"weight-version"`
+	PieceTokens   int            `json:"piece-tokens"`
+	Keys          []string       `json:"keys"`
+	Imports       []importSource `json:"imports"`
 }
 
-type importFrom struct {
+type importSource struct {
 	Key        string `json:"key"`
 	Store      string `json:"store"`
 	Generation uint64 `json:"generation"`
@@ -71,17 +71,17 @@
 	Position int    `json:"position"`
 }
 
-// Report is what GET /standin/report tells a test.
+// Report is the response to GET /standin/report, for tests.
 type Report struct {
 	// Runs is the number of runs that began.
 	Runs int `json:"runs"`
 	// PromptTokens is the number of prompt tokens of all runs.
 	PromptTokens int `json:"prompt-tokens"`
-	// ComputedTokens is how many of them were computed here.
+	// ComputedTokens is the number of prompt tokens that this engine computed.
 	ComputedTokens int `json:"computed-tokens"`
-	// ImportedBytes is what came from stores.
+	// ImportedBytes is the number of bytes fetched from stores.
 	ImportedBytes int `json:"imported-bytes"`
-	// WrongPieces is the number of imported pieces with bytes of another key.
+	// WrongPieces is the number of imported pieces with the bytes of another key.
 	WrongPieces int `json:"wrong-pieces"`
 	// Resumed is the number of runs that were resumed.
 	Resumed int `json:"resumed"`
--- a/internal/standin/process/builders.go
+++ b/internal/standin/process/builders.go
@@ -13,8 +13,8 @@
 	"hornbeamwood/internal/standin/weights"
 )
 
-// crashExit is the exit code of an engine that a request crashed.
-const crashExit = 70
+// crashExitCode is the exit code of an engine that a request has crashed.
+const crashExitCode = 70
 
 var builders = map[Kind]func(f File, address string) server{
 	Engine:  buildEngine,
@@ -45,20 +45,20 @@
 		Started:       time.Now(),
 	}
 	if f.Engine.Crashes {
-		c.Crash = func() { os.Exit(crashExit) }
+		c.Crash = func() { os.Exit(crashExitCode) }
 	}
 	e := engine.New(c)
 	return server{
 		handler:      e,
 		announcement: e.Announcement,
-		loops:        func(ctx context.Context, a backend.Announcer) { e.SendEvents(ctx, a) },
+		background:   func(ctx context.Context, a backend.Announcer) { e.SendEvents(ctx, a) },
 		leave:        e.Leave,
 		running:      e.Running,
 	}
 }
 
-// plain is the announcement of servers without models.
-type plain struct {
+// plainAnnouncement is the announcement of servers without models.
+type plainAnnouncement struct {
 	Identity    string    `json:"identity"`
 	Incarnation int64     `json:"incarnation"`
 	Sequence    uint64    `json:"sequence"`
@@ -81,14 +81,14 @@
 	LinkQueued  int64   `json:"link-queued,omitempty"`
 }
 
-// maxCalls is what a service stand-in says of its largest number of calls at once.
-const maxCalls = 64
+// maxConcurrentCalls is the maximum number of concurrent calls that a service announces.
+const maxConcurrentCalls = 64
 
-// nominalPiece is the piece size by which a store counts its room in pieces.
-const nominalPiece = 64 << 10
+// nominalPieceBytes is the piece size by which a store converts its capacity to pieces.
+const nominalPieceBytes = 64 << 10
 
-func newPlain(f File, address string, k Kind, started time.Time, leaving *atomic.Bool) plain {
-	p := plain{
+func newPlainAnnouncement(f File, address string, k Kind, started time.Time, leaving *atomic.Bool) plainAnnouncement {
+	p := plainAnnouncement{
 		Identity:    f.Identity,
 		Incarnation: started.UnixNano(),
 		Zone:        f.Zone,
@@ -109,10 +109,10 @@
 	return server{
 		handler: s,
 		announcement: func(sequence uint64) any {
-			p := newPlain(f, address, Service, started, leaving)
+			p := newPlainAnnouncement(f, address, Service, started, leaving)
 			p.Sequence = sequence
 			p.Services = f.Service.Names
-			p.Load = plainLoad{Sequence: sequence, Running: s.Running(), MaxRunning: maxCalls}
+			p.Load = plainLoad{Sequence: sequence, Running: s.Running(), MaxRunning: maxConcurrentCalls}
 			return p
 		},
 		leave:   func() { leaving.Store(true) },
@@ -131,13 +131,13 @@
 	return server{
 		handler: s,
 		announcement: func(sequence uint64) any {
-			p := newPlain(f, address, Store, started, leaving)
+			p := newPlainAnnouncement(f, address, Store, started, leaving)
 			p.Sequence = sequence
 			queued, free := s.Load()
 			p.Load = plainLoad{
 				Sequence:    sequence,
-				CachePieces: (f.Store.MemoryBytes + f.Store.DiskBytes) / nominalPiece,
-				FreePieces:  free / nominalPiece,
+				CachePieces: (f.Store.MemoryBytes + f.Store.DiskBytes) / nominalPieceBytes,
+				FreePieces:  free / nominalPieceBytes,
 				LinkRate:    f.Store.LinkRate,
 				LinkQueued:  queued,
 			}
--- a/internal/standin/process/defaults.go
+++ b/internal/standin/process/defaults.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// Speeds and sizes of what a file leaves out: a small engine and a small store.
+// Defaults for settings that a file omits: a small engine and a small store.
 const (
 	defaultPrefillRate = 10_000
 	defaultDecodeRate  = 50
@@ -14,8 +14,8 @@
 	defaultLinkRate    = 100 << 20
 )
 
-// withDefaults returns a copy of f in which each speed and size has a value.
-// An engine without a speed would take requests and never answer one.
+// withDefaults returns a copy of f in which each rate and size has a value.
+// An engine with rate zero would accept requests and never complete one.
 func (f File) withDefaults() File {
 	e, s := &f.Engine, &f.Store
 	e.PrefillRate = cmp.Or(e.PrefillRate, defaultPrefillRate)
--- a/internal/standin/process/doc.go
+++ b/internal/standin/process/doc.go
@@ -1,2 +1,2 @@
-// Package process runs stand-ins as processes of their own.
+// Package process runs stand-ins as separate processes.
 package process
--- a/internal/standin/process/file.go
+++ b/internal/standin/process/file.go
@@ -9,7 +9,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Kind is which stand-in a file starts.
+// Kind is the kind of a stand-in.
 type Kind string
 
 const (
@@ -23,7 +23,7 @@
 	Weights Kind = "weights"
 )
 
-// File is the TOML settings of one stand-in.
+// File holds the TOML settings of one stand-in.
 type File struct {
 	// Identity names the backend server.
 	Identity string `toml:"identity"`
@@ -31,24 +31,24 @@
 	Zone string `toml:"zone"`
 	// Listen is the IP and port of its HTTP interface.
 	Listen string `toml:"listen"`
-	// Entries are the base URLs of entries that it announces itself to.
+	// Entries are the base URLs of the entries to which it announces itself.
 	Entries []string `toml:"entries"`
 	// AnnounceKey is the bearer key of backend servers.
 	AnnounceKey string `toml:"announce-key"`
-	// StartDelay holds back the first announcement.
+	// StartDelay delays the first announcement.
 	StartDelay Duration `toml:"start-delay"`
 
-	// Engine holds what only engines read.
+	// Engine holds the settings of engines.
 	Engine EngineFile `toml:"engine"`
-	// Service holds what only services read.
+	// Service holds the settings of plain services.
 	Service ServiceFile `toml:"service"`
-	// Store holds what only stores read.
+	// Store holds the settings of stores.
 	Store StoreFile `toml:"store"`
-	// Weights holds what only weight stores read.
+	// Weights holds the settings of weight stores.
 	Weights WeightsFile `toml:"weights"`
 }
 
-// EngineFile is the engine table of a File: speeds in tokens a second, sizes in pieces and bytes.
+// EngineFile is the engine table of a File. Rates are in tokens a second, sizes in pieces and bytes.
 type EngineFile struct {
 	Models        []string `toml:"models"`
 	WeightVersion string   `toml:"weight-version"`
@@ -87,17 +87,17 @@
 	Versions       map[string]int `toml:"versions"`
 }
 
-// Duration is a time.Duration that TOML writes as "250ms".
+// Duration is a time.Duration that is written as "250ms" in TOML.
 type Duration time.Duration
 
-// UnmarshalText reads a duration such as "250ms".
+// UnmarshalText parses a duration such as "250ms".
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	*d = Duration(v)
 	return err
 }
 
-// Load returns the File at path; unknown keys are errors.
+// Load reads the File at path; unknown keys are errors.
 func Load(path string) (File, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/standin/process/file_test.go
+++ b/internal/standin/process/file_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A stand-in's file leaves out its speeds, as the example files do. An engine
-// that computed at no speed would take each request and answer none.
+// Files may omit rates, as the example files do. An engine with rate zero would
+// accept requests and never complete one.
 func TestExampleFilesHaveSpeeds(t *testing.T) {
 	all, err := filepath.Glob("../../../examples/*/standins/*.toml")
 	if err != nil || len(all) == 0 {
@@ -24,7 +24,7 @@
 	}
 }
 
-// What a file says goes before the defaults.
+// Values in a file override the defaults.
 func TestFileGoesBeforeDefaults(t *testing.T) {
 	f := File{Engine: EngineFile{PrefillRate: 7, MaxRunning: 3}, Store: StoreFile{LinkRate: 9}}.withDefaults()
 	if f.Engine.PrefillRate != 7 || f.Engine.MaxRunning != 3 || f.Store.LinkRate != 9 {
--- a/internal/standin/process/process.go
+++ b/internal/standin/process/process.go
@@ -12,27 +12,29 @@
 	"hornbeamwood/internal/standin/backend"
 )
 
-// ErrCrashed as the cause of a context's end ends a stand-in abruptly, like the loss of its VM.
-var ErrCrashed = errors.New("standin: lost")
+// ErrCrashed as the cancellation cause of Run's context ends a stand-in abruptly, like the loss of its VM.
+var ErrCrashed = errors.New("standin: crashed")
 
-// drainPoll is how often a leaving stand-in looks whether its last request has ended.
+// drainPoll is how often a leaving stand-in checks whether its last request has ended.
 const drainPoll = 20 * time.Millisecond
 
-// noticeTime is how long a leaving stand-in stays after it said so, so that every entry can hear of it.
-const noticeTime = 3 * time.Second
+// minDrainTime is how long a leaving stand-in keeps serving after it has announced that, so that every entry gets the update.
+const minDrainTime = 3 * time.Second
 
 const headerTimeout = 5 * time.Second
 
-// server is what each kind gives to the common part.
+// server holds what the common code needs from each kind of stand-in.
 type server struct {
 	handler      http.Handler
 	announcement func(sequence uint64) any
-	loops        func(ctx context.Context, a backend.Announcer)
+	background   func(ctx context.Context, a backend.Announcer)
 	leave        func()
 	running      func() int
 }
 
-// Run serves the stand-in of the given kind, with defaults for speeds and sizes that f leaves out, until ctx ends, then leaves gracefully; it writes one line to w when it serves.
+// Run serves a stand-in of the given kind until ctx ends and then shuts it down
+// gracefully. Rates and sizes that f omits have default values. Run writes one line
+// to w when the stand-in is ready.
 func Run(ctx context.Context, k Kind, f File, w io.Writer) error {
 	build, ok := builders[k]
 	if !ok {
@@ -49,43 +51,43 @@
 	fmt.Fprintf(w, "ready %s\n", l.Addr())
 
 	a := backend.NewAnnouncer(backend.Config{Entries: f.Entries, Key: f.AnnounceKey, Announcement: s.announcement})
-	loops, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
-	time.AfterFunc(time.Duration(f.StartDelay), func() { startLoops(loops, s, a) })
+	background, stopBackground := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopBackground()
+	time.AfterFunc(time.Duration(f.StartDelay), func() { startBackground(background, s, a) })
 	select {
 	case err := <-failed:
 		return err
 	case <-ctx.Done():
 	}
 	if errors.Is(context.Cause(ctx), ErrCrashed) {
-		stop()
+		stopBackground()
 		return h.Close()
 	}
-	drain(loops, s, a)
-	if err := h.Shutdown(loops); err != nil && !errors.Is(err, http.ErrServerClosed) {
+	drain(background, s, a)
+	if err := h.Shutdown(background); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-func startLoops(ctx context.Context, s server, a backend.Announcer) {
+func startBackground(ctx context.Context, s server, a backend.Announcer) {
 	if s.announcement != nil {
 		go a.Run(ctx)
 	}
-	if s.loops != nil {
-		go s.loops(ctx, a)
+	if s.background != nil {
+		go s.background(ctx, a)
 	}
 }
 
-// drain announces that the server leaves and waits for its last request.
+// drain announces that the server is leaving and waits until its last request has ended.
 func drain(ctx context.Context, s server, a backend.Announcer) {
 	if s.leave == nil {
 		return
 	}
 	s.leave()
 	_ = a.Announce(ctx)
-	until := time.Now().Add(noticeTime)
-	for time.Now().Before(until) || s.running() > 0 {
+	end := time.Now().Add(minDrainTime)
+	for time.Now().Before(end) || s.running() > 0 {
 		time.Sleep(drainPoll)
 	}
 }
--- a/internal/standin/service/doc.go
+++ b/internal/standin/service/doc.go
@@ -1,3 +1,3 @@
-// Package service is a stand-in of a plain service: reads that may be
-// repeated and calls that may not, each execution counted.
+// Package service is a stand-in for a plain service. It serves idempotent reads and
+// non-idempotent calls, and counts each execution.
 package service
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -11,23 +11,23 @@
 	"hornbeamwood/internal/standin/backend"
 )
 
-// maxBody bounds one call.
-const maxBody = 1 << 20
+// maxBodyBytes bounds the body of a call.
+const maxBodyBytes = 1 << 20
 
-// Config is how the service behaves.
+// Config holds the parameters of a Service.
 type Config struct {
-	// Name is the service's identity, shown in its answers.
+	// Name is the service's identity, which its responses contain.
 	Name string
 	// Delay is how long a call takes.
 	Delay time.Duration
 }
 
-// Service answers calls and counts executions.
+// Service serves calls and counts executions.
 type Service interface {
 	http.Handler
 	// Executions returns how often each idempotency key ran.
 	Executions() map[string]int
-	// Running returns the number of calls that run.
+	// Running returns the number of running calls.
 	Running() int
 }
 
@@ -38,21 +38,21 @@
 	mu         sync.Mutex
 	executions map[string]int
 	running    int
-	issued     int
+	lastNumber int
 }
 
-// answer is what a call returns.
-type answer struct {
+// response is the body of a response.
+type response struct {
 	Server string `json:"server"`
 	Number int    `json:"number,omitempty"`
 	Path   string `json:"path"`
 	Bytes  int    `json:"bytes"`
 }
 
-// New returns a Service without executions.
+// New returns a Service without any executions.
 func New(c Config) Service {
 	s := &service{config: c, mux: http.NewServeMux(), executions: make(map[string]int)}
-	s.mux.HandleFunc("GET /standin/executions", s.report)
+	s.mux.HandleFunc("GET /standin/executions", s.serveExecutions)
 	s.mux.HandleFunc("GET /", s.read)
 	s.mux.HandleFunc("POST /", s.execute)
 	return s
@@ -77,37 +77,37 @@
 	return s.running
 }
 
-func (s *service) report(w http.ResponseWriter, _ *http.Request) {
-	backend.Answer(w, http.StatusOK, s.Executions())
+func (s *service) serveExecutions(w http.ResponseWriter, _ *http.Request) {
+	backend.WriteJSON(w, http.StatusOK, s.Executions())
 }
 
 func (s *service) read(w http.ResponseWriter, q *http.Request) {
 	time.Sleep(s.config.Delay)
-	backend.Answer(w, http.StatusOK, answer{Server: s.config.Name, Path: q.URL.Path})
+	backend.WriteJSON(w, http.StatusOK, response{Server: s.config.Name, Path: q.URL.Path})
 }
 
 func (s *service) execute(w http.ResponseWriter, q *http.Request) {
-	b, err := io.ReadAll(io.LimitReader(q.Body, maxBody))
+	b, err := io.ReadAll(io.LimitReader(q.Body, maxBodyBytes))
 	if err != nil {
-		backend.Refuse(w, http.StatusBadRequest, true, "cut", "the body ended early")
+		backend.WriteError(w, http.StatusBadRequest, true, "cut", "the body is truncated")
 		return
 	}
 	number := s.begin(q)
 	defer s.end()
 	time.Sleep(s.config.Delay)
 	w.Header().Set("Location", fmt.Sprintf("%s/%d", q.URL.Path, number))
-	backend.Answer(w, http.StatusCreated, answer{Server: s.config.Name, Number: number, Path: q.URL.Path, Bytes: len(b)})
+	backend.WriteJSON(w, http.StatusCreated, response{Server: s.config.Name, Number: number, Path: q.URL.Path, Bytes: len(b)})
 }
 
-// begin counts the execution before anything else happens: a caller that is cut off later must still find it counted.
+// begin counts the execution before anything else happens, so that it is counted even if the caller disconnects later.
 func (s *service) begin(q *http.Request) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running++
-	s.issued++
+	s.lastNumber++
 	key := q.Header.Get("Hornbeamwood-Workspace") + "/" + q.Header.Get("Idempotency-Key")
 	s.executions[key]++
-	return s.issued
+	return s.lastNumber
 }
 
 func (s *service) end() {
--- a/internal/standin/store/doc.go
+++ b/internal/standin/store/doc.go
@@ -1,3 +1,4 @@
-// Package store is a stand-in of a store VM: opaque pieces in a memory and a
-// disk tier behind one limited link, as docs/interfaces/cache.md says.
+// Package store is a stand-in for a store VM. It keeps opaque pieces in a memory
+// tier and a disk tier behind one rate-limited link, as specified in
+// docs/interfaces/cache.md.
 package store
--- a/internal/standin/store/link.go
+++ b/internal/standin/store/link.go
@@ -8,10 +8,10 @@
 	"golang.org/x/time/rate"
 )
 
-// linkBurst is how many bytes pass at once; large enough for one write call.
+// linkBurst is the burst size in bytes, large enough for one write call.
 const linkBurst = 64 << 10
 
-// link limits all reads and writes of the store together.
+// link is the rate limit that all reads and writes of the store share.
 type link struct {
 	limiter *rate.Limiter
 	queued  atomic.Int64
@@ -21,7 +21,7 @@
 	return &link{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), linkBurst)}
 }
 
-// copy moves n bytes from r to w at the link's speed.
+// copy copies n bytes from r to w at the link's rate.
 func (l *link) copy(ctx context.Context, w io.Writer, r io.Reader, n int64) error {
 	l.queued.Add(n)
 	left := n
--- a/internal/standin/store/piece.go
+++ b/internal/standin/store/piece.go
@@ -1,6 +1,6 @@
 package store
 
-// piece is one sealed object; its bytes never change.
+// piece is one sealed object; its bytes are immutable.
 type piece struct {
 	data       []byte
 	digest     string
@@ -8,8 +8,8 @@
 	tier       string
 }
 
-// listed is one line of a listing.
-type listed struct {
+// listingEntry is one entry of a listing.
+type listingEntry struct {
 	Key        string `json:"key"`
 	Generation uint64 `json:"generation"`
 	Bytes      int    `json:"bytes"`
@@ -17,8 +17,8 @@
 }
 
 type listing struct {
-	Pieces []listed `json:"pieces"`
-	Next   string   `json:"next,omitempty"`
+	Pieces []listingEntry `json:"pieces"`
+	Next   string         `json:"next,omitempty"`
 }
 
 type tierUsage struct {
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -13,22 +13,22 @@
 	"hornbeamwood/internal/standin/backend"
 )
 
-// Tier names in the store protocol.
+// Names of the tiers in the store protocol.
 const (
 	Memory = "memory"
 	Disk   = "disk"
 )
 
-// maxPieceBytes bounds one write.
+// maxPieceBytes is the size of the largest piece.
 const maxPieceBytes = 64 << 20
 
-// maxListed is the longest listing.
-const maxListed = 1000
+// maxListingEntries is the length of the longest listing.
+const maxListingEntries = 1000
 
 // Store serves the store protocol.
 type Store interface {
 	http.Handler
-	// Load returns the bytes that wait for the link and the free bytes of both tiers.
+	// Load returns the bytes queued for the link and the free bytes of both tiers.
 	Load() (queued, free int64)
 }
 
@@ -76,49 +76,49 @@
 func (s *store) put(w http.ResponseWriter, q *http.Request) {
 	key, tier, n := q.PathValue("key"), q.URL.Query().Get("tier"), q.ContentLength
 	if n < 0 {
-		backend.Refuse(w, http.StatusLengthRequired, true, "length-required", "Content-Length is missing")
+		backend.WriteError(w, http.StatusLengthRequired, true, "length-required", "Content-Length is missing")
 		return
 	}
 	if tier != Memory && tier != Disk || n > maxPieceBytes {
-		backend.Refuse(w, http.StatusBadRequest, true, "bad-request", "unknown tier or too many bytes")
+		backend.WriteError(w, http.StatusBadRequest, true, "bad-request", "unknown tier, or piece too large")
 		return
 	}
 	if p, ok := s.reserve(key, tier, n); !ok {
-		s.refuseWrite(w, p)
+		s.rejectWrite(w, p)
 		return
 	}
 	var b bytes.Buffer
 	if err := s.link.copy(q.Context(), &b, q.Body, n); err != nil {
 		s.release(tier, n)
-		backend.Refuse(w, http.StatusBadRequest, true, "cut", "the body ended early")
+		backend.WriteError(w, http.StatusBadRequest, true, "cut", "the body is truncated")
 		return
 	}
 	digest := contentDigest(b.Bytes())
 	if q.Header.Get("Content-Digest") != digest {
 		s.release(tier, n)
-		backend.Refuse(w, http.StatusBadRequest, true, "digest", "Content-Digest does not match the bytes")
+		backend.WriteError(w, http.StatusBadRequest, true, "digest", "Content-Digest does not match the bytes")
 		return
 	}
 	p, written := s.seal(key, piece{data: b.Bytes(), digest: digest, tier: tier})
 	if !written {
 		s.release(tier, n)
-		s.refuseWrite(w, p)
+		s.rejectWrite(w, p)
 		return
 	}
 	w.Header().Set("ETag", etag(p.generation))
 	w.WriteHeader(http.StatusCreated)
 }
 
-func (s *store) refuseWrite(w http.ResponseWriter, existing piece) {
+func (s *store) rejectWrite(w http.ResponseWriter, existing piece) {
 	if existing.generation == 0 {
-		backend.Refuse(w, http.StatusInsufficientStorage, true, "full", "no room in this tier")
+		backend.WriteError(w, http.StatusInsufficientStorage, true, "full", "not enough free capacity in this tier")
 		return
 	}
 	w.Header().Set("ETag", etag(existing.generation))
-	backend.Refuse(w, http.StatusPreconditionFailed, true, "present", "a sealed piece has this key")
+	backend.WriteError(w, http.StatusPreconditionFailed, true, "present", "a sealed piece has this key")
 }
 
-// reserve takes room for n bytes; without room or with a sealed piece of the key it takes none.
+// reserve reserves capacity for n bytes. It returns false if there is not enough, or if a sealed piece has the key.
 func (s *store) reserve(key, tier string, n int64) (piece, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,7 +150,7 @@
 	return p, true
 }
 
-func (s *store) find(key string) (piece, bool) {
+func (s *store) lookup(key string) (piece, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p, ok := s.pieces[key]
@@ -158,12 +158,12 @@
 }
 
 func (s *store) get(w http.ResponseWriter, q *http.Request) {
-	p, ok := s.find(q.PathValue("key"))
-	if q.Method == http.MethodGet && !s.condition(w, q, p, ok) {
+	p, ok := s.lookup(q.PathValue("key"))
+	if q.Method == http.MethodGet && !s.checkIfMatch(w, q, p, ok) {
 		return
 	}
 	if !ok {
-		backend.Refuse(w, http.StatusNotFound, true, "missing", "no sealed piece has this key")
+		backend.WriteError(w, http.StatusNotFound, true, "missing", "no sealed piece has this key")
 		return
 	}
 	w.Header().Set("ETag", etag(p.generation))
@@ -174,19 +174,19 @@
 	if q.Method == http.MethodHead {
 		return
 	}
-	// A reader that leaves early sees a short body; there is nobody else to tell.
+	// A reader that disconnects sees a short body; the error needs no other handling.
 	_ = s.link.copy(q.Context(), w, bytes.NewReader(p.data), int64(len(p.data)))
 }
 
-// condition answers a request whose If-Match is missing or names another generation.
-func (s *store) condition(w http.ResponseWriter, q *http.Request, p piece, found bool) bool {
+// checkIfMatch writes an error response and returns false if If-Match is missing or names another generation.
+func (s *store) checkIfMatch(w http.ResponseWriter, q *http.Request, p piece, found bool) bool {
 	match := q.Header.Get("If-Match")
 	if match == "" {
-		backend.Refuse(w, http.StatusPreconditionRequired, true, "condition-required", "If-Match is missing")
+		backend.WriteError(w, http.StatusPreconditionRequired, true, "condition-required", "If-Match is missing")
 		return false
 	}
 	if found && match != etag(p.generation) {
-		backend.Refuse(w, http.StatusPreconditionFailed, true, "generation", "the piece has another generation")
+		backend.WriteError(w, http.StatusPreconditionFailed, true, "generation", "the piece has another generation")
 		return false
 	}
 	return true
@@ -197,11 +197,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p, ok := s.pieces[key]
-	if !s.condition(w, q, p, ok) {
+	if !s.checkIfMatch(w, q, p, ok) {
 		return
 	}
 	if !ok {
-		backend.Refuse(w, http.StatusNotFound, true, "missing", "no sealed piece has this key")
+		backend.WriteError(w, http.StatusNotFound, true, "missing", "no sealed piece has this key")
 		return
 	}
 	delete(s.pieces, key)
@@ -212,29 +212,29 @@
 func (s *store) list(w http.ResponseWriter, q *http.Request) {
 	after := q.URL.Query().Get("after")
 	limit, err := strconv.Atoi(q.URL.Query().Get("limit"))
-	if err != nil || limit < 1 || limit > maxListed {
-		limit = maxListed
+	if err != nil || limit < 1 || limit > maxListingEntries {
+		limit = maxListingEntries
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := listing{Pieces: []listed{}}
+	l := listing{Pieces: []listingEntry{}}
 	for k, p := range s.pieces {
 		if k > after {
-			l.Pieces = append(l.Pieces, listed{Key: k, Generation: p.generation, Bytes: len(p.data), Tier: p.tier})
+			l.Pieces = append(l.Pieces, listingEntry{Key: k, Generation: p.generation, Bytes: len(p.data), Tier: p.tier})
 		}
 	}
-	slices.SortFunc(l.Pieces, func(a, b listed) int { return bytes.Compare([]byte(a.Key), []byte(b.Key)) })
+	slices.SortFunc(l.Pieces, func(a, b listingEntry) int { return bytes.Compare([]byte(a.Key), []byte(b.Key)) })
 	if len(l.Pieces) > limit {
 		l.Pieces = l.Pieces[:limit]
 		l.Next = l.Pieces[limit-1].Key
 	}
-	backend.Answer(w, http.StatusOK, l)
+	backend.WriteJSON(w, http.StatusOK, l)
 }
 
 func (s *store) usage(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	backend.Answer(w, http.StatusOK, usage{
+	backend.WriteJSON(w, http.StatusOK, usage{
 		Incarnation: s.config.Started.UnixNano(),
 		Memory:      tierUsage{Bytes: s.config.MemoryBytes, FreeBytes: s.free[Memory]},
 		Disk:        tierUsage{Bytes: s.config.DiskBytes, FreeBytes: s.free[Disk]},
--- a/internal/standin/weights/doc.go
+++ b/internal/standin/weights/doc.go
@@ -1,2 +1,2 @@
-// Package weights is a stand-in of the rate-limited weight store.
+// Package weights is a stand-in for the rate-limited weight store.
 package weights
