--- a/internal/cli/settings/settings_test.go
+++ b/internal/cli/settings/settings_test.go
@@ -45,7 +45,7 @@
 
 // The response to an accepted edit is lost more than once. The client retries with
 // the same edit ID, so the operator gets the outcome and the edit is applied once.
-func TestLostAnswersAreAskedForAgain(t *testing.T) {
+func TestEditIsRetriedAfterLostResponses(t *testing.T) {
 	h, c := newFakeEntry(t)
 	h.dropResponses.Store(2)
 	c.Path, c.Setting, c.Value = "/", "priority", "5"
--- a/internal/standin/process/file_test.go
+++ b/internal/standin/process/file_test.go
@@ -25,7 +25,7 @@
 }
 
 // Values in a file override the defaults.
-func TestFileGoesBeforeDefaults(t *testing.T) {
+func TestFileOverridesDefaults(t *testing.T) {
 	f := File{Engine: EngineFile{PrefillRate: 7, MaxRunning: 3}, Store: StoreFile{LinkRate: 9}}.withDefaults()
 	if f.Engine.PrefillRate != 7 || f.Engine.MaxRunning != 3 || f.Store.LinkRate != 9 {
 		t.Errorf("%+v", f)
