--- a/internal/cli/load/config.go
+++ b/internal/cli/load/config.go
@@ -55,7 +55,7 @@
 	}
 	w := workload.Config{Deployment: d(), Rate: c.Rate, Length: c.Length, Seed: c.Seed}
 	for i := range w.Deployment.Classes {
-		g := &w.Deployment.Classes[i].Gap
+		g := &w.Deployment.Classes[i].ReturnGap
 		g[0], g[1] = scale(g[0], c.GapScale), scale(g[1], c.GapScale)
 	}
 	return w, nil
--- a/internal/cli/settings/examples_test.go
+++ b/internal/cli/settings/examples_test.go
@@ -37,17 +37,17 @@
 func TestExampleTreesHaveTheRulesThatAreMeasured(t *testing.T) {
 	for _, d := range []workload.Deployment{workload.Certilote(), workload.Association()} {
 		s := exampleSnapshot(t, d.Name)
-		if len(s.Workspaces) != len(d.Customers) {
+		if len(s.Workspaces) != len(d.Workspaces) {
 			t.Errorf("%s has %d workspaces", d.Name, len(s.Workspaces))
 		}
-		for _, c := range d.Customers {
+		for _, sender := range d.Workspaces {
 			for _, class := range d.Classes {
-				w := s.Workspaces[c.Workspace]
+				w := s.Workspaces[sender.Name]
 				got := w.Models[class.Name]
 				if class.Service != "" {
 					got = w.Services[class.Service]
 				}
-				checkRules(t, d.Name+" "+c.Workspace+" "+class.Name, got, class.Rules)
+				checkRules(t, d.Name+" "+sender.Name+" "+class.Name, got, class.Rules)
 			}
 		}
 		for _, m := range s.Models {
--- a/internal/load/comparison/ablations.go
+++ b/internal/load/comparison/ablations.go
@@ -5,26 +5,26 @@
 	"hornbeamwood/internal/policy/route"
 )
 
-// Ablations returns the policy with each of its elements switched off once.
+// Ablations returns the policy with one element disabled at a time.
 func Ablations() []model.Contender {
 	var all []model.Contender
 	for _, p := range route.DefaultElements() {
-		if name := p.Element.Name(); !essential[name] {
+		if name := p.Element.Name(); !requiredElements[name] {
 			all = append(all, Policy("without "+name, name))
 		}
 	}
-	exports := Policy("exports all")
-	exports.Exports = model.ExportAll
-	none := Policy("exports none")
-	none.Exports = model.ExportNone
-	open := Policy("without admission")
-	open.Admission = false
-	unfair := Policy("without fair queueing")
-	unfair.Fair = false
-	worthless := Policy("without worth in admission")
-	worthless.Worthless = true
-	return append(all, exports, none, open, unfair, worthless)
+	exportAll := Policy("exports all")
+	exportAll.Exports = model.ExportAll
+	exportNone := Policy("exports none")
+	exportNone.Exports = model.ExportNone
+	withoutAdmission := Policy("without admission")
+	withoutAdmission.Admission = false
+	withoutFairQueueing := Policy("without fair queueing")
+	withoutFairQueueing.Fair = false
+	withoutWorth := Policy("without worth in admission")
+	withoutWorth.Worthless = true
+	return append(all, exportAll, exportNone, withoutAdmission, withoutFairQueueing, withoutWorth)
 }
 
-// essential elements give the estimate its base; without them there is nothing to measure.
-var essential = map[string]bool{route.ReportedQueue: true, route.EngineMemory: true}
+// requiredElements are the basis of the estimate; without them there is nothing to measure.
+var requiredElements = map[string]bool{route.ReportedQueue: true, route.EngineMemory: true}
--- a/internal/load/comparison/baseline_comparison.go
+++ b/internal/load/comparison/baseline_comparison.go
@@ -5,21 +5,21 @@
 	"math"
 )
 
-// Verdict compares the policy with the best baseline of one column.
-type Verdict struct {
-	// Column is the figure.
+// BaselineComparison compares the policy with the best baseline in one column.
+type BaselineComparison struct {
+	// Column is the name of the metric.
 	Column string
 	// Policy is the policy's value.
 	Policy float64
 	// Best is the best baseline's value.
 	Best float64
-	// Baseline is the best baseline.
+	// Baseline is the name of the best baseline.
 	Baseline string
 }
 
-// compare returns a verdict for each column and whether there is a baseline that keep accepts; the
-// last row is the policy's.
-func compare(rows []Row, keep func(r *Row) bool) ([]Verdict, bool) {
+// compareColumns returns a comparison for each column, and whether there is a baseline that keep
+// accepts. The last row is the policy's.
+func compareColumns(rows []Row, keep func(r *Row) bool) ([]BaselineComparison, bool) {
 	policy := &rows[len(rows)-1]
 	var baselines []*Row
 	for i := range rows[:len(rows)-1] {
@@ -30,40 +30,40 @@
 	if len(baselines) == 0 {
 		return nil, false
 	}
-	var all []Verdict
+	var all []BaselineComparison
 	for _, c := range columns(policy) {
-		all = append(all, c.verdict(policy, baselines))
+		all = append(all, c.compareBaselines(policy, baselines))
 	}
 	return all, true
 }
 
-func (c column) verdict(policy *Row, baselines []*Row) Verdict {
-	v := Verdict{Column: c.name, Policy: c.value(policy), Best: math.NaN()}
+func (c column) compareBaselines(policy *Row, baselines []*Row) BaselineComparison {
+	v := BaselineComparison{Column: c.name, Policy: c.value(policy), Best: math.NaN()}
 	for _, r := range baselines {
 		if math.IsNaN(v.Best) || c.better(c.value(r), v.Best) {
-			v.Best, v.Baseline = c.value(r), r.Cell.Contender.Name
+			v.Best, v.Baseline = c.value(r), r.Cell.Variant.Name
 		}
 	}
 	return v
 }
 
-// serves says whether a row answers at least 99 of 100 requests in time.
-func serves(r *Row) bool {
+// meetsAnsweredShare reports whether a row answers at least 99 of 100 requests in time.
+func meetsAnsweredShare(r *Row) bool {
 	return notAnswered(r) <= 1-answeredShare
 }
 
-// every keeps every row.
-func every(*Row) bool { return true }
+// anyRow accepts every row.
+func anyRow(*Row) bool { return true }
 
-// String returns the verdict as a table row.
-func (v Verdict) String() string {
+// String returns the comparison as a table row.
+func (v BaselineComparison) String() string {
 	return line([]string{
 		v.Column, fmt.Sprintf("%.3f", v.Policy), fmt.Sprintf("%.3f", v.Best), v.Baseline, v.ratio(),
 	})
 }
 
-// ratio returns the policy's value over the best baseline's.
-func (v Verdict) ratio() string {
+// ratio returns the policy's value divided by the best baseline's.
+func (v BaselineComparison) ratio() string {
 	if v.Policy == v.Best {
 		return "1.00"
 	}
--- a/internal/load/comparison/cell.go
+++ b/internal/load/comparison/cell.go
@@ -5,20 +5,20 @@
 	"hornbeamwood/internal/load/workload"
 )
 
-// Cell is one row to measure: a contender under a load and a scenario.
+// Cell is one row to measure: a variant under a load and a scenario.
 type Cell struct {
-	// Deployment gives sizes and classes.
+	// Deployment defines sizes and classes.
 	Deployment workload.Deployment
-	// Contender is what is measured.
-	Contender model.Contender
-	// Scenario names the failure, empty for none.
+	// Variant is the routing strategy with its options that is measured.
+	Variant model.Contender
+	// Scenario names the failure; empty means none.
 	Scenario string
-	// Load is the part of the capacity.
+	// Load is the load as a fraction of the capacity.
 	Load float64
 	// Rate is the number of requests a second.
 	Rate float64
-	// Flooder is a workspace that sends too much; empty for none.
+	// Flooder is the workspace that floods; empty means none.
 	Flooder string
-	// Failures happen during the run.
+	// Failures are injected during the run.
 	Failures []model.Failure
 }
--- a/internal/load/comparison/column.go
+++ b/internal/load/comparison/column.go
@@ -1,6 +1,6 @@
 package comparison
 
-// column is one figure by which strategies are compared.
+// column is one metric by which strategies are compared.
 type column struct {
 	name           string
 	value          func(r *Row) float64
@@ -21,7 +21,7 @@
 	}
 	return append(all,
 		column{name: "recomputed", value: func(r *Row) float64 { return r.Result.Recomputed }},
-		column{name: "link GB", value: func(r *Row) float64 { return gigabytes(&r.Result) }},
+		column{name: "link GB", value: func(r *Row) float64 { return linkGigabytes(&r.Result) }},
 		column{name: "not answered", value: notAnswered},
 		column{name: "worth served", value: func(r *Row) float64 { return r.Result.WorthShare }, higherIsBetter: true},
 		column{name: "least-served workspace", value: func(r *Row) float64 { return r.Result.LeastServed }, higherIsBetter: true},
--- a/internal/load/comparison/config.go
+++ b/internal/load/comparison/config.go
@@ -6,21 +6,21 @@
 	"hornbeamwood/internal/load/model"
 )
 
-// Config says how long and how often each row is run.
+// Config defines how long and how often each row is run.
 type Config struct {
-	// Profile gives the figures of the fakes.
+	// Profile holds the parameters of the modeled servers and links.
 	Profile model.Profile
-	// Seeds has one run for each; a row shows the mean of its runs.
+	// Seeds holds the seed of each run; a row shows the mean of its runs.
 	Seeds []uint64
-	// Warmup is the time before requests count.
+	// Warmup is the time before arrivals are measured.
 	Warmup time.Duration
-	// Measured is the time in which arrivals count.
+	// Measured is the time during which arrivals are measured.
 	Measured time.Duration
-	// Parallel is the number of runs at once.
+	// Parallel is the number of concurrent runs.
 	Parallel int
 }
 
-// Full returns the Config that docs/MEASUREMENTS.md is measured with.
+// Full returns the Config of the measurements in docs/MEASUREMENTS.md.
 func Full() Config {
 	return Config{
 		Profile: model.DefaultProfile(), Seeds: []uint64{11, 12, 13},
@@ -28,7 +28,7 @@
 	}
 }
 
-// Short returns a Config for a test: one seed and less time.
+// Short returns a Config for tests, with one seed and shorter runs.
 func Short() Config {
 	return Config{
 		Profile: model.DefaultProfile(), Seeds: []uint64{11},
--- a/internal/load/comparison/doc.go
+++ b/internal/load/comparison/doc.go
@@ -1,3 +1,3 @@
-// Package comparison runs the policy and the baselines on the same requests and
+// Package comparison measures the policy and the baselines with the same requests and
 // writes tables and plots.
 package comparison
--- a/internal/load/comparison/flood.go
+++ b/internal/load/comparison/flood.go
@@ -5,26 +5,26 @@
 	"hornbeamwood/internal/load/workload"
 )
 
-// FloodName is the scenario in which a small workspace sends as much as half of the capacity.
+// FloodName is the scenario in which a small workspace sends half of the capacity in addition.
 const FloodName = "one-workspace-floods"
 
-// floodFactor is the load with the flood over the load without it.
+// floodFactor is the load with the flood divided by the load without it.
 const floodFactor = 1.5
 
-// flooded returns the baselines and the policy with and without fair queueing.
-func flooded() []model.Contender {
-	unfair := Policy("without fair queueing")
-	unfair.Fair = false
-	return append(Baselines(), unfair, Policy(PolicyName))
+// floodVariants returns the baselines and the policy with and without fair queueing.
+func floodVariants() []model.Contender {
+	withoutFairQueueing := Policy("without fair queueing")
+	withoutFairQueueing.Fair = false
+	return append(Baselines(), withoutFairQueueing, Policy(PolicyName))
 }
 
-// floodCells returns contenders at full load when a small workspace sends half of the capacity besides.
+// floodCells returns cells at full load in which a small workspace sends half of the capacity in addition.
 func floodCells(d workload.Deployment, capacity float64, all []model.Contender) []Cell {
-	flooder := d.Customers[len(d.Customers)-1].Workspace
-	cells := contenderCells(d.WithFlood(flooder, floodFactor), capacity, floodFactor, all)
+	floodingWorkspace := d.Workspaces[len(d.Workspaces)-1].Name
+	cells := variantCells(d.WithFlood(floodingWorkspace, floodFactor), capacity, floodFactor, all)
 	for i := range cells {
 		cells[i].Scenario = FloodName
-		cells[i].Flooder = flooder
+		cells[i].Flooder = floodingWorkspace
 	}
 	return cells
 }
--- a/internal/load/comparison/mean.go
+++ b/internal/load/comparison/mean.go
@@ -6,7 +6,7 @@
 	"hornbeamwood/internal/load/model"
 )
 
-// mean returns the mean of each figure; counts are rounded down.
+// mean returns the mean of each metric, but the minimum of LeastServed and the sum of Wrong. Counts are rounded down.
 func mean(all []model.Result) model.Result {
 	var m model.Result
 	n := float64(len(all))
--- a/internal/load/comparison/measure.go
+++ b/internal/load/comparison/measure.go
@@ -15,7 +15,7 @@
 		results[i] = make([]model.Result, len(c.Seeds))
 		for s := range c.Seeds {
 			g.Go(func() error {
-				results[i][s] = model.Run(c.run(&cells[i], c.Seeds[s]))
+				results[i][s] = model.Run(c.modelConfig(&cells[i], c.Seeds[s]))
 				return nil
 			})
 		}
@@ -28,9 +28,9 @@
 	return rows
 }
 
-func (c Config) run(x *Cell, seed uint64) model.Config {
+func (c Config) modelConfig(x *Cell, seed uint64) model.Config {
 	return model.Config{
-		Deployment: x.Deployment, Profile: c.Profile, Contender: x.Contender, Rate: x.Rate,
+		Deployment: x.Deployment, Profile: c.Profile, Contender: x.Variant, Rate: x.Rate,
 		Warmup: c.Warmup, Measured: c.Measured, Seed: seed, Failures: x.Failures, Flooder: x.Flooder,
 	}
 }
--- a/internal/load/comparison/plot.go
+++ b/internal/load/comparison/plot.go
@@ -8,15 +8,15 @@
 	"github.com/wcharczuk/go-chart/v2/drawing"
 )
 
-// Plot is a figure against load for each contender of a deployment.
+// Plot shows a metric over load for each variant of a deployment.
 type Plot struct {
-	// File is the file's name without folder.
+	// File is the name of the file without its folder.
 	File string
-	// Title stands above the plot.
+	// Title is the title of the plot.
 	Title string
-	// Axis names the figure.
+	// Axis is the label of the vertical axis.
 	Axis string
-	// Value returns the figure of a row.
+	// Value returns the metric of a row.
 	Value func(r *Row) float64
 }
 
@@ -58,12 +58,12 @@
 	return graph.Render(chart.SVG, w)
 }
 
-// series returns a line for each contender in the order of the rows.
+// series returns a line for each variant in the order of the rows.
 func (p Plot) series(rows []Row) []chart.Series {
 	lines := map[string]*chart.ContinuousSeries{}
 	var all []chart.Series
 	for i := range rows {
-		name := rows[i].Cell.Contender.Name
+		name := rows[i].Cell.Variant.Name
 		s, ok := lines[name]
 		if !ok {
 			s = &chart.ContinuousSeries{Name: name, Style: style(name, len(all))}
@@ -76,19 +76,19 @@
 	return all
 }
 
-// ticks returns the measured loads.
+// ticks returns the tick marks of the plotted loads.
 func ticks() []chart.Tick {
-	all := make([]chart.Tick, len(curve))
-	for i, l := range curve {
+	all := make([]chart.Tick, len(plottedLoads))
+	for i, l := range plottedLoads {
 		all[i] = chart.Tick{Value: l, Label: fmt.Sprintf("%.2f", l)}
 	}
 	return all
 }
 
-// palette has a colour for each pair of baselines; the second of a pair is dashed.
+// palette has a color for each pair of baselines; the second of a pair is dashed.
 var palette = []string{"1f77b4", "2ca02c", "d62728", "9467bd"}
 
-// style draws the policy thick and black.
+// style returns the line style of a variant; the policy is thick and black.
 func style(name string, i int) chart.Style {
 	if name == PolicyName {
 		return chart.Style{StrokeColor: chart.ColorBlack, StrokeWidth: 4}
--- a/internal/load/comparison/report.go
+++ b/internal/load/comparison/report.go
@@ -13,16 +13,16 @@
 type Report struct {
 	// Part names the part.
 	Part string
-	// Deployment gives sizes and classes.
+	// Deployment defines sizes and classes.
 	Deployment workload.Deployment
-	// Capacity is the load that the servers can carry, in requests a second.
+	// Capacity is the load that the servers can sustain, in requests a second.
 	Capacity float64
 	// Rows are the measured rows.
 	Rows  []Row
 	write func(b *strings.Builder, rows []Row)
 }
 
-// Part is a part of the comparison that can be run by itself.
+// Part is a part of the comparison that can be run separately.
 type Part struct {
 	// Name is the kebab-case name.
 	Name  string
@@ -36,13 +36,13 @@
 // Parts returns the parts in the order in which they are run.
 func Parts() []Part {
 	return []Part{
-		{Name: LoadsPart, cells: curveCells, write: writeLoads},
+		{Name: LoadsPart, cells: loadCells, write: writeLoads},
 		{Name: "failures", cells: failureCells, write: writeFailures},
 		{Name: "elements", cells: ablationCells, write: writeAblations},
 	}
 }
 
-// Run returns the report of part p for a deployment with the given capacity.
+// Run measures part p for a deployment with the given capacity and returns its report.
 func (p Part) Run(c Config, d workload.Deployment, capacity float64) Report {
 	rows := Measure(c, p.cells(c, d, capacity))
 	return Report{Part: p.Name, Deployment: d, Capacity: capacity, Rows: rows, write: p.write}
@@ -58,25 +58,25 @@
 }
 
 func writeLoads(b *strings.Builder, rows []Row) {
-	for _, l := range Loads {
+	for _, l := range TableLoads {
 		fmt.Fprintf(b, "\n## Load %.1f\n\n", l)
-		writeTable(b, at(rows, l))
+		writeTable(b, rowsAtLoad(rows, l))
 	}
-	for _, l := range Loads {
+	for _, l := range TableLoads {
 		fmt.Fprintf(b, "\n## The policy and the best baseline of each column at load %.1f\n", l)
-		writeVerdicts(b, "of all baselines", at(rows, l), every)
-		writeVerdicts(b, "of the baselines that answer 99 of 100 requests in time", at(rows, l), serves)
+		writeComparisons(b, "of all baselines", rowsAtLoad(rows, l), anyRow)
+		writeComparisons(b, "of the baselines that answer 99 of 100 requests in time", rowsAtLoad(rows, l), meetsAnsweredShare)
 	}
 }
 
-// at returns the rows at one load.
-func at(rows []Row, load float64) []Row {
+// rowsAtLoad returns the rows at one load.
+func rowsAtLoad(rows []Row, load float64) []Row {
 	return slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return r.Cell.Load != load })
 }
 
-func writeVerdicts(b *strings.Builder, what string, rows []Row, keep func(r *Row) bool) {
+func writeComparisons(b *strings.Builder, what string, rows []Row, keep func(r *Row) bool) {
 	fmt.Fprintf(b, "\nBest %s:\n\n", what)
-	all, ok := compare(rows, keep)
+	all, ok := compareColumns(rows, keep)
 	if !ok {
 		b.WriteString("There is none.\n")
 		return
--- a/internal/load/comparison/row.go
+++ b/internal/load/comparison/row.go
@@ -2,9 +2,9 @@
 
 import "hornbeamwood/internal/load/model"
 
-// Row is a Cell with what was measured, the mean over the seeds.
+// Row is a Cell with its result, the mean over the seeds.
 type Row struct {
-	// Cell is what was run.
+	// Cell is the measured cell.
 	Cell Cell
 	// Result is the mean of its runs.
 	Result model.Result
--- a/internal/load/comparison/scenarios.go
+++ b/internal/load/comparison/scenarios.go
@@ -7,33 +7,33 @@
 	"hornbeamwood/internal/load/workload"
 )
 
-// Scenario is a failure during the measured time.
+// Scenario is a set of failures during the measured time.
 type Scenario struct {
 	// Name is the scenario's kebab-case name.
 	Name string
-	// Failures returns what fails in a deployment when the measured time is length.
+	// Failures returns the failures of a deployment if the measured time is length.
 	Failures func(d workload.Deployment, length time.Duration) []model.Failure
 }
 
-// Scenarios returns the failures that each contender meets at full load; each
-// begins after a fifth of the measured time and lasts for two fifths.
+// Scenarios returns the scenarios in which each variant is measured at full load. A
+// failure begins after a fifth of the measured time and lasts for two fifths.
 func Scenarios() []Scenario {
 	return []Scenario{
-		{Name: "store-dies", Failures: one(model.StoreDies, 0)},
-		{Name: "link-slows-tenfold", Failures: one(model.LinkSlows, 0)},
-		{Name: "third-of-servers-lost", Failures: thirdLost},
-		{Name: "entry-killed", Failures: one(model.EntryDies, 2)},
+		{Name: "store-dies", Failures: singleFailure(model.StoreDies, 0)},
+		{Name: "link-slows-tenfold", Failures: singleFailure(model.LinkSlows, 0)},
+		{Name: "third-of-servers-lost", Failures: thirdOfServersLost},
+		{Name: "entry-killed", Failures: singleFailure(model.EntryDies, 2)},
 	}
 }
 
-func one(kind model.FailureKind, index int) func(workload.Deployment, time.Duration) []model.Failure {
+func singleFailure(kind model.FailureKind, index int) func(workload.Deployment, time.Duration) []model.Failure {
 	return func(_ workload.Deployment, length time.Duration) []model.Failure {
 		return []model.Failure{{Kind: kind, Index: index, At: length / 5, Until: length * 3 / 5}}
 	}
 }
 
-// thirdLost loses a third of the servers, of both roles.
-func thirdLost(d workload.Deployment, length time.Duration) []model.Failure {
+// thirdOfServersLost fails a third of the servers of each role.
+func thirdOfServersLost(d workload.Deployment, length time.Duration) []model.Failure {
 	reserve := d.Reserve / 3
 	lost := (d.Servers+d.Reserve)/3 - reserve
 	return []model.Failure{
--- a/internal/load/comparison/table.go
+++ b/internal/load/comparison/table.go
@@ -8,7 +8,7 @@
 	"hornbeamwood/internal/load/model"
 )
 
-// writeTable writes rows of one deployment as a Markdown table, with the times of each class with TTFT.
+// writeTable writes rows of one deployment as a Markdown table, with the TTFT of each class that has one.
 func writeTable(b *strings.Builder, rows []Row) {
 	if len(rows) == 0 {
 		return
@@ -45,23 +45,23 @@
 
 func tableRow(r *Row) []string {
 	x := &r.Result
-	row := []string{fmt.Sprintf("%.2f", r.Cell.Load), r.Cell.Contender.Name}
+	row := []string{fmt.Sprintf("%.2f", r.Cell.Load), r.Cell.Variant.Name}
 	for i, c := range r.Cell.Deployment.Classes {
 		if c.Service == "" {
-			row = append(row, times(&x.Classes[i]))
+			row = append(row, latencies(&x.Classes[i]))
 		}
 	}
 	return append(row,
 		fmt.Sprintf("%.3f", x.Recomputed),
-		fmt.Sprintf("%.0f", gigabytes(x)),
-		fmt.Sprintf("%.2f", busy(x)),
-		percent(x.Refused, x.Arrived), percent(x.Late, x.Arrived), percent(x.Lost, x.Arrived),
+		fmt.Sprintf("%.0f", linkGigabytes(x)),
+		fmt.Sprintf("%.2f", meanLinkBusy(x)),
+		formatPercent(x.Refused, x.Arrived), formatPercent(x.Late, x.Arrived), formatPercent(x.Lost, x.Arrived),
 		fmt.Sprint(x.Wrong),
 		fmt.Sprintf("%.3f", x.WorthShare), fmt.Sprintf("%.2f", x.LeastServed),
 		fmt.Sprintf("%.2f", x.Goodput))
 }
 
-func times(c *model.ClassResult) string {
+func latencies(c *model.ClassResult) string {
 	return fmt.Sprintf("%s / %s / %s", secondsOf(c.P50), secondsOf(c.P95), secondsOf(c.P99))
 }
 
@@ -69,15 +69,15 @@
 	return fmt.Sprintf("%.3f", d.Seconds())
 }
 
-func percent(n, of int) string {
+func formatPercent(n, of int) string {
 	if of == 0 {
 		return "0%"
 	}
 	return fmt.Sprintf("%.2f%%", 100*float64(n)/float64(of))
 }
 
-// gigabytes returns the bytes of all links.
-func gigabytes(x *model.Result) float64 {
+// linkGigabytes returns the gigabytes transferred over all links.
+func linkGigabytes(x *model.Result) float64 {
 	var sum int64
 	for _, n := range x.LinkBytes {
 		sum += n
@@ -85,8 +85,8 @@
 	return float64(sum) / 1e9
 }
 
-// busy returns the mean busy share of the links.
-func busy(x *model.Result) float64 {
+// meanLinkBusy returns the mean busy share of the links.
+func meanLinkBusy(x *model.Result) float64 {
 	var sum float64
 	for _, b := range x.LinkBusy {
 		sum += b
--- a/internal/load/comparison/variants.go
+++ b/internal/load/comparison/variants.go
@@ -6,10 +6,10 @@
 	"hornbeamwood/internal/policy/route"
 )
 
-// PolicyName is the row of the policy under test.
+// PolicyName is the name of the policy under test.
 const PolicyName = "hornbeamwood"
 
-// Policy returns the policy under test, without the named elements.
+// Policy returns the policy under test without the named elements.
 func Policy(name string, without ...string) model.Contender {
 	return model.Contender{
 		Name: name,
@@ -22,24 +22,24 @@
 	}
 }
 
-// Baselines returns round robin, least loaded and prefix hash, each with engine
-// memory alone and with stores: every piece is exported after a run and every
-// missing piece that a store holds is imported. Least loaded comes also with a fixed
-// division of the servers by role.
+// Baselines returns round robin, least loaded and prefix hash, each without and with
+// stores. With stores, every piece is exported after a run, and every missing piece
+// that a store holds is imported. Least loaded is also measured with a fixed division
+// of the servers by role.
 func Baselines() []model.Contender {
 	var all []model.Contender
 	for _, build := range []func(baseline.Config) route.Strategy{
 		baseline.NewRoundRobin, baseline.NewLeastLoaded, baseline.NewPrefixHash,
 	} {
-		all = append(all, contender(build, baseline.Config{}, model.ExportNone))
-		all = append(all, contender(build, baseline.Config{Imports: true}, model.ExportAll))
+		all = append(all, newVariant(build, baseline.Config{}, model.ExportNone))
+		all = append(all, newVariant(build, baseline.Config{Imports: true}, model.ExportAll))
 	}
-	divided := func(c baseline.Config) route.Strategy { return baseline.NewByRole(baseline.NewLeastLoaded(c)) }
-	all = append(all, contender(divided, baseline.Config{}, model.ExportNone))
-	return append(all, contender(divided, baseline.Config{Imports: true}, model.ExportAll))
+	byRole := func(c baseline.Config) route.Strategy { return baseline.NewByRole(baseline.NewLeastLoaded(c)) }
+	all = append(all, newVariant(byRole, baseline.Config{}, model.ExportNone))
+	return append(all, newVariant(byRole, baseline.Config{Imports: true}, model.ExportAll))
 }
 
-func contender(build func(baseline.Config) route.Strategy, c baseline.Config, e model.ExportRule) model.Contender {
+func newVariant(build func(baseline.Config) route.Strategy, c baseline.Config, e model.ExportRule) model.Contender {
 	return model.Contender{
 		Name:     build(c).Name(),
 		Strategy: func() route.Strategy { return build(c) },
--- a/internal/load/workload/arrival.go
+++ b/internal/load/workload/arrival.go
@@ -6,11 +6,11 @@
 	"hornbeamwood/internal/settings/rules"
 )
 
-// Arrival is one request of a caller.
+// Arrival is one request of a caller, with its arrival time.
 type Arrival struct {
 	// Number counts the arrivals from 0.
 	Number int
-	// At is the time since the start.
+	// At is the arrival time since the start.
 	At time.Duration
 	// Class is the index in Deployment.Classes.
 	Class int
@@ -18,14 +18,14 @@
 	Workspace string
 	// Rules are the request's effective rules.
 	Rules rules.Rules
-	// Document numbers the document; zero means none.
+	// Document is the number of the document; zero means none.
 	Document uint64
-	// Visit is 1 for a new document and grows with each return.
+	// Visit is 1 for a new document and increases with each return.
 	Visit int
-	// Pieces are the keys of the prompt's whole pieces in order; equal keys have equal prefixes.
+	// Pieces are the keys of the prompt's complete pieces in order; equal keys have equal prefixes.
 	Pieces []uint64
 	// Tail is the number of prompt tokens after the last piece.
 	Tail int
-	// Answer is the number of tokens of the answer.
+	// Answer is the number of tokens of the completion.
 	Answer int
 }
--- a/internal/load/workload/class.go
+++ b/internal/load/workload/class.go
@@ -6,28 +6,28 @@
 	"hornbeamwood/internal/settings/rules"
 )
 
-// Class is one kind of request of a deployment.
+// Class is one class of requests of a deployment.
 type Class struct {
 	// Name is the kebab-case name of the class.
 	Name string
-	// Share is the part of all requests.
-	Share float64
-	// Service is the plain service that is called; empty for a prompt to the model.
+	// RequestShare is the share of all requests.
+	RequestShare float64
+	// Service is the plain service that is called; empty means a prompt to the model.
 	Service string
-	// ServiceTime is how long a plain service works on a call.
+	// ServiceTime is how long the plain service takes for a call.
 	ServiceTime time.Duration
-	// Pieces is the number of whole cache pieces of a new document; zero for prompts without one.
+	// Pieces is the number of complete cache pieces of a new document; zero means prompts without a document.
 	Pieces Span
-	// Tail is the number of prompt tokens after the last whole piece.
+	// Tail is the number of prompt tokens after the last complete piece.
 	Tail Span
-	// Answer is the number of tokens of the answer.
+	// Answer is the number of tokens of the completion.
 	Answer Span
-	// Return is the probability that a document comes back.
-	Return float64
-	// Gap is the time until it does.
-	Gap [2]time.Duration
-	// Growth is the number of pieces that are added to a document when it comes back.
+	// ReturnProbability is the probability that a document returns.
+	ReturnProbability float64
+	// ReturnGap bounds the time until it returns.
+	ReturnGap [2]time.Duration
+	// Growth is the number of pieces that are added to a document when it returns.
 	Growth Span
-	// Rules are the rules of the class's requests; the workspace's share is added by the generator.
+	// Rules are the rules of the class's requests; the generator adds the workspace's share.
 	Rules rules.Rules
 }
--- a/internal/load/workload/config.go
+++ b/internal/load/workload/config.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Config says what a Generator draws.
+// Config holds the parameters of a Generator.
 type Config struct {
-	// Deployment gives the classes and workspaces.
+	// Deployment defines the classes and workspaces.
 	Deployment Deployment
-	// Rate is the number of requests a second, returns counted.
+	// Rate is the number of requests a second, including requests for returning documents.
 	Rate float64
 	// Length is the time until the last arrival.
 	Length time.Duration
-	// Seed gives the same arrivals for the same Config.
+	// Seed determines the arrivals of a Config.
 	Seed uint64
 }
--- a/internal/load/workload/deployment.go
+++ b/internal/load/workload/deployment.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Deployment is the size of an installation and what its callers ask for.
+// Deployment is the size of an installation and the requests of its callers.
 type Deployment struct {
 	// Name is the deployment's kebab-case name.
 	Name string
 	// Servers is the number of engines that run long prompts.
 	Servers int
-	// Reserve is the number of engines beside which the plain services run.
+	// Reserve is the number of further engines, which share their VMs with the plain services.
 	Reserve int
 	// Stores is the number of store VMs.
 	Stores int
@@ -20,9 +20,9 @@
 	ClientDelay time.Duration
 	// PieceTokens is the number of tokens of a cache piece.
 	PieceTokens int
-	// Customers are the workspaces.
-	Customers []Customer
-	// Classes are the kinds of requests; the prompts of one workspace share their first piece.
+	// Workspaces are the workspaces.
+	Workspaces []Workspace
+	// Classes are the classes of requests. The prompts of one workspace share their first piece.
 	Classes []Class
 }
 
--- a/internal/load/workload/flood.go
+++ b/internal/load/workload/flood.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// WithFlood returns d with a workspace that sends so much more that all requests together are
-// factor times as many; the others send as before when the rate grows by the same factor.
+// WithFlood returns d with a workspace that sends so many more requests that the total grows by
+// factor. If the rate grows by the same factor, the other workspaces send as many as before.
 func (d Deployment) WithFlood(workspace string, factor float64) Deployment {
-	d.Customers = slices.Clone(d.Customers)
-	for i := range d.Customers {
-		c := &d.Customers[i]
-		if c.Workspace == workspace {
-			c.Part += factor - 1
+	d.Workspaces = slices.Clone(d.Workspaces)
+	for i := range d.Workspaces {
+		w := &d.Workspaces[i]
+		if w.Name == workspace {
+			w.RequestShare += factor - 1
 		}
-		c.Part /= factor
+		w.RequestShare /= factor
 	}
 	return d
 }
--- a/internal/load/workload/generator.go
+++ b/internal/load/workload/generator.go
@@ -23,8 +23,8 @@
 	documents uint64
 }
 
-// New returns a Generator of c's requests: new ones come as a Poisson process
-// for each class, returns follow after the class's gap.
+// New returns a Generator for c. New documents and prompts arrive as a Poisson
+// process for each class; documents return after the class's gap.
 func New(c Config) Generator {
 	g := &generator{config: c, random: rand.New(rand.NewPCG(c.Seed, 0x6c6f6164))}
 	for i := range c.Deployment.Classes {
@@ -33,7 +33,7 @@
 	return g
 }
 
-// Next returns the earliest arrival and draws those that follow from it.
+// Next returns the earliest arrival and draws the arrivals that follow from it.
 func (g *generator) Next() (Arrival, bool) {
 	if len(g.pending) == 0 {
 		return Arrival{}, false
@@ -46,10 +46,10 @@
 	return a, true
 }
 
-// schedule draws the next new request of a class after at.
+// schedule draws the next new request of a class after the given time.
 func (g *generator) schedule(class int, at time.Duration) {
 	c := &g.config.Deployment.Classes[class]
-	rate := g.config.Rate * c.Share * (1 - c.Return)
+	rate := g.config.Rate * c.RequestShare * (1 - c.ReturnProbability)
 	if rate <= 0 {
 		return
 	}
@@ -59,8 +59,8 @@
 
 func (g *generator) draw(class int, at time.Duration) Arrival {
 	c := &g.config.Deployment.Classes[class]
-	w := g.customer()
-	a := Arrival{At: at, Class: class, Workspace: w.Workspace, Visit: 1, Rules: c.Rules}
+	w := g.drawWorkspace()
+	a := Arrival{At: at, Class: class, Workspace: w.Name, Visit: 1, Rules: c.Rules}
 	a.Rules.Share = w.Share
 	a.Tail = c.Tail.Draw(g.random)
 	a.Answer = c.Answer.Draw(g.random)
@@ -76,13 +76,13 @@
 	return a
 }
 
-// scheduleReturn draws whether and when the document of a comes back.
+// scheduleReturn draws whether and when the document of a returns.
 func (g *generator) scheduleReturn(a Arrival) {
 	c := &g.config.Deployment.Classes[a.Class]
-	if a.Document == 0 || g.random.Float64() >= c.Return {
+	if a.Document == 0 || g.random.Float64() >= c.ReturnProbability {
 		return
 	}
-	a.At += c.Gap[0] + time.Duration(g.random.Int64N(int64(c.Gap[1]-c.Gap[0])))
+	a.At += c.ReturnGap[0] + time.Duration(g.random.Int64N(int64(c.ReturnGap[1]-c.ReturnGap[0])))
 	a.Visit++
 	a.Tail = c.Tail.Draw(g.random)
 	a.Answer = c.Answer.Draw(g.random)
@@ -99,13 +99,13 @@
 	heap.Push(&g.pending, a)
 }
 
-func (g *generator) customer() Customer {
-	all := g.config.Deployment.Customers
+func (g *generator) drawWorkspace() Workspace {
+	all := g.config.Deployment.Workspaces
 	left := g.random.Float64()
-	for _, c := range all {
-		left -= c.Part
+	for _, w := range all {
+		left -= w.RequestShare
 		if left < 0 {
-			return c
+			return w
 		}
 	}
 	return all[len(all)-1]
@@ -121,7 +121,7 @@
 	return keys
 }
 
-// pieceKey returns the key of a piece; the first piece of a workspace's prompts is document 0.
+// pieceKey returns the key of a piece. Document 0 stands for the first piece of a workspace's prompts.
 func pieceKey(workspace string, document uint64, i int) uint64 {
 	b := make([]byte, 16, 16+len(workspace))
 	binary.LittleEndian.PutUint64(b, document)
--- a/internal/load/workload/generator_test.go
+++ b/internal/load/workload/generator_test.go
@@ -52,16 +52,16 @@
 	if a.Document == 0 || !ok {
 		return
 	}
-	if a.Visit != b.Visit+1 || a.Workspace != b.Workspace || a.At-b.At < d.Classes[a.Class].Gap[0] {
-		t.Errorf("%s: document %d came back as %+v after %+v", d.Name, a.Document, a, b)
+	if a.Visit != b.Visit+1 || a.Workspace != b.Workspace || a.At-b.At < d.Classes[a.Class].ReturnGap[0] {
+		t.Errorf("%s: document %d returned as %+v after %+v", d.Name, a.Document, a, b)
 	}
 	if !reflect.DeepEqual(a.Pieces[:len(b.Pieces)], b.Pieces) {
 		t.Errorf("%s: document %d has another prefix", d.Name, a.Document)
 	}
 }
 
-// Two workspaces that send the same words must not share cache pieces, or one
-// would see by the speed of its answers what the other asked.
+// Two workspaces that send the same text must not share cache pieces. Otherwise one
+// could infer from the latency of its responses what the other has sent.
 func TestWorkspacesShareNoPiece(t *testing.T) {
 	owner := map[uint64]string{}
 	for _, a := range all(config(Certilote())) {
--- a/internal/load/workload/pending.go
+++ b/internal/load/workload/pending.go
@@ -1,6 +1,6 @@
 package workload
 
-// pending is a heap of arrivals by time, then number.
+// pending is a heap of arrivals, ordered by time and then by number.
 type pending []Arrival
 
 func (p pending) Len() int { return len(p) }
--- a/internal/load/workload/span.go
+++ b/internal/load/workload/span.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-// Span is a range of whole numbers from which each is as likely as any other.
+// Span is a range of integers with a uniform distribution.
 type Span struct {
 	// Min is the smallest number.
 	Min int
@@ -10,7 +10,7 @@
 	Max int
 }
 
-// Draw returns a number of the range.
+// Draw returns a random number of the range.
 func (s Span) Draw(r *rand.Rand) int {
 	if s.Max <= s.Min {
 		return s.Min
--- a/internal/load/workload/workspace.go
+++ b/internal/load/workload/workspace.go
@@ -1,24 +1,24 @@
 package workload
 
-// Customer is a workspace with its part of the requests.
-type Customer struct {
-	// Workspace is its name.
-	Workspace string
-	// Part is its part of the requests.
-	Part float64
+// Workspace is a workspace with its share of the requests.
+type Workspace struct {
+	// Name is its name.
+	Name string
+	// RequestShare is its share of the requests.
+	RequestShare float64
 	// Share is its weight in fair queueing.
 	Share float64
 }
 
-// smallest is the least part of a workspace; shares are in its multiples.
-const smallest = 0.05
+// minRequestShare is the smallest request share of a workspace; the fair queueing weights are multiples of it.
+const minRequestShare = 0.05
 
-// fewLarge returns ten workspaces of which three send six tenths of the requests.
-func fewLarge(names [10]string) []Customer {
-	parts := [10]float64{0.26, 0.20, 0.14, 0.07, 0.06, 0.06, 0.06, 0.05, 0.05, 0.05}
-	all := make([]Customer, len(names))
+// skewedWorkspaces returns ten workspaces, of which three send six tenths of the requests.
+func skewedWorkspaces(names [10]string) []Workspace {
+	requestShares := [10]float64{0.26, 0.20, 0.14, 0.07, 0.06, 0.06, 0.06, 0.05, 0.05, 0.05}
+	all := make([]Workspace, len(names))
 	for i, name := range names {
-		all[i] = Customer{Workspace: name, Part: parts[i], Share: parts[i] / smallest}
+		all[i] = Workspace{Name: name, RequestShare: requestShares[i], Share: requestShares[i] / minRequestShare}
 	}
 	return all
 }
