--- a/deploy/soak/client.go
+++ b/deploy/soak/client.go
@@ -11,22 +11,22 @@
 	"time"
 )
 
-// client sends requests through one proxy and keeps its connections open for as long as it can.
+// client sends requests through one proxy and keeps its connections open as long as possible.
 type client struct {
-	name   string
-	http   *http.Client
-	at     string
-	record *record
-	ledger *ledger
-	limits *limits
-	random *rand.Rand
+	name       string
+	http       *http.Client
+	address    string
+	record     *record
+	executions *executions
+	limits     *limits
+	random     *rand.Rand
 }
 
-func newClient(name, at string, r *record, l *ledger, named *limits, seed uint64) *client {
+func newClient(name, address string, r *record, l *executions, serverLimits *limits, seed uint64) *client {
 	return &client{
-		name: name, at: at, record: r, ledger: l, limits: named, random: rand.New(rand.NewPCG(seed, 7)),
-		// The library would repeat a request by itself on a connection that broke,
-		// and the soak would blame the site for it: one request, one connection use.
+		name: name, address: address, record: r, executions: l, limits: serverLimits, random: rand.New(rand.NewPCG(seed, 7)),
+		// net/http would retry a request on its own after a connection error, and the
+		// soak would attribute the second execution to the site.
 		http: &http.Client{Transport: &http.Transport{
 			MaxIdleConnsPerHost: 4,
 			DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
@@ -34,32 +34,32 @@
 	}
 }
 
-var kinds = []string{"read", "once", "once", "stream", "prompt"}
+var requestKinds = []string{"read", "once", "once", "stream", "prompt"}
 
 // run sends requests until ctx ends.
 func (c *client) run(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
-		c.one(ctx, n)
+		c.sendRequest(ctx, n)
 		pause(ctx, time.Duration(c.random.IntN(15))*time.Millisecond)
 	}
 }
 
-// one sends a request and checks its answer.
-func (c *client) one(ctx context.Context, n int) {
-	kind := kinds[c.random.IntN(len(kinds))]
-	id := fmt.Sprintf("%s-%d", c.name, n)
+// sendRequest sends a request and checks its answer.
+func (c *client) sendRequest(ctx context.Context, n int) {
+	kind := requestKinds[c.random.IntN(len(requestKinds))]
+	attempt := fmt.Sprintf("%s-%d", c.name, n)
 	tenant := 1 + c.random.IntN(2)
 	body := strings.Repeat("x", c.random.IntN(2000))
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
-	// A reader without a rewind keeps the library from sending the body twice.
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.at+"/"+kind+"/"+id, io.NopCloser(strings.NewReader(body)))
+	// net/http can't rewind this reader, and so doesn't send the body twice.
+	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.address+"/"+kind+"/"+attempt, io.NopCloser(strings.NewReader(body)))
 	if err != nil {
-		c.record.broke("request: %v", err)
+		c.record.reportViolation("request: %v", err)
 		return
 	}
 	q.Host, q.ContentLength = "soak", int64(len(body))
-	q.Header.Set("Attempt-Id", id)
+	q.Header.Set("Attempt-Id", attempt)
 	q.Header.Set("X-Api-Key", fmt.Sprint("k", tenant))
 	q.Header.Set("Deadline-Ms", "4000")
 	q.Header.Set("Tenant", "forged")
@@ -70,53 +70,53 @@
 	}
 	r, err := c.http.Do(q)
 	if err != nil {
-		c.record.saw(kind, 0)
+		c.record.countAnswer(kind, 0)
 		return
 	}
 	defer r.Body.Close()
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
-		c.record.saw(kind, 0)
+		c.record.countAnswer(kind, 0)
 		return
 	}
-	c.record.saw(kind, r.StatusCode)
+	c.record.countAnswer(kind, r.StatusCode)
 	if r.Header.Get("Server-Limit") != "" {
-		c.limits.passed(id, r.Header.Get("Instance-Id"))
+		c.limits.recordPassedOn(attempt, r.Header.Get("Instance-Id"))
 	}
-	c.judge(kind, id, fmt.Sprint("t", tenant), body, r.StatusCode, string(b))
+	c.checkAnswer(kind, attempt, fmt.Sprint("t", tenant), body, r.StatusCode, string(b))
 }
 
-// judge checks a whole answer.
-func (c *client) judge(kind, id, tenant, body string, status int, got string) {
+// checkAnswer checks a complete answer.
+func (c *client) checkAnswer(kind, attempt, tenant, body string, status int, got string) {
 	switch status {
 	case http.StatusOK:
-		want := fmt.Sprintf("%s /%s/%s %s", id, kind, id, body)
+		want := fmt.Sprintf("%s /%s/%s %s", attempt, kind, attempt, body)
 		if kind == "stream" || kind == "prompt" {
-			want = wholeStream(id)
+			want = wholeStream(attempt)
 		}
 		if got != want {
-			c.record.broke("%s got another answer: %.120q", id, got)
+			c.record.reportViolation("%s got a wrong answer: %.120q", attempt, got)
 		}
-		c.ledger.mu.Lock()
-		seen := c.ledger.tenants[id]
-		c.ledger.mu.Unlock()
-		if seen != tenant {
-			c.record.broke("%s ran for %q, not for %q", id, seen, tenant)
+		c.executions.mu.Lock()
+		ranFor := c.executions.tenants[attempt]
+		c.executions.mu.Unlock()
+		if ranFor != tenant {
+			c.record.reportViolation("%s ran for %q, not for %q", attempt, ranFor, tenant)
 		}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		c.record.promise(id)
+		c.record.addNotRun(attempt)
 	case http.StatusNotFound, http.StatusUnauthorized, http.StatusBadRequest:
-		c.record.broke("%s was denied with %d", id, status)
+		c.record.reportViolation("%s was rejected with %d", attempt, status)
 	}
-	if kind == "once" && c.ledger.count(id) > 1 {
-		c.record.broke("%s ran %d times", id, c.ledger.count(id))
+	if kind == "once" && c.executions.count(attempt) > 1 {
+		c.record.reportViolation("%s ran %d times", attempt, c.executions.count(attempt))
 	}
 }
 
-func wholeStream(id string) string {
+func wholeStream(attempt string) string {
 	var b strings.Builder
 	for n := 1; n <= streamEvents; n++ {
-		fmt.Fprintf(&b, "id: %d\ndata: %s\n\n", n, id)
+		fmt.Fprintf(&b, "id: %d\ndata: %s\n\n", n, attempt)
 	}
 	return b.String()
 }
--- a/deploy/soak/doc.go
+++ b/deploy/soak/doc.go
@@ -1,9 +1,9 @@
-// Command soak runs the real programs of a site as separate processes on
-// loopback addresses, injects faults from outside, and checks all the while what
-// callers, servers and operators see.
+// Command soak runs the programs of a site as separate processes on loopback
+// addresses, injects faults from outside, and continuously checks what callers,
+// servers and operators observe.
 //
-// A run is drawn from a seed: which process is killed, stopped, paused or wiped
-// and when, which connections are delayed, reset or silenced, which servers crash
-// or leave, which documents are sent to whom. It ends only processes that it has
-// started, by their ids.
+// A seed determines a run: which processes are killed, stopped, paused or wiped and
+// when, which connections are delayed, reset or blocked, which servers crash or
+// leave, and which documents are sent to which replica. The soak ends only processes
+// that it has started, by their IDs.
 package main
--- a/deploy/soak/engine.go
+++ b/deploy/soak/engine.go
@@ -10,69 +10,69 @@
 )
 
 const (
-	// model is the one that all engines run.
+	// model is the model that all engines run.
 	model = "m"
-	// loadTime is how long new weights take an engine.
+	// loadTime is how long an engine takes to load weights.
 	loadTime = 300 * time.Millisecond
-	// loadsAtOnce is how many engines of a small site may load at the same time.
-	loadsAtOnce = 2
+	// maxConcurrentLoads is how many engines of a small site may load weights at the same time.
+	maxConcurrentLoads = 2
 )
 
-// orders is what the engines of a run saw of the orders to them, and under which
-// weights each salt was used.
+// orders records the orders that the engines of a run received, and the weight version
+// that each cache salt was used with.
 type orders struct {
 	record *record
 
 	mu sync.Mutex
-	// holders is who used each fencing number.
-	holders map[int]string
-	loading int
-	salts   map[string]int
-	// named is the newest version that the operator's order was acknowledged for.
-	named int
+	// holderOf maps a fencing number to the lease holder that used it.
+	holderOf       map[int]string
+	loadingEngines int
+	versionOf      map[string]int
+	// acknowledged is the newest version whose order by the operator was acknowledged.
+	acknowledged int
 }
 
 func newOrders(r *record) *orders {
-	return &orders{record: r, holders: map[int]string{}, salts: map[string]int{}, named: 1}
+	return &orders{record: r, holderOf: map[int]string{}, versionOf: map[string]int{}, acknowledged: 1}
 }
 
-// seen checks that a fencing number belongs to one holder.
-func (o *orders) seen(fencing int, holder string) {
+// checkFencing checks that only one lease holder uses a fencing number.
+func (o *orders) checkFencing(fencing int, holder string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if known, ok := o.holders[fencing]; ok && known != holder {
-		o.record.broke("%s and %s order with the number %d", known, holder, fencing)
+	if previous, ok := o.holderOf[fencing]; ok && previous != holder {
+		o.record.reportViolation("%s and %s order with fencing number %d", previous, holder, fencing)
 	}
-	o.holders[fencing] = holder
+	o.holderOf[fencing] = holder
 }
 
-// load counts the engines that load weights.
-func (o *orders) load(change int) {
+// countLoading counts the engines that are loading weights.
+func (o *orders) countLoading(change int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.loading += change
-	if o.loading > loadsAtOnce {
-		o.record.broke("%d engines load weights at once", o.loading)
+	o.loadingEngines += change
+	if o.loadingEngines > maxConcurrentLoads {
+		o.record.reportViolation("%d engines load weights concurrently", o.loadingEngines)
 	}
 }
 
-// use checks that parts read under one version are not used under another.
-func (o *orders) use(salt string, version int) {
+// checkSalt checks that parts computed with one weight version are not used with another.
+func (o *orders) checkSalt(salt string, version int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if known, ok := o.salts[salt]; ok && known != version {
-		o.record.broke("parts under %q are used by versions %d and %d", salt, known, version)
+	if previous, ok := o.versionOf[salt]; ok && previous != version {
+		o.record.reportViolation("parts under %q are used by versions %d and %d", salt, previous, version)
 	}
-	o.salts[salt] = version
+	o.versionOf[salt] = version
 }
 
-func (o *orders) newest() int {
+func (o *orders) newestVersion() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.named
+	return o.acknowledged
 }
 
-// engine is the weights of a stand-in model engine.
+// engine holds the weights of a stand-in for a model engine.
 type engine struct {
 	orders *orders
 
@@ -96,8 +96,8 @@
 	_, _ = fmt.Fprintf(w, `{"stage":"combined","models":%s,"busy":%t,"sequence":%d,"queued":0,"running":0,"kv_used":0,"kv_total":90000,"handles":0}`, models, e.busy, e.sequence)
 }
 
-// order takes an order to load weights.
-func (e *engine) order(w http.ResponseWriter, q *http.Request) {
+// handleOrder accepts or refuses an order to load weights.
+func (e *engine) handleOrder(w http.ResponseWriter, q *http.Request) {
 	var o struct {
 		Version      int    `json:"version"`
 		Holder       string `json:"holder"`
@@ -105,11 +105,11 @@
 		Precondition *int   `json:"precondition"`
 	}
 	if err := json.NewDecoder(q.Body).Decode(&o); err != nil || o.Holder == "" || o.FencingToken == 0 {
-		e.orders.record.broke("an order that can't be read: %v %+v", err, o)
+		e.orders.record.reportViolation("malformed order: %v %+v", err, o)
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	e.orders.seen(o.FencingToken, o.Holder)
+	e.orders.checkFencing(o.FencingToken, o.Holder)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if o.FencingToken < e.fencing {
@@ -125,20 +125,20 @@
 	default:
 		e.busy = true
 		e.sequence++
-		e.orders.load(1)
-		time.AfterFunc(loadTime, func() { e.loaded(o.Version) })
+		e.orders.countLoading(1)
+		time.AfterFunc(loadTime, func() { e.finishLoad(o.Version) })
 		w.WriteHeader(http.StatusAccepted)
 	}
 }
 
-func (e *engine) loaded(version int) {
-	e.orders.load(-1)
+func (e *engine) finishLoad(version int) {
+	e.orders.countLoading(-1)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.busy, e.version = false, version
 }
 
-// admits returns whether a prompt may run, and answers it otherwise.
+// admits reports whether a prompt may run, and writes an error response otherwise.
 func (e *engine) admits(w http.ResponseWriter, q *http.Request) bool {
 	e.mu.Lock()
 	version, busy := e.version, e.busy
@@ -153,6 +153,6 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return false
 	}
-	e.orders.use(q.Header.Get("Cache-Salt"), version)
+	e.orders.checkSalt(q.Header.Get("Cache-Salt"), version)
 	return true
 }
--- a/deploy/soak/main.go
+++ b/deploy/soak/main.go
@@ -21,34 +21,34 @@
 	exitUsage  = 2
 )
 
-// Processes of a run where nothing else is asked for, and the most that a run's addresses allow.
+// Default numbers of processes, and the largest numbers that the addresses of a run allow.
 const (
-	usualReplicas = 3
-	usualEntries  = 2
-	mostReplicas  = 9
-	mostEntries   = 200
+	defaultReplicas = 3
+	defaultEntries  = 2
+	maxReplicas     = 9
+	maxEntries      = 200
 )
 
 func main() {
 	first, seeds, parallel, seconds := uint64(1), 1, 1, 20
-	c := runConfig{replicas: usualReplicas, entries: usualEntries}
+	c := runConfig{replicas: defaultReplicas, entries: defaultEntries}
 	flaggy.SetName("soak")
-	flaggy.SetDescription("runs a site under faults and checks its promises")
+	flaggy.SetDescription("runs a site under faults and checks its guarantees")
 	flaggy.SetVersion("")
-	flaggy.UInt64(&first, "f", "first", "first seed; 0 draws one")
+	flaggy.UInt64(&first, "f", "first", "first seed; 0 means a random one")
 	flaggy.Int(&seeds, "n", "seeds", "number of seeds")
-	flaggy.Int(&parallel, "p", "parallel", "seeds at once")
-	flaggy.Int(&seconds, "s", "seconds", "length of each run under faults")
-	flaggy.Int(&c.replicas, "r", "replicas", "control processes of a run, 3 to 9")
-	flaggy.Int(&c.entries, "e", "entries", "entry processes of a run, 1 to 200")
-	flaggy.String(&c.program, "", "program", "hornbeamwood-platform; built when not given")
-	flaggy.String(&c.folder, "", "folder", "where logs and reports stay; a temporary one when not given")
+	flaggy.Int(&parallel, "p", "parallel", "number of seeds that run concurrently")
+	flaggy.Int(&seconds, "s", "seconds", "duration of each run under faults")
+	flaggy.Int(&c.replicas, "r", "replicas", "number of control processes, 3 to 9")
+	flaggy.Int(&c.entries, "e", "entries", "number of entry processes, 1 to 200")
+	flaggy.String(&c.program, "", "program", "path of hornbeamwood-platform; default: built from source")
+	flaggy.String(&c.folder, "", "folder", "folder for logs and reports; default: a temporary folder")
 	flaggy.Parse()
 	if seeds < 1 || parallel < 1 || seconds < 1 {
 		fmt.Fprintln(os.Stderr, "soak: --seeds, --parallel and --seconds must be at least 1")
 		os.Exit(exitUsage)
 	}
-	if c.replicas < usualReplicas || c.replicas > mostReplicas || c.entries < 1 || c.entries > mostEntries {
+	if c.replicas < defaultReplicas || c.replicas > maxReplicas || c.entries < 1 || c.entries > maxEntries {
 		fmt.Fprintln(os.Stderr, "soak: --replicas must be 3 to 9 and --entries 1 to 200")
 		os.Exit(exitUsage)
 	}
@@ -69,12 +69,12 @@
 	}
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	broken := 0
-	places := make(chan struct{}, parallel)
+	brokenSeeds := 0
+	slots := make(chan struct{}, parallel)
 	for i := range seeds {
-		places <- struct{}{}
+		slots <- struct{}{}
 		all.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			c := c
 			c.seed = first + uint64(i)
 			r := run(ctx, c)
@@ -85,20 +85,20 @@
 				return
 			}
 			fmt.Println(r)
-			if len(r.broken) > 0 {
-				broken++
+			if len(r.violations) > 0 {
+				brokenSeeds++
 			}
 		})
 	}
 	all.Wait()
-	fmt.Printf("%d seeds from %d on, %d broken; logs in %s\n", seeds, first, broken, c.folder)
-	if broken > 0 || ctx.Err() != nil {
+	fmt.Printf("%d seeds from %d on, %d broken; logs in %s\n", seeds, first, brokenSeeds, c.folder)
+	if brokenSeeds > 0 || ctx.Err() != nil {
 		return exitBroken
 	}
 	return exitHeld
 }
 
-// prepare returns the folder for logs and the program, built if need be.
+// prepare returns the folder for logs and the program, which it builds if none is given.
 func prepare(ctx context.Context, folder, program string) (string, string, error) {
 	if folder == "" {
 		f, err := os.MkdirTemp("", "soak-")
--- a/deploy/soak/process.go
+++ b/deploy/soak/process.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// process is one program of the site; a new start of it is the same process.
+// process is one program of the site; it is the same process after a restart.
 type process struct {
 	name     string
 	role     string
@@ -20,28 +20,28 @@
 	program  string
 	dataDir  string
 
-	// fault is held by the one fault that has the process.
-	fault sync.Mutex
+	// faultLock is held by the fault that has the process.
+	faultLock sync.Mutex
 
 	mu      sync.Mutex
 	command *exec.Cmd
-	ended   chan struct{}
+	exited  chan struct{}
 	paused  bool
-	// stopping says that the soak ends the program; lost, if any, is called when it ends by itself, with how long it ran.
+	// stopping reports whether the soak is stopping the program. onExit, if not nil, is called when the program exits by itself, with the time that it ran.
 	stopping bool
-	lost     func(p *process, ran time.Duration, err error)
-	// began is when the program was last started, pausedAt when it was paused last.
-	began, pausedAt time.Time
-	// touched is when the program was last started or got a signal.
-	touched time.Time
+	onExit   func(p *process, ran time.Duration, err error)
+	// startedAt is when the program was last started, plus the time that it was suspended since; pausedAt is when it was last paused.
+	startedAt, pausedAt time.Time
+	// changedAt is when the program was last started or got a signal.
+	changedAt time.Time
 }
 
-// start starts the program; it is an error if it runs.
+// start starts the program. It returns an error if the program is running.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.command != nil {
-		return fmt.Errorf("%s runs already", p.name)
+		return fmt.Errorf("%s is already running", p.name)
 	}
 	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -53,9 +53,9 @@
 	if err := c.Start(); err != nil {
 		return err
 	}
-	ended := make(chan struct{})
-	p.command, p.ended, p.paused, p.stopping, p.touched = c, ended, false, false, time.Now()
-	p.began = p.touched
+	exited := make(chan struct{})
+	p.command, p.exited, p.paused, p.stopping, p.changedAt = c, exited, false, false, time.Now()
+	p.startedAt = p.changedAt
 	go func() {
 		err := c.Wait()
 		_ = out.Close()
@@ -63,13 +63,13 @@
 		if p.command == c {
 			p.command = nil
 		}
-		lost := !p.stopping && p.lost != nil
-		ran := time.Since(p.began)
+		unexpected := !p.stopping && p.onExit != nil
+		ran := time.Since(p.startedAt)
 		p.mu.Unlock()
-		if lost {
-			p.lost(p, ran, err)
+		if unexpected {
+			p.onExit(p, ran, err)
 		}
-		close(ended)
+		close(exited)
 	}()
 	return nil
 }
@@ -86,32 +86,32 @@
 	case !p.paused && s == syscall.SIGSTOP:
 		p.pausedAt = now
 	case p.paused && s == syscall.SIGCONT:
-		// What it stood still doesn't count as time that it ran.
-		p.began = p.began.Add(now.Sub(p.pausedAt))
+		// The time that it was suspended doesn't count as running time.
+		p.startedAt = p.startedAt.Add(now.Sub(p.pausedAt))
 	}
 	p.paused = s == syscall.SIGSTOP || p.paused && s != syscall.SIGCONT
-	p.touched = now
+	p.changedAt = now
 	return p.command.Process.Signal(s) == nil
 }
 
-// taken returns whether the program runs, or a fault has stopped it.
-func (p *process) taken() bool {
+// runningOrStopped reports whether the program is running or a fault has stopped it.
+func (p *process) runningOrStopped() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.command != nil || p.stopping
 }
 
-// touchedAt returns when the program was last started or got a signal.
-func (p *process) touchedAt() time.Time {
+// lastChange returns when the program was last started or got a signal.
+func (p *process) lastChange() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.touched
+	return p.changedAt
 }
 
-// stop sends a signal and waits for the end, at most for a time, then kills.
-func (p *process) stop(s syscall.Signal, most time.Duration) {
+// stop sends a signal and waits until the program has exited. After the timeout it kills the program.
+func (p *process) stop(s syscall.Signal, timeout time.Duration) {
 	p.mu.Lock()
-	ended, running, paused := p.ended, p.command != nil, p.paused
+	exited, running, paused := p.exited, p.command != nil, p.paused
 	p.stopping = true
 	p.mu.Unlock()
 	if !running {
@@ -122,10 +122,10 @@
 		p.signal(syscall.SIGCONT)
 	}
 	select {
-	case <-ended:
-	case <-time.After(most):
+	case <-exited:
+	case <-time.After(timeout):
 		p.signal(syscall.SIGKILL)
-		<-ended
+		<-exited
 	}
 }
 
@@ -134,7 +134,7 @@
 	return os.RemoveAll(p.dataDir)
 }
 
-// writeSettings writes the settings file as the provider would.
+// writeSettings writes the settings file as the provider does.
 func (p *process) writeSettings(folder string, seeds []string, firstStart bool) error {
 	text := fmt.Sprintf(`node = %q
 ip = %q
--- a/deploy/soak/proxy.go
+++ b/deploy/soak/proxy.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// mood is what a proxy does to the bytes that pass.
-type mood int
+// mode is what a proxy does with the bytes that pass through it.
+type mode int
 
 const (
-	// clearly passes bytes on.
-	clearly mood = iota
-	// slowly delays each piece.
-	slowly
-	// silent passes nothing on in either direction and resets nothing.
-	silent
-	// oneWay loses what comes back.
-	oneWay
+	// passThrough forwards bytes.
+	passThrough mode = iota
+	// slow delays each block.
+	slow
+	// blocked forwards nothing in either direction, and resets no connection.
+	blocked
+	// dropResponses forwards requests and drops responses.
+	dropResponses
 )
 
-// slowDelay is what a slow proxy adds to each piece.
+// slowDelay is the delay that a slow proxy adds to each block.
 const slowDelay = 40 * time.Millisecond
 
-// proxy stands before one address and spoils its connections as told.
+// proxy forwards connections to one address and degrades them according to its mode.
 type proxy struct {
 	listener net.Listener
 	target   string
 	mu       sync.Mutex
-	mood     mood
+	mode     mode
 	conns    map[net.Conn]struct{}
 }
 
@@ -55,19 +55,19 @@
 	return p.listener.Addr().String()
 }
 
-func (p *proxy) set(m mood) {
+func (p *proxy) set(m mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.mood = m
+	p.mode = m
 }
 
-func (p *proxy) is() mood {
+func (p *proxy) currentMode() mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.mood
+	return p.mode
 }
 
-// reset breaks all connections off.
+// reset resets all connections.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,7 +84,7 @@
 	p.reset()
 }
 
-func (p *proxy) keep(c net.Conn, open bool) {
+func (p *proxy) track(c net.Conn, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if open {
@@ -102,28 +102,28 @@
 	}
 	defer t.Close()
 	for _, x := range []net.Conn{c, t} {
-		p.keep(x, true)
-		defer p.keep(x, false)
+		p.track(x, true)
+		defer p.track(x, false)
 	}
 	done := make(chan struct{}, 2)
-	go p.pass(t, c, false, done)
-	go p.pass(c, t, true, done)
+	go p.copyBytes(t, c, false, done)
+	go p.copyBytes(c, t, true, done)
 	<-done
 }
 
-// pass copies from one side to the other in the present mood.
-func (p *proxy) pass(to, from net.Conn, back bool, done chan<- struct{}) {
+// copyBytes copies from one side to the other according to the current mode.
+func (p *proxy) copyBytes(to, from net.Conn, response bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	b := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(b)
-		if n > 0 && !p.forward(to, b[:n], back) {
+		if n > 0 && !p.forward(to, b[:n], response) {
 			return
 		}
 		if err != nil {
 			if t, ok := to.(*net.TCPConn); ok && err == io.EOF {
 				_ = t.CloseWrite()
-				// The other direction may still have something to say.
+				// The other direction may still have bytes to forward.
 				time.Sleep(time.Second)
 			}
 			return
@@ -131,13 +131,13 @@
 	}
 }
 
-// forward passes one piece on; what is held up in silence is lost with its connection.
-func (p *proxy) forward(to net.Conn, b []byte, back bool) bool {
-	switch m := p.is(); {
-	case m == slowly:
+// forward forwards one block. A block that is held back while the proxy is blocked or drops responses is lost with its connection.
+func (p *proxy) forward(to net.Conn, b []byte, response bool) bool {
+	switch m := p.currentMode(); {
+	case m == slow:
 		time.Sleep(slowDelay)
-	case m == silent, m == oneWay && back:
-		for p.is() == m {
+	case m == blocked, m == dropResponses && response:
+		for p.currentMode() == m {
 			time.Sleep(slowDelay)
 		}
 		return false
--- a/deploy/soak/record.go
+++ b/deploy/soak/record.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// record is what was injected and seen in one run.
+// record collects the injected faults, the answers and the violations of one run.
 type record struct {
 	mu    sync.Mutex
-	began time.Time
+	start time.Time
 	file  *os.File
-	// promised are the attempts whose answer said that they haven't run.
-	promised []string
-	answers  map[string]map[int]int
-	broken   []string
+	// notRun holds the attempts whose answer said that they haven't run.
+	notRun     []string
+	answers    map[string]map[int]int
+	violations []string
 }
 
 func newRecord(path string) (*record, error) {
@@ -23,27 +23,27 @@
 	if err != nil {
 		return nil, err
 	}
-	return &record{began: time.Now(), file: f, answers: map[string]map[int]int{}}, nil
+	return &record{start: time.Now(), file: f, answers: map[string]map[int]int{}}, nil
 }
 
-// note writes what was injected.
+// note writes a line with the time since the start to the file.
 func (r *record) note(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	fmt.Fprintf(r.file, "%8.3f  %s\n", time.Since(r.began).Seconds(), fmt.Sprintf(format, args...))
+	fmt.Fprintf(r.file, "%8.3f  %s\n", time.Since(r.start).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// broke notes a promise that was broken.
-func (r *record) broke(format string, args ...any) {
+// reportViolation records the violation of a guarantee.
+func (r *record) reportViolation(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	r.note("BROKEN %s", text)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broken = append(r.broken, text)
+	r.violations = append(r.violations, text)
 }
 
-// saw counts an answer; status 0 stands for none.
-func (r *record) saw(kind string, status int) {
+// countAnswer counts an answer; status 0 means none.
+func (r *record) countAnswer(kind string, status int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.answers[kind] == nil {
@@ -52,20 +52,20 @@
 	r.answers[kind][status]++
 }
 
-// promise notes an answer that says that the attempt hasn't run.
-func (r *record) promise(id string) {
+// addNotRun records an answer that says that the attempt hasn't run.
+func (r *record) addNotRun(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.promised = append(r.promised, id)
+	r.notRun = append(r.notRun, id)
 }
 
-// served returns how many requests were answered with success.
+// served returns how many requests were answered with status 200.
 func (r *record) served() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
-	for _, by := range r.answers {
-		n += by[200]
+	for _, statuses := range r.answers {
+		n += statuses[200]
 	}
 	return n
 }
--- a/deploy/soak/run.go
+++ b/deploy/soak/run.go
@@ -11,102 +11,102 @@
 	"time"
 )
 
-// runConfig is what one run is made from.
+// runConfig holds the parameters of one run.
 type runConfig struct {
 	seed    uint64
 	length  time.Duration
 	program string
 	folder  string
-	// replicas and entries are how many processes of each role run.
+	// replicas and entries are the numbers of processes of each role.
 	replicas int
 	entries  int
 }
 
-// result is what one run showed.
+// result is the result of one run.
 type result struct {
-	seed   uint64
-	faults int
-	served int
-	broken []string
-	folder string
+	seed       uint64
+	faults     int
+	served     int
+	violations []string
+	folder     string
 }
 
-// String returns the result as a line.
+// String returns the result as a line, followed by the first violation if there is one.
 func (r result) String() string {
-	if len(r.broken) == 0 {
+	if len(r.violations) == 0 {
 		return fmt.Sprintf("seed %d: held, %d faults, %d served", r.seed, r.faults, r.served)
 	}
-	return fmt.Sprintf("seed %d: BROKEN %d times, %d faults, %d served, logs in %s\n    %s", r.seed, len(r.broken), r.faults, r.served, r.folder, r.broken[0])
+	return fmt.Sprintf("seed %d: BROKEN %d times, %d faults, %d served, logs in %s\n    %s", r.seed, len(r.violations), r.faults, r.served, r.folder, r.violations[0])
 }
 
-// recoverBound is how long after the last fault callers must be served and the newest document be read again.
-const recoverBound = 12 * time.Second
+// recoveryBound is how long after the last fault callers must be served and the newest document must be readable again.
+const recoveryBound = 12 * time.Second
 
-// run plays one seed.
+// run starts a site, runs one seed and closes the site.
 func run(ctx context.Context, c runConfig) result {
 	folder := filepath.Join(c.folder, fmt.Sprint("seed-", c.seed))
 	res := result{seed: c.seed, folder: folder}
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		res.broken = []string{err.Error()}
+		res.violations = []string{err.Error()}
 		return res
 	}
 	r, err := newRecord(filepath.Join(folder, "record.txt"))
 	if err != nil {
-		res.broken = []string{err.Error()}
+		res.violations = []string{err.Error()}
 		return res
 	}
 	defer r.file.Close()
 	s, err := newSite(c, folder, r)
 	defer s.close()
 	if err != nil {
-		res.broken = []string{err.Error()}
+		res.violations = []string{err.Error()}
 		return res
 	}
-	play(ctx, c, s, &res)
+	exercise(ctx, c, s, &res)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	res.broken = r.broken
+	res.violations = r.violations
 	return res
 }
 
-// play starts the callers, injects faults, and checks once more when all is calm.
-func play(ctx context.Context, c runConfig, s *site, res *result) {
-	begin, cancel := context.WithTimeout(ctx, recoverBound)
-	ok := s.operator.change(begin, s.draws())
+// exercise starts the clients, injects faults, and checks the recovery after the last fault.
+func exercise(ctx context.Context, c runConfig, s *site, res *result) {
+	startup, cancel := context.WithTimeout(ctx, recoveryBound)
+	ok := s.operator.putDocument(startup, s.newRandom())
 	cancel()
 	if !ok {
-		s.record.broke("the first document was not acknowledged")
+		s.record.reportViolation("the first document was not acknowledged")
 		return
 	}
 	running, stop := context.WithCancel(ctx)
 	var all sync.WaitGroup
 	for i := range clientsPerSite {
-		x := newClient(fmt.Sprintf("%d-%d", c.seed, i), s.fronts[i%len(s.fronts)].address(), s.record, s.ledger, s.limits, c.seed*100+uint64(i))
+		x := newClient(fmt.Sprintf("%d-%d", c.seed, i), s.fronts[i%len(s.fronts)].address(), s.record, s.executions, s.limits, c.seed*100+uint64(i))
 		all.Go(func() { x.run(running) })
 	}
-	all.Go(func() { s.operator.readAll(running) })
+	all.Go(func() { s.operator.pollDocuments(running) })
 	pause(ctx, time.Second)
-	res.faults = trouble(ctx, c.length, s)
+	res.faults = injectFaults(ctx, c.length, s)
 	s.checkRecovery(ctx)
 	stop()
 	all.Wait()
-	s.checkPromises()
+	s.checkGuarantees()
 	res.served = s.record.served()
 }
 
-// trouble injects faults one after the other and some at the same time, and returns how many.
-func trouble(ctx context.Context, length time.Duration, s *site) int {
+// injectFaults injects faults, some of them concurrently, and returns how many.
+func injectFaults(ctx context.Context, length time.Duration, s *site) int {
 	end := time.Now().Add(length)
-	core := make(chan struct{}, 1)
+	controlFault := make(chan struct{}, 1)
 	var all sync.WaitGroup
-	all.Go(func() { nameWeights(ctx, end, s) })
-	all.Go(func() { nameLimits(ctx, end, s) })
+	all.Go(func() { changeWeights(ctx, end, s) })
+	all.Go(func() { changeLimits(ctx, end, s) })
 	n := 0
 	for time.Now().Before(end) && ctx.Err() == nil {
-		f := faults[s.draws().IntN(len(faults))]
-		if f.core {
+		f := faults[s.newRandom().IntN(len(faults))]
+		if f.affectsControl {
 			select {
-			case core <- struct{}{}:
+			case controlFault <- struct{}{}:
 			default:
 				continue
 			}
@@ -116,69 +116,69 @@
 		all.Go(func() {
 			f.inject(ctx, s)
 			s.record.note("over: %s", f.name)
-			if f.core {
-				<-core
+			if f.affectsControl {
+				<-controlFault
 			}
 		})
-		pause(ctx, s.upTo(1200*time.Millisecond))
+		pause(ctx, s.randomDuration(1200*time.Millisecond))
 	}
 	all.Wait()
 	return n
 }
 
-// betweenVersions is the longest time between two versions of weights.
-const betweenVersions = 6 * time.Second
+// maxVersionInterval is the longest time between two versions of weights.
+const maxVersionInterval = 6 * time.Second
 
-// nameWeights names new weights now and then until end. It draws from a source of
-// its own, so that a seed's faults stay those that they were without it.
-func nameWeights(ctx context.Context, end time.Time, s *site) {
+// changeWeights sets new weight versions at random times until end. It uses a separate
+// random source, so that it does not change the faults of a seed.
+func changeWeights(ctx context.Context, end time.Time, s *site) {
 	r := rand.New(rand.NewPCG(s.seed, 11))
 	for ctx.Err() == nil {
-		pause(ctx, time.Duration(r.Int64N(int64(betweenVersions))))
+		pause(ctx, time.Duration(r.Int64N(int64(maxVersionInterval))))
 		if !time.Now().Before(end) {
 			return
 		}
 		s.record.note("name new weights")
-		s.operator.name(ctx, r)
+		s.operator.setVersion(ctx, r)
 	}
 }
 
-// checkRecovery waits until callers are served and every replica shows the newest document.
+// checkRecovery waits until callers are served and every replica returns the newest document.
 func (s *site) checkRecovery(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, recoverBound)
+	ctx, cancel := context.WithTimeout(ctx, recoveryBound)
 	defer cancel()
 	before := s.record.served()
 	for s.record.served() < before+50 && ctx.Err() == nil {
 		pause(ctx, 100*time.Millisecond)
 	}
 	if ctx.Err() != nil {
-		s.record.broke("callers are not served again: %d since the last fault", s.record.served()-before)
+		s.record.reportViolation("callers are not served again: %d since the last fault", s.record.served()-before)
 	}
 	s.checkWeights(ctx)
-	newest := 0
+	newestRevision := 0
 	for _, at := range s.operator.controls {
 		for {
-			number, ok := s.operator.read(ctx, at)
+			revision, ok := s.operator.readDocument(ctx, at)
 			if ok {
-				newest = max(newest, number)
+				newestRevision = max(newestRevision, revision)
 				break
 			}
 			if ctx.Err() != nil {
-				s.record.broke("%s can't be read", at)
+				s.record.reportViolation("%s can't be read", at)
 				break
 			}
 			pause(ctx, 100*time.Millisecond)
 		}
 	}
-	s.checkInForce(ctx, newest)
+	s.checkInForce(ctx, newestRevision)
 }
 
 // checkInForce waits until every entry serves the route that only the newest document has.
-func (s *site) checkInForce(ctx context.Context, newest int) {
+func (s *site) checkInForce(ctx context.Context, newestRevision int) {
 	for i, f := range s.fronts {
-		for !inForce(ctx, f.address(), newest) {
+		for !inForce(ctx, f.address(), newestRevision) {
 			if ctx.Err() != nil {
-				s.record.broke("document %d is not in force at entry-%d", newest, i)
+				s.record.reportViolation("document %d is not in force at entry-%d", newestRevision, i)
 				break
 			}
 			pause(ctx, 100*time.Millisecond)
@@ -186,16 +186,16 @@
 	}
 }
 
-// inForce returns whether the entry behind the address serves the route that only that document has.
-func inForce(ctx context.Context, address string, number int) bool {
+// inForce reports whether the entry behind the address serves the route that only that document has.
+func inForce(ctx context.Context, address string, revision int) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/n%d/x", address, number), nil)
+	q, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/n%d/x", address, revision), nil)
 	if err != nil {
 		return false
 	}
 	q.Host, q.Close = "soak", true
-	q.Header.Set("Attempt-Id", fmt.Sprintf("probe-%d-%s", number, address))
+	q.Header.Set("Attempt-Id", fmt.Sprintf("probe-%d-%s", revision, address))
 	q.Header.Set("X-Api-Key", "k1")
 	q.Header.Set("Deadline-Ms", "900")
 	a, err := http.DefaultClient.Do(q)
@@ -209,17 +209,17 @@
 // checkWeights waits until every engine has the newest weights.
 func (s *site) checkWeights(ctx context.Context) {
 	for ctx.Err() == nil {
-		older := s.olderEngines()
-		if older == 0 {
+		outdated := s.outdatedEngines()
+		if outdated == 0 {
 			return
 		}
 		pause(ctx, 100*time.Millisecond)
 	}
-	s.record.broke("%d engines don't have version %d", s.olderEngines(), s.orders.newest())
+	s.record.reportViolation("%d engines don't have version %d", s.outdatedEngines(), s.orders.newestVersion())
 }
 
-// olderEngines counts the engines without the newest weights.
-func (s *site) olderEngines() int {
+// outdatedEngines counts the engines without the newest weights.
+func (s *site) outdatedEngines() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -228,7 +228,7 @@
 			continue
 		}
 		x.engine.mu.Lock()
-		if x.engine.version != s.orders.newest() {
+		if x.engine.version != s.orders.newestVersion() {
 			n++
 		}
 		x.engine.mu.Unlock()
@@ -236,20 +236,21 @@
 	return n
 }
 
-// checkPromises looks at what the servers saw of the requests that were said not to have run.
-func (s *site) checkPromises() {
+// checkGuarantees checks that no request whose response said "not run" has run, and that
+// servers got no requests long after their leave was acknowledged.
+func (s *site) checkGuarantees() {
 	s.record.mu.Lock()
-	promised := s.record.promised
+	notRun := s.record.notRun
 	s.record.mu.Unlock()
-	for _, id := range promised {
-		if n := s.ledger.count(id); n > 0 {
-			s.record.broke("%s was answered as not run and ran %d times", id, n)
+	for _, id := range notRun {
+		if n := s.executions.count(id); n > 0 {
+			s.record.reportViolation("%s was answered as not run and ran %d times", id, n)
 		}
 	}
-	s.ledger.mu.Lock()
-	late := s.ledger.late
-	s.ledger.mu.Unlock()
+	s.executions.mu.Lock()
+	late := s.executions.late
+	s.executions.mu.Unlock()
 	if late > 0 {
-		s.record.broke("%d requests reached servers over %s after their leave was acknowledged", late, drainBound)
+		s.record.reportViolation("%d requests reached servers over %s after their leave was acknowledged", late, drainBound)
 	}
 }
--- a/deploy/soak/server.go
+++ b/deploy/soak/server.go
@@ -13,58 +13,58 @@
 	"time"
 )
 
-// streamEvents is how many events a stream has.
+// streamEvents is the number of events of a stream.
 const streamEvents = 12
 
-// ledger is what the servers saw of each attempt.
-type ledger struct {
+// executions counts what the servers executed of each attempt.
+type executions struct {
 	mu   sync.Mutex
 	runs map[string]int
-	// tenants is the workspace that each attempt came with.
+	// tenants is the workspace of each attempt.
 	tenants map[string]string
-	// late counts requests that came too long after a server's leave was acknowledged.
+	// late counts requests that arrived more than drainBound after a server's leave was acknowledged.
 	late int
 }
 
-func (l *ledger) ran(id, tenant string) {
+func (l *executions) recordRun(id, tenant string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[id]++
 	l.tenants[id] = tenant
 }
 
-func (l *ledger) count(id string) int {
+func (l *executions) count(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.runs[id]
 }
 
-// server is a stand-in backend server behind a proxy.
+// server is a stand-in for a backend server behind a proxy.
 type server struct {
-	id      string
-	service string
-	ledger  *ledger
-	limits  *limits
-	http    *httptest.Server
-	proxy   *proxy
-	stop    context.CancelFunc
-	// engine is nil at servers of the plain service.
+	id         string
+	service    string
+	executions *executions
+	limits     *limits
+	http       *httptest.Server
+	proxy      *proxy
+	stop       context.CancelFunc
+	// engine is nil for servers of the plain service.
 	engine *engine
 
 	mu       sync.Mutex
 	sequence int
 	state    string
-	// left is when its leave was acknowledged.
-	left time.Time
-	dead bool
-	born int64
+	// leaveAcknowledged is when its leave was acknowledged.
+	leaveAcknowledged time.Time
+	dead              bool
+	startedAt         int64
 }
 
-// drainBound is how long after the acknowledgement a leaving server may still get requests.
+// drainBound is how long after the acknowledgment a leaving server may still get requests.
 const drainBound = 2 * time.Second
 
-func newServer(l *ledger, named *limits, id, service string, controls []string, e *engine) (*server, error) {
-	s := &server{id: id, service: service, ledger: l, limits: named, state: "ready", born: time.Now().UnixMilli(), engine: e}
+func newServer(l *executions, serverLimits *limits, id, service string, controls []string, e *engine) (*server, error) {
+	s := &server{id: id, service: service, executions: l, limits: serverLimits, state: "ready", startedAt: time.Now().UnixMilli(), engine: e}
 	s.http = httptest.NewServer(s)
 	p, err := newProxy(strings.TrimPrefix(s.http.URL, "http://"))
 	if err != nil {
@@ -77,10 +77,10 @@
 	return s, nil
 }
 
-// ServeHTTP plays the server: whole answers with its mark, streams event by event.
+// ServeHTTP serves complete responses with a response stamp, and streams event by event.
 func (s *server) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	id := q.Header.Get("Attempt-Id")
-	if s.engine != nil && s.control(w, q) {
+	if s.engine != nil && s.serveControl(w, q) {
 		return
 	}
 	body, err := io.ReadAll(q.Body)
@@ -92,17 +92,17 @@
 		return
 	}
 	s.mu.Lock()
-	if !s.left.IsZero() && time.Since(s.left) > drainBound {
-		s.ledger.mu.Lock()
-		s.ledger.late++
-		s.ledger.mu.Unlock()
+	if !s.leaveAcknowledged.IsZero() && time.Since(s.leaveAcknowledged) > drainBound {
+		s.executions.mu.Lock()
+		s.executions.late++
+		s.executions.mu.Unlock()
 	}
 	s.mu.Unlock()
-	s.limits.arrive(id, s, w.Header())
+	s.limits.recordRequest(id, s, w.Header())
 	if s.engine != nil && !s.engine.admits(w, q) {
 		return
 	}
-	s.ledger.ran(id, q.Header.Get("Tenant"))
+	s.executions.recordRun(id, q.Header.Get("Tenant"))
 	w.Header().Set("Attempt-Id", id)
 	w.Header().Set("Response-Stamp", "mark")
 	if strings.HasPrefix(q.RequestURI, "/stream/") || strings.HasPrefix(q.RequestURI, "/prompt/") {
@@ -113,20 +113,20 @@
 	_, _ = fmt.Fprintf(w, "%s %s %s", id, q.RequestURI, body)
 }
 
-// control answers what control replicas ask of an engine.
-func (s *server) control(w http.ResponseWriter, q *http.Request) bool {
+// serveControl serves the requests of control replicas to an engine, and reports whether q is one.
+func (s *server) serveControl(w http.ResponseWriter, q *http.Request) bool {
 	switch q.URL.Path {
 	case "/v1/report":
 		s.engine.report(w)
 	case "/v1/order":
-		s.engine.order(w, q)
+		s.engine.handleOrder(w, q)
 	default:
 		return false
 	}
 	return true
 }
 
-// models is what the server announces of its weights.
+// models returns the weights that the server announces.
 func (s *server) models() string {
 	if s.engine == nil {
 		return "[]"
@@ -148,36 +148,36 @@
 	}
 }
 
-// announce sends heartbeats to whichever control replica takes them.
+// announce sends heartbeats to a control replica, and switches to the next one after an error.
 func (s *server) announce(ctx context.Context, controls []string) {
 	for at := 0; ctx.Err() == nil; {
 		s.mu.Lock()
 		s.sequence++
 		state := s.state
 		body := fmt.Sprintf(`{"service":%q,"address":%q,"zone":"z1","version":"v1","slots":8,"state":%q,"sequence":%d,"born":%d,"models":%s}`,
-			s.service, s.proxy.address(), state, s.sequence, s.born, s.models())
+			s.service, s.proxy.address(), state, s.sequence, s.startedAt, s.models())
 		s.mu.Unlock()
 		if status := post(ctx, "http://"+controls[at%len(controls)]+":8000/v1/Instances.Heartbeat/"+s.id, body, time.Second); status != http.StatusOK {
 			at++
 			continue
 		}
 		s.mu.Lock()
-		if state == "draining" && s.left.IsZero() {
-			s.left = time.Now()
+		if state == "draining" && s.leaveAcknowledged.IsZero() {
+			s.leaveAcknowledged = time.Now()
 		}
 		s.mu.Unlock()
 		pause(ctx, 400*time.Millisecond)
 	}
 }
 
-// leave makes the server say that it leaves; it goes on serving for a while.
+// leave makes the server announce that it leaves; it keeps serving until it is stopped.
 func (s *server) leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state = "draining"
 }
 
-// crash ends the server without a word.
+// crash ends the server without an announcement.
 func (s *server) crash() {
 	s.mu.Lock()
 	s.dead = true
@@ -188,8 +188,8 @@
 	s.http.Close()
 }
 
-func post(ctx context.Context, url, body string, most time.Duration) int {
-	ctx, cancel := context.WithTimeout(ctx, most)
+func post(ctx context.Context, url, body string, timeout time.Duration) int {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewBufferString(body))
 	if err != nil {
@@ -200,7 +200,7 @@
 		return 0
 	}
 	defer r.Body.Close()
-	// The status says it all.
+	// Only the status is needed.
 	_, _ = io.Copy(io.Discard, r.Body)
 	return r.StatusCode
 }
--- a/deploy/soak/site.go
+++ b/deploy/soak/site.go
@@ -18,32 +18,32 @@
 	clientsPerSite = 6
 )
 
-// site is the processes, servers and callers of one run.
+// site holds the processes, servers and clients of one run.
 type site struct {
-	folder   string
-	record   *record
-	ledger   *ledger
-	replicas []*process
-	entries  []*process
-	fronts   []*proxy
-	operator *operator
-	orders   *orders
-	limits   *limits
-	seeds    []string
-
-	seed    uint64
-	mu      sync.Mutex
-	closed  bool
-	random  *rand.Rand
-	servers []*server
-	born    int
+	folder     string
+	record     *record
+	executions *executions
+	replicas   []*process
+	entries    []*process
+	fronts     []*proxy
+	operator   *operator
+	orders     *orders
+	limits     *limits
+	seeds      []string
+
+	seed           uint64
+	mu             sync.Mutex
+	closed         bool
+	random         *rand.Rand
+	servers        []*server
+	serversStarted int
 }
 
-// newSite starts a site on loopback addresses of its own, drawn from the seed.
+// newSite starts a site on separate loopback addresses, which depend on the seed and the process ID.
 func newSite(c runConfig, folder string, r *record) (*site, error) {
 	s := &site{
 		folder: folder, record: r, seed: c.seed, random: rand.New(rand.NewPCG(c.seed, 1)),
-		ledger: &ledger{runs: map[string]int{}, tenants: map[string]string{}},
+		executions: &executions{runs: map[string]int{}, tenants: map[string]string{}},
 	}
 	network := fmt.Sprintf("127.%d.%d.", 16+os.Getpid()%200, c.seed%250)
 	var controls []string
@@ -52,7 +52,7 @@
 	}
 	s.seeds = controls[:min(len(controls), seedReplicas)]
 	s.orders, s.limits = newOrders(r), newLimits(r)
-	s.operator = &operator{controls: controls, record: r, orders: s.orders, grows: rand.New(rand.NewPCG(c.seed, 13))}
+	s.operator = &operator{controls: controls, record: r, orders: s.orders, growth: rand.New(rand.NewPCG(c.seed, 13))}
 	for i, ip := range controls {
 		s.replicas = append(s.replicas, s.newProcess(c, fmt.Sprint("control-", i), "control", ip))
 	}
@@ -75,12 +75,12 @@
 		}
 	}
 	for range servers {
-		if err := s.addServer(desk); err != nil {
+		if err := s.addServer(plainService); err != nil {
 			return s, err
 		}
 	}
 	for range engines {
-		if err := s.addServer(writer); err != nil {
+		if err := s.addServer(engineService); err != nil {
 			return s, err
 		}
 	}
@@ -93,38 +93,38 @@
 		settings: filepath.Join(s.folder, name+".toml"),
 		log:      filepath.Join(s.folder, name+".log"),
 		dataDir:  filepath.Join(s.folder, name+"-data"),
-		lost:     s.lost,
+		onExit:   s.handleExit,
 	}
 }
 
 const (
-	// startBound is how long after its start a program that ends is not to blame: a
-	// signal may come before its first line.
+	// startBound is how long after its start the exit of a program is not a violation: a
+	// signal may arrive before the program handles signals.
 	startBound = time.Second
-	// startDelay is how long the provider takes to start a program again that has ended.
+	// startDelay is how long the provider takes to restart a program that has exited.
 	startDelay = 300 * time.Millisecond
 )
 
-// lost starts a program again that has ended by itself, as the provider does.
-func (s *site) lost(p *process, ran time.Duration, err error) {
+// handleExit restarts a program that has exited by itself, as the provider does.
+func (s *site) handleExit(p *process, ran time.Duration, err error) {
 	if ran > startBound {
-		s.record.broke("%s ended by itself after %s: %v", p.name, ran, err)
+		s.record.reportViolation("%s ended by itself after %s: %v", p.name, ran, err)
 	}
 	s.record.note("%s ended by itself after %s: %v", p.name, ran, err)
 	time.Sleep(startDelay)
-	p.fault.Lock()
-	defer p.fault.Unlock()
+	p.faultLock.Lock()
+	defer p.faultLock.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || p.taken() {
+	if s.closed || p.runningOrStopped() {
 		return
 	}
 	if err := s.restart(p); err != nil {
-		s.record.broke("start %s: %v", p.name, err)
+		s.record.reportViolation("start %s: %v", p.name, err)
 	}
 }
 
-// restart starts a process again, no longer with the flag of the first start.
+// restart starts a process again without the bootstrap flag of the first start.
 func (s *site) restart(p *process) error {
 	if err := p.writeSettings(s.folder, s.seeds, false); err != nil {
 		return err
@@ -132,21 +132,21 @@
 	return p.start()
 }
 
-// Services of the site: a plain one and one of model engines.
+// Services of the site: a plain one, and one of model engines.
 const (
-	desk   = "desk"
-	writer = "writer"
+	plainService  = "desk"
+	engineService = "writer"
 )
 
 func (s *site) addServer(service string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.born++
+	s.serversStarted++
 	var e *engine
-	if service == writer {
-		e = &engine{orders: s.orders, version: s.orders.newest()}
+	if service == engineService {
+		e = &engine{orders: s.orders, version: s.orders.newestVersion()}
 	}
-	x, err := newServer(s.ledger, s.limits, fmt.Sprint("i-", s.born), service, s.seeds, e)
+	x, err := newServer(s.executions, s.limits, fmt.Sprint("i-", s.serversStarted), service, s.seeds, e)
 	if err != nil {
 		return err
 	}
@@ -154,14 +154,14 @@
 	return nil
 }
 
-// replaceServer starts a new server and ends an old one, at once or after it has said that it leaves.
+// replaceServer starts a new server and ends the oldest one, at once or after it has announced that it leaves.
 func (s *site) replaceServer(crash bool) {
 	s.mu.Lock()
 	old := s.servers[0]
 	s.servers = s.servers[1:]
 	s.mu.Unlock()
 	if err := s.addServer(old.service); err != nil {
-		s.record.broke("start a server: %v", err)
+		s.record.reportViolation("start a server: %v", err)
 		return
 	}
 	if crash {
@@ -172,28 +172,28 @@
 	time.AfterFunc(6*time.Second, old.crash)
 }
 
-// draws returns a source of its own for one use.
-func (s *site) draws() *rand.Rand {
+// newRandom returns a separate random source for one use.
+func (s *site) newRandom() *rand.Rand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return rand.New(rand.NewPCG(s.random.Uint64(), 3))
 }
 
-func (s *site) upTo(d time.Duration) time.Duration {
-	return time.Duration(s.draws().Int64N(int64(d)))
+func (s *site) randomDuration(d time.Duration) time.Duration {
+	return time.Duration(s.newRandom().Int64N(int64(d)))
 }
 
-func (s *site) replica() *process { return s.replicas[s.draws().IntN(len(s.replicas))] }
+func (s *site) replica() *process { return s.replicas[s.newRandom().IntN(len(s.replicas))] }
 
-func (s *site) entry() *process { return s.entries[s.draws().IntN(len(s.entries))] }
+func (s *site) entry() *process { return s.entries[s.newRandom().IntN(len(s.entries))] }
 
-func (s *site) front() *proxy { return s.fronts[s.draws().IntN(len(s.fronts))] }
+func (s *site) front() *proxy { return s.fronts[s.newRandom().IntN(len(s.fronts))] }
 
 func (s *site) server() *server {
-	at := s.draws()
+	random := s.newRandom()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.servers[at.IntN(len(s.servers))]
+	return s.servers[random.IntN(len(s.servers))]
 }
 
 // close ends everything that the run has started.
--- a/deploy/soak/soak_test.go
+++ b/deploy/soak/soak_test.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// shortRun is how long a seed is played under faults in the tests.
+// shortRun is how long a seed runs under faults in the test.
 const shortRun = 6 * time.Second
 
-// Processes are killed, stopped, paused and wiped, connections are slowed, reset
-// and silenced, servers crash and leave, documents race. Whatever the order: each
-// answer is whole and the caller's own, what must not repeat runs at most once,
-// a refusal is true, and what was acknowledged is read back.
+// Processes are killed, stopped, paused and wiped, connections are slowed, reset and
+// blocked, servers crash and leave, and documents race. In any order, each answer must
+// be complete and belong to its request, non-idempotent requests must run at most once,
+// refused requests must not have run, and acknowledged documents must be read back.
 func TestShortSoak(t *testing.T) {
 	folder, program, err := prepare(t.Context(), t.TempDir(), os.Getenv("SOAK_PROGRAM"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, seed := range []uint64{1, 2} {
-		r := run(context.Background(), runConfig{seed: seed, length: shortRun, program: program, folder: folder, replicas: usualReplicas, entries: usualEntries})
+		r := run(context.Background(), runConfig{seed: seed, length: shortRun, program: program, folder: folder, replicas: defaultReplicas, entries: defaultEntries})
 		t.Log(r)
-		for _, b := range r.broken {
+		for _, b := range r.violations {
 			t.Errorf("seed %d: %s", seed, b)
 		}
 		if r.served < 100 {
