--- a/internal/entry/backend/answer.go
+++ b/internal/entry/backend/answer.go
@@ -10,23 +10,23 @@
 	"hornbeamwood/internal/base/event"
 )
 
-// Problem is the body of a refusal.
+// Problem is the body of an error response.
 type Problem struct {
-	// Error says what is wrong.
+	// Error describes what is wrong.
 	Error ProblemDetail `json:"error"`
-	// Fencing is the higher fencing number that an engine has seen, for old-fencing.
+	// Fencing is the higher fencing number that the engine has seen; set with the code old-fencing.
 	Fencing uint64 `json:"fencing,omitempty"`
 }
 
-// ProblemDetail says what is wrong with a request.
+// ProblemDetail describes what is wrong with a request.
 type ProblemDetail struct {
-	// Code is a kebab-case word for programs.
+	// Code is a machine-readable error code in kebab case.
 	Code string `json:"code"`
-	// Message is a sentence for people.
+	// Message is a human-readable sentence.
 	Message string `json:"message"`
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	b, err := json.Marshal(body)
 	if err != nil {
 		status = http.StatusInternalServerError
@@ -44,10 +44,11 @@
 		"code":    code,
 		"message": message,
 	})
-	answer(w, status, Problem{Error: ProblemDetail{Code: code, Message: message}})
+	writeJSON(w, status, Problem{Error: ProblemDetail{Code: code, Message: message}})
 }
 
-// refuseBody answers 413 for a body above its limit, whatever its header said, and 400 for one that can't be read.
+// refuseBody answers 413 for a body above the size limit, whatever its Content-Length says,
+// and 400 for a body that can't be read.
 func (h *handler) refuseBody(w http.ResponseWriter, r *http.Request, err error) {
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
--- a/internal/entry/backend/call.go
+++ b/internal/entry/backend/call.go
@@ -13,46 +13,46 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-// maxAnswer is the largest answer that is read from a backend server, in bytes.
-const maxAnswer = 1 << 20
+// maxResponse is the largest response body that is read from a backend server, in bytes.
+const maxResponse = 1 << 20
 
-// call sends a JSON request and returns the JSON answer; its errors carry a verdict.
+// call sends a JSON request and returns the decoded JSON response. Its errors carry a verdict.
 func call[T any](ctx context.Context, c *http.Client, method, target string, body any) (T, error) {
-	var none T
+	var zero T
 	b, err := json.Marshal(body)
 	if err != nil {
-		return none, verdict.New(verdict.NotRun, http.StatusInternalServerError, "bad-request", "the request can't be encoded").WithCause(err)
+		return zero, verdict.New(verdict.NotRun, http.StatusInternalServerError, "bad-request", "the request can't be encoded").WithCause(err)
 	}
-	// A connection was handed out before the first byte; without one nothing was sent.
+	// The transport gets a connection before it writes the first byte. Without a connection nothing was sent.
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
 	r, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(b))
 	if err != nil {
-		return none, verdict.New(verdict.NotRun, http.StatusInternalServerError, "bad-address", "the address of the backend server can't be used").WithCause(err)
+		return zero, verdict.New(verdict.NotRun, http.StatusInternalServerError, "bad-address", "the address of the backend server can't be used").WithCause(err)
 	}
 	r.Header.Set("Content-Type", "application/json")
-	w, err := c.Do(r)
+	response, err := c.Do(r)
 	if err != nil {
-		return none, broken(connected.Load(), err)
+		return zero, noAnswer(connected.Load(), err)
 	}
-	defer w.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(w.Body, maxAnswer))
+	defer response.Body.Close()
+	received, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
-		return none, broken(true, err)
+		return zero, noAnswer(true, err)
 	}
-	if w.StatusCode != http.StatusOK {
-		return none, refusal(w.StatusCode, text)
+	if response.StatusCode != http.StatusOK {
+		return zero, refusal(response.StatusCode, received)
 	}
-	v, err := Decode[T](text)
+	v, err := Decode[T](received)
 	if err != nil {
-		return none, verdict.New(verdict.MayHaveRun, http.StatusBadGateway, "bad-answer", "the backend server's answer can't be read").WithCause(err)
+		return zero, verdict.New(verdict.MayHaveRun, http.StatusBadGateway, "bad-answer", "the backend server's answer can't be read").WithCause(err)
 	}
 	return v, nil
 }
 
-func broken(connected bool, err error) error {
+func noAnswer(connected bool, err error) error {
 	v := verdict.NotRun
 	if connected {
 		v = verdict.MayHaveRun
@@ -60,9 +60,10 @@
 	return verdict.New(v, http.StatusBadGateway, "no-answer", "the backend server gave no answer").WithCause(err)
 }
 
-// refusal returns the error for an answer that is not 200; only statuses that engines give before they act are proof that nothing ran.
-func refusal(status int, text []byte) error {
-	p, err := Decode[Problem](text)
+// refusal returns the error for a response other than 200. Only statuses that engines return
+// before they act prove that nothing ran.
+func refusal(status int, body []byte) error {
+	p, err := Decode[Problem](body)
 	if err != nil {
 		p = Problem{Error: ProblemDetail{Code: "status", Message: fmt.Sprintf("status %d", status)}}
 	}
--- a/internal/entry/backend/config.go
+++ b/internal/entry/backend/config.go
@@ -18,31 +18,31 @@
 	MaxNesting = 8
 )
 
-// Table is where announcements go.
+// Table merges announcements into the membership of the fleet.
 type Table interface {
 	Announce(now time.Time, a announcement.Announcement) membership.Merge
 }
 
-// Leavers is told at once when a server leaves, so that it tells the peers.
+// Leavers notifies the other entries as soon as a server announces that it leaves.
 type Leavers interface {
 	Leaving(identity string)
 }
 
-// CacheReports is where cache events go; it returns whether a listing is wanted.
+// CacheReports receives cache events and returns whether the engine should send a full listing.
 type CacheReports interface {
 	Report(now time.Time, r events.Report) (listingWanted bool)
 }
 
-// HandlerConfig holds what a Handler needs.
+// HandlerConfig configures NewHandler.
 type HandlerConfig struct {
-	// Table, Leavers and CacheReports take in what the servers send.
+	// Table, Leavers and CacheReports receive what the servers send.
 	Table        Table
 	Leavers      Leavers
 	CacheReports CacheReports
-	// KeyDigests returns the SHA-256 digests of the keys in force.
+	// KeyDigests returns the SHA-256 digests of the valid announcement keys.
 	KeyDigests func() [][32]byte
 	// Now returns the local time with its monotonic reading.
 	Now func() time.Time
-	// Log takes the events; nil writes none.
+	// Log receives events; nil disables logging.
 	Log log.Interface
 }
--- a/internal/entry/backend/decode.go
+++ b/internal/entry/backend/decode.go
@@ -9,20 +9,20 @@
 	"strings"
 )
 
-// read returns the value that the request's body encodes.
-func read[T any](w http.ResponseWriter, r *http.Request, limit int64) (T, error) {
+// decodeBody decodes the body of a request.
+func decodeBody[T any](w http.ResponseWriter, r *http.Request, limit int64) (T, error) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err != nil {
-		var none T
-		return none, fmt.Errorf("the body can't be read: %w", err)
+		var zero T
+		return zero, fmt.Errorf("the body can't be read: %w", err)
 	}
 	return Decode[T](b)
 }
 
-// Decode returns the value that a JSON text encodes; it refuses a second value for one field, deep nesting and bytes after the value.
+// Decode decodes a JSON text. It rejects duplicate fields, deep nesting and trailing bytes.
 //
-// The standard decoder takes the last of two values and another program may
-// take the first; a server and its entry would then go by different states.
+// Of duplicate fields the standard decoder takes the last value, and another
+// program may take the first. A server and its entry would then disagree about its state.
 func Decode[T any](b []byte) (T, error) {
 	var v T
 	d := json.NewDecoder(bytes.NewReader(b))
@@ -39,7 +39,7 @@
 	return v, nil
 }
 
-// checkValue reads one value and looks for fields that stand twice in one object.
+// checkValue reads one value and returns an error for duplicate fields in an object.
 func checkValue(d *json.Decoder, depth int) error {
 	if depth > MaxNesting {
 		return fmt.Errorf("it is nested deeper than %d", MaxNesting)
@@ -75,7 +75,7 @@
 			return err
 		}
 		name, _ := t.(string)
-		// The standard decoder matches names without regard to case.
+		// The standard decoder matches field names case-insensitively.
 		folded := strings.ToLower(name)
 		if seen[folded] {
 			return fmt.Errorf("the field %q stands twice", name)
--- a/internal/entry/backend/doc.go
+++ b/internal/entry/backend/doc.go
@@ -1,6 +1,6 @@
-// Package backend speaks with backend servers over HTTP: it takes their
-// announcements and cache events, and sends orders and exports to engines.
+// Package backend implements the HTTP interface to backend servers: it accepts
+// their announcements and cache events, and sends orders and exports to engines.
 //
-// docs/interfaces/backend.md and docs/interfaces/cache.md list the formats
+// docs/interfaces/backend.md and docs/interfaces/cache.md specify the formats
 // field by field.
 package backend
--- a/internal/entry/backend/engine.go
+++ b/internal/entry/backend/engine.go
@@ -12,25 +12,25 @@
 	"hornbeamwood/internal/fleet/orders"
 )
 
-// ErrOldFencing is wrapped when an engine has seen a higher fencing number.
+// ErrOldFencing reports that an engine refused an order because it has seen a higher fencing number.
 var ErrOldFencing = errors.New("backend: the engine has seen a higher fencing number")
 
-// ErrUnknownOrder is wrapped when an engine does not know an order.
+// ErrUnknownOrder reports that an engine does not know an order.
 var ErrUnknownOrder = errors.New("backend: the engine does not know the order")
 
-// Export asks an engine to write pieces to stores.
+// Export is a request to an engine to write pieces to stores.
 type Export struct {
-	// WeightVersion is the version that the pieces were computed with.
+	// WeightVersion is the weight version that the pieces were computed with.
 	WeightVersion string `json:"weight-version"`
-	// DeadlineMillis is how long the engine may take.
+	// DeadlineMillis is the time limit for the engine.
 	DeadlineMillis int64 `json:"deadline-millis"`
-	// Pieces say what to write where.
+	// Pieces lists the pieces and their target stores.
 	Pieces []ExportPiece `json:"pieces"`
 }
 
 // ExportPiece is one piece to write.
 type ExportPiece struct {
-	// Key names the piece.
+	// Key identifies the piece.
 	Key block.Key `json:"key"`
 	// Store is the store's address.
 	Store string `json:"store"`
@@ -38,7 +38,7 @@
 	Tier string `json:"tier"`
 }
 
-// ExportState says what became of one piece.
+// ExportState is the outcome of the export of one piece.
 type ExportState string
 
 // States of an exported piece.
@@ -50,33 +50,33 @@
 	ExportFailed  ExportState = "failed"
 )
 
-// ExportResult is what became of one piece.
+// ExportResult is the result of the export of one piece.
 type ExportResult struct {
-	// Key names the piece.
+	// Key identifies the piece.
 	Key block.Key `json:"key"`
 	// Store is the store's address.
 	Store string `json:"store"`
-	// State says what became of it.
+	// State is the outcome.
 	State ExportState `json:"state"`
-	// Generation is the store's, for sealed and present pieces.
+	// Generation is the generation at the store, for sealed and present pieces.
 	Generation uint64 `json:"generation,omitempty"`
-	// Bytes is the size, for sealed and present pieces.
+	// Bytes is the size in bytes, for sealed and present pieces.
 	Bytes int64 `json:"bytes,omitempty"`
 }
 
-// ExportResults is an engine's answer to an Export.
+// ExportResults is an engine's response to an Export.
 type ExportResults struct {
-	// Results hold one result for each piece.
+	// Results holds one result for each piece.
 	Results []ExportResult `json:"results"`
 }
 
-// Engine sends orders and exports to engines; its errors carry a verdict.
+// Engine sends orders and exports to engines. Its errors carry a verdict.
 type Engine interface {
-	// Order gives an order to the engine at address; sending the same order again does nothing twice.
+	// Order sends an order to the engine at address. Orders are idempotent: a resend has no further effect.
 	Order(ctx context.Context, address string, o orders.Order) (orders.Answer, error)
-	// ReadOrder asks for the state of an order; the error wraps ErrUnknownOrder when the engine does not know it.
+	// ReadOrder returns the state of an order. The error wraps ErrUnknownOrder when the engine does not know the order.
 	ReadOrder(ctx context.Context, address, id string) (orders.Answer, error)
-	// Export asks for pieces to be written to stores and waits for the outcome.
+	// Export requests that pieces be written to stores and waits for the results.
 	Export(ctx context.Context, address string, e Export) (ExportResults, error)
 }
 
@@ -84,7 +84,7 @@
 	client *http.Client
 }
 
-// NewEngine returns an Engine that uses the given client, which must follow no redirects.
+// NewEngine returns an Engine that uses the given client, which must not follow redirects.
 func NewEngine(c *http.Client) Engine {
 	return &engine{client: c}
 }
@@ -102,7 +102,7 @@
 	return checkOrder(a, id, err)
 }
 
-// checkOrder refuses an answer that is of another order; taken as its own it would end a load that never began.
+// checkOrder rejects an answer for another order, which would otherwise mark a load as ended that never began.
 func checkOrder(a orders.Answer, id string, err error) (orders.Answer, error) {
 	if err != nil {
 		return orders.Answer{}, err
@@ -128,7 +128,8 @@
 	return r, nil
 }
 
-// check returns an error when the result is not for a piece of x, or says sealed without a generation.
+// check returns an error when the result is for a piece that x did not request,
+// or when a sealed or present piece lacks its generation or size.
 func (r ExportResult) check(x Export) error {
 	sealed := r.State == ExportSealed || r.State == ExportPresent
 	if sealed && (r.Generation == 0 || r.Bytes <= 0) {
--- a/internal/entry/backend/engine_test.go
+++ b/internal/entry/backend/engine_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// An order whose answer is lost may run; one that never left may not. The
-// controller sends again only in the second case, so a wrong verdict makes
-// an engine load weights twice or not at all.
+// An order whose response is lost may have run; an order that was never sent has
+// not. The controller resends only in the second case, so with a wrong verdict
+// an engine would load weights twice or not at all.
 func TestOrderVerdicts(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,11 +49,11 @@
 		want          verdict.Verdict
 		is            error
 	}{
-		{"nobody listens", closed.Addr().String(), verdict.NotRun, nil},
+		{"connection refused", closed.Addr().String(), verdict.NotRun, nil},
 		{"no answer", cut, verdict.MayHaveRun, nil},
 		{"old fencing", serve(t, reply(409, `{"error":{"code":"old-fencing","message":"m"},"fencing":9}`)), verdict.NotRun, ErrOldFencing},
 		{"leaving", serve(t, reply(503, `{"error":{"code":"leaving","message":"m"}}`)), verdict.NotRun, nil},
-		{"a proxy's 503", serve(t, reply(503, `<html>`)), verdict.MayHaveRun, nil},
+		{"503 of a proxy", serve(t, reply(503, `<html>`)), verdict.MayHaveRun, nil},
 		{"unknown order", serve(t, reply(404, `{"error":{"code":"unknown","message":"m"}}`)), verdict.NotRun, ErrUnknownOrder},
 		{"another order", serve(t, reply(200, `{"id":"o-2","state":"done"}`)), verdict.MayHaveRun, nil},
 		{"unknown state", serve(t, reply(200, `{"id":"o-1","state":"soon"}`)), verdict.MayHaveRun, nil},
@@ -76,8 +76,8 @@
 	}
 }
 
-// An engine names a piece as sealed that nobody asked it to write, or without
-// a generation. Taken over, a later read could not be checked by the store.
+// An engine reports a piece as sealed that was not requested, or without a
+// generation. If such a result were accepted, the store could not verify a later read.
 func TestExportResultsAreChecked(t *testing.T) {
 	k := block.Scope{PieceTokens: 1}.Root()
 	x := Export{Pieces: []ExportPiece{{Key: k, Store: "10.0.0.9:7000", Tier: "memory"}}}
--- a/internal/entry/backend/fuzz_test.go
+++ b/internal/entry/backend/fuzz_test.go
@@ -5,15 +5,14 @@
 	"testing"
 )
 
-// Whatever bytes reach the port, the handler answers with a status that the
-// page lists and does not panic.
+// fuzzPath checks that the handler answers any body with a documented status and does not panic.
 func fuzzPath(f *testing.F, path string, seeds ...string) {
 	for _, s := range seeds {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		h, _ := newTestHandler(t, &sink{})
-		w := post(h, path, goodKey, string(body))
+		h, _ := newTestHandler(t, &recorder{})
+		w := post(h, path, validKey, string(body))
 		switch w.Code {
 		case http.StatusOK, http.StatusBadRequest, http.StatusRequestEntityTooLarge:
 		default:
@@ -23,7 +22,7 @@
 }
 
 func FuzzAnnouncement(f *testing.F) {
-	fuzzPath(f, "/fleet/announcements", good, `{"identity":"a","identity":"b"}`, `[[[[[[[[[[[`, `{"load":{"prefill-rate":1e999}}`)
+	fuzzPath(f, "/fleet/announcements", validAnnouncement, `{"identity":"a","identity":"b"}`, `[[[[[[[[[[[`, `{"load":{"prefill-rate":1e999}}`)
 }
 
 func FuzzCacheEvents(f *testing.F) {
--- a/internal/entry/backend/handler.go
+++ b/internal/entry/backend/handler.go
@@ -26,15 +26,15 @@
 	}
 	h := &handler{config: c}
 	m := http.NewServeMux()
-	m.HandleFunc("POST /fleet/announcements", h.keyed(h.announce))
-	m.HandleFunc("POST /fleet/cache-events", h.keyed(h.cacheEvents))
+	m.HandleFunc("POST /fleet/announcements", h.requireKey(h.announce))
+	m.HandleFunc("POST /fleet/cache-events", h.requireKey(h.cacheEvents))
 	return m, nil
 }
 
-// keyed calls next for requests with a known key only.
-func (h *handler) keyed(next http.HandlerFunc) http.HandlerFunc {
+// requireKey calls next only for requests with a valid key.
+func (h *handler) requireKey(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !h.known(r.Header.Get("Authorization")) {
+		if !h.hasKnownKey(r.Header.Get("Authorization")) {
 			h.refuse(w, r, http.StatusUnauthorized, "unknown-key", "the request needs the header Authorization with a known key")
 			return
 		}
@@ -42,8 +42,8 @@
 	}
 }
 
-// known compares with every digest, whichever fits, so that the time tells nothing of the keys.
-func (h *handler) known(header string) bool {
+// hasKnownKey compares the key with every digest, also after a match, so that the response time reveals nothing about the keys.
+func (h *handler) hasKnownKey(header string) bool {
 	key, ok := strings.CutPrefix(header, "Bearer ")
 	if !ok {
 		return false
@@ -56,15 +56,15 @@
 	return found == 1
 }
 
-// Outcome is the body of an answer to an announcement.
-type Outcome struct {
-	// Outcome says what became of the announcement.
+// AnnouncementAnswer is the response body for an announcement.
+type AnnouncementAnswer struct {
+	// Outcome is the result of the merge into the membership table.
 	Outcome membership.Outcome `json:"outcome"`
 }
 
 func (h *handler) announce(w http.ResponseWriter, r *http.Request) {
 	now := h.config.Now()
-	a, err := read[announcement.Announcement](w, r, MaxAnnouncement)
+	a, err := decodeBody[announcement.Announcement](w, r, MaxAnnouncement)
 	if err != nil {
 		h.refuseBody(w, r, err)
 		return
@@ -82,7 +82,7 @@
 		h.config.Leavers.Leaving(a.Identity)
 	}
 	h.logMerge(a, m)
-	answer(w, http.StatusOK, Outcome{Outcome: m.Outcome})
+	writeJSON(w, http.StatusOK, AnnouncementAnswer{Outcome: m.Outcome})
 }
 
 var mergeStatus = map[membership.Cause]int{
@@ -92,7 +92,7 @@
 	membership.TooManyServers:   http.StatusInsufficientStorage,
 }
 
-// logMerge writes a line when a server came, changed or leaves, not for each announcement.
+// logMerge logs when a server is new, changed or leaving, not on every announcement.
 func (h *handler) logMerge(a announcement.Announcement, m membership.Merge) {
 	if !m.Changed && !m.Leaving {
 		return
@@ -111,15 +111,15 @@
 	})
 }
 
-// Wanted is the body of an answer to cache events.
-type Wanted struct {
-	// ListingWanted asks the engine for a listing.
+// CacheEventsAnswer is the response body for cache events.
+type CacheEventsAnswer struct {
+	// ListingWanted requests a full listing from the engine.
 	ListingWanted bool `json:"listing-wanted"`
 }
 
 func (h *handler) cacheEvents(w http.ResponseWriter, r *http.Request) {
 	now := h.config.Now()
-	report, err := read[events.Report](w, r, events.MaxBody)
+	report, err := decodeBody[events.Report](w, r, events.MaxBody)
 	if err != nil {
 		h.refuseBody(w, r, err)
 		return
@@ -132,5 +132,5 @@
 	if wanted {
 		event.ListingWanted.Write(h.config.Log, log.Fields{"engine": report.Identity, "first": report.First})
 	}
-	answer(w, http.StatusOK, Wanted{ListingWanted: wanted})
+	writeJSON(w, http.StatusOK, CacheEventsAnswer{ListingWanted: wanted})
 }
--- a/internal/entry/backend/giver_config.go
+++ b/internal/entry/backend/order_issuer_config.go
@@ -11,19 +11,19 @@
 	"hornbeamwood/internal/settings/rules"
 )
 
-// Defaults of GiverConfig.
+// Default values of the configuration.
 const (
 	DefaultStep       = 250 * time.Millisecond
 	DefaultOrderLease = 10 * time.Second
 )
 
 const (
-	// orderTimeout is less than the time that the controller takes an order to be on its way.
+	// orderTimeout is less than the time for which the controller considers an order to be in flight.
 	orderTimeout = 4 * time.Second
-	// askShare is how often, in one lease, a process that does not hold it asks whether it is free.
-	askShare = 2
-	// orderLease is the lease's name in the control log.
-	orderLease = "orders"
+	// acquireTriesPerLease is how often per lease duration a process that does not hold the lease checks whether it is free.
+	acquireTriesPerLease = 2
+	// orderLeaseName is the name of the lease in the control log.
+	orderLeaseName = "orders"
 )
 
 // ControlLog commits commands to the control log and reads from it.
@@ -38,29 +38,29 @@
 	ReadOrder(ctx context.Context, address, id string) (orders.Answer, error)
 }
 
-// Servers shows the backend servers.
+// Servers provides the current view of the backend servers.
 type Servers interface {
 	View() membership.View
 }
 
-// GiverConfig holds what a Giver needs.
+// GiverConfig configures NewGiver.
 type GiverConfig struct {
-	// Holder names this process and its start.
+	// Holder identifies this process and its incarnation as a lease holder.
 	Holder string
-	// Controller decides; the Giver is the only one that uses it.
+	// Controller plans the orders. Nothing else may use it.
 	Controller orders.Controller
 	// Log holds the lease.
 	Log ControlLog
-	// Engines get the orders.
+	// Engines sends the orders.
 	Engines EngineOrders
-	// Servers shows which engines there are.
+	// Servers provides the engines.
 	Servers Servers
-	// Settings returns the effective settings, nil while there are none.
+	// Settings returns the effective settings, or nil while there are none.
 	Settings func() *rules.Snapshot
-	// Step is the time between two plans; zero means DefaultStep.
+	// Step is the interval between plans; zero means DefaultStep.
 	Step time.Duration
 	// Now returns the local time with its monotonic reading.
 	Now func() time.Time
-	// Logger takes the events; nil writes none.
+	// Logger receives events; nil disables logging.
 	Logger log.Interface
 }
--- a/internal/entry/backend/giver_test.go
+++ b/internal/entry/backend/order_issuer_test.go
@@ -17,27 +17,27 @@
 	"hornbeamwood/internal/settings/rules"
 )
 
-// oneLog is a control log with one replica that never fails.
-type oneLog struct {
+// singleReplicaLog is a control log with a single replica that never fails.
+type singleReplicaLog struct {
 	leases state.Section
 }
 
-func (l *oneLog) Propose(_ context.Context, _ string, body []byte) ([]byte, error) {
+func (l *singleReplicaLog) Propose(_ context.Context, _ string, body []byte) ([]byte, error) {
 	return l.leases.Apply(time.Now(), body), nil
 }
 
-func (l *oneLog) Read(_ context.Context, _ string, body []byte) ([]byte, error) {
+func (l *singleReplicaLog) Read(_ context.Context, _ string, body []byte) ([]byte, error) {
 	return l.leases.Query(body)
 }
 
-// fakeEngines load at once and announce what they hold.
+// fakeEngines load weights immediately and announce what they hold.
 type fakeEngines struct {
-	mu       sync.Mutex
-	table    membership.Table
-	all      map[string]*announcement.Announcement
-	orders   map[string]int
-	loseNext bool
-	fence    bool
+	mu             sync.Mutex
+	table          membership.Table
+	all            map[string]*announcement.Announcement
+	orders         map[string]int
+	loseNextAnswer bool
+	fenced         bool
 }
 
 func newFakeEngines(names ...string) *fakeEngines {
@@ -70,15 +70,15 @@
 func (f *fakeEngines) Order(_ context.Context, address string, o orders.Order) (orders.Answer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.fence {
+	if f.fenced {
 		return orders.Answer{}, verdict.New(verdict.NotRun, 502, "refused", "refused").WithCause(ErrOldFencing)
 	}
 	f.orders[o.ID]++
 	a := f.all[address]
 	a.LastOrder = o.ID
 	a.Holdings = []announcement.Holding{{Model: o.Model, WeightVersion: o.WeightVersion}}
-	if f.loseNext {
-		f.loseNext = false
+	if f.loseNextAnswer {
+		f.loseNextAnswer = false
 		return orders.Answer{}, errors.New("the answer was lost")
 	}
 	return orders.Answer{ID: o.ID, State: orders.Done}, nil
@@ -110,9 +110,9 @@
 	return true
 }
 
-func newTestGiver(t *testing.T, holder string, l *oneLog, f *fakeEngines) Giver {
+func newTestOrderIssuer(t *testing.T, holder string, l *singleReplicaLog, f *fakeEngines) Giver {
 	t.Helper()
-	g, err := NewGiver(GiverConfig{
+	oi, err := NewGiver(GiverConfig{
 		Holder:     holder,
 		Controller: orders.New(orders.Config{Recheck: time.Millisecond, Flight: time.Millisecond}),
 		Log:        l,
@@ -127,12 +127,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return g
+	return oi
 }
 
-func readLease(t *testing.T, l *oneLog) lease.Lease {
+func readLease(t *testing.T, l *singleReplicaLog) lease.Lease {
 	t.Helper()
-	q, _ := codec.Marshal(lease.Query{Name: orderLease})
+	q, _ := codec.Marshal(lease.Query{Name: orderLeaseName})
 	b, err := l.Read(context.Background(), lease.Name, q)
 	if err != nil {
 		t.Fatal(err)
@@ -153,37 +153,37 @@
 	}
 }
 
-// The answer to one order is lost. The engine must not get it a second time,
-// and the next process takes over at once when this one stops.
-func TestGiverRollsOut(t *testing.T) {
-	l, f := &oneLog{leases: lease.New()}, newFakeEngines("engine-1", "engine-2", "engine-3")
-	f.loseNext = true
-	g := newTestGiver(t, "entry-1/1", l, f)
-	eventually(t, "the roll-out", func() bool { return f.allHold("v2") })
-	other := newTestGiver(t, "entry-2/1", l, f)
-	g.Close()
+// The answer to one order is lost. The engine must not receive the order a second
+// time, and the next process takes over at once when this one stops.
+func TestOrderIssuerRollsOut(t *testing.T) {
+	l, f := &singleReplicaLog{leases: lease.New()}, newFakeEngines("engine-1", "engine-2", "engine-3")
+	f.loseNextAnswer = true
+	oi := newTestOrderIssuer(t, "entry-1/1", l, f)
+	eventually(t, "the rollout", func() bool { return f.allHold("v2") })
+	other := newTestOrderIssuer(t, "entry-2/1", l, f)
+	oi.Close()
 	if got := readLease(t, l); !got.Released && got.Holder != "entry-2/1" {
-		t.Errorf("the lease was not given back: %+v", got)
+		t.Errorf("the lease was not released: %+v", got)
 	}
-	eventually(t, "the take-over", func() bool { return readLease(t, l).Holder == "entry-2/1" })
+	eventually(t, "the takeover", func() bool { return readLease(t, l).Holder == "entry-2/1" })
 	other.Close()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, n := range f.orders {
 		if n != 1 {
-			t.Errorf("order %s was given %d times", id, n)
+			t.Errorf("order %s was sent %d times", id, n)
 		}
 	}
 }
 
 // An engine has seen a higher fencing number: another process holds the lease,
-// although this one doesn't know yet. It must stop for all engines.
-func TestGiverStopsWhenFenced(t *testing.T) {
-	l, f := &oneLog{leases: lease.New()}, newFakeEngines("engine-1", "engine-2")
-	f.fence = true
-	g := newTestGiver(t, "entry-1/1", l, f)
+// and this one has not noticed yet. It must stop issuing orders to all engines.
+func TestOrderIssuerStopsWhenFenced(t *testing.T) {
+	l, f := &singleReplicaLog{leases: lease.New()}, newFakeEngines("engine-1", "engine-2")
+	f.fenced = true
+	oi := newTestOrderIssuer(t, "entry-1/1", l, f)
 	eventually(t, "the lease", func() bool { return readLease(t, l).Holder == "entry-1/1" })
-	g.Close()
+	oi.Close()
 	if f.allHold("v2") || len(f.orders) > 0 {
 		t.Errorf("orders were carried out: %v", f.orders)
 	}
