--- a/internal/entry/operator/authenticate.go
+++ b/internal/entry/operator/authenticate.go
@@ -16,7 +16,7 @@
 func (h *handler) authenticate(r *http.Request) (string, error) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if ok && key != "" {
-		if name, ok := h.operatorOf(digest.Of(key)); ok {
+		if name, ok := h.operatorByKey(digest.Of(key)); ok {
 			return name, nil
 		}
 	}
@@ -24,8 +24,8 @@
 	return "", verdict.New(verdict.NotRun, http.StatusUnauthorized, "no-operator", "an operator's key is required as Authorization: Bearer")
 }
 
-// operatorOf compares d with all digests, so that the time it takes tells nothing of them.
-func (h *handler) operatorOf(d digest.Digest) (string, bool) {
+// operatorByKey compares d with all digests, so that the response time reveals nothing about them.
+func (h *handler) operatorByKey(d digest.Digest) (string, bool) {
 	operators := h.Settings.View().Rules.Operators
 	found := ""
 	for name, keys := range operators {
--- a/internal/entry/operator/body.go
+++ b/internal/entry/operator/body.go
@@ -11,14 +11,14 @@
 	"hornbeamwood/internal/settings/tree"
 )
 
-// Media types of settings.
+// Media types of settings bodies.
 const (
 	mediaJSON = "application/json"
 	mediaTOML = "application/toml"
 )
 
-// pathOf returns the branch that a request's path names.
-func pathOf(r *http.Request) (tree.Path, error) {
+// parsePath returns the settings branch from the request's path.
+func parsePath(r *http.Request) (tree.Path, error) {
 	p, err := tree.ParsePath(r.PathValue("path"))
 	if err != nil {
 		return "", verdict.New(verdict.NotRun, http.StatusNotFound, "no-branch", "%v", err)
@@ -26,15 +26,15 @@
 	return p, nil
 }
 
-// subtree reads the body of an edit of branch p.
-func (h *handler) subtree(w http.ResponseWriter, r *http.Request, p tree.Path) (tree.Subtree, error) {
+// readSubtree reads and parses the body of an edit of branch p.
+func (h *handler) readSubtree(w http.ResponseWriter, r *http.Request, p tree.Path) (tree.Subtree, error) {
 	media, _, err := mime.ParseMediaType(r.Header.Get("Content-Type"))
 	if err != nil || (media != mediaJSON && media != mediaTOML) {
 		return tree.Subtree{}, verdict.New(verdict.NotRun, http.StatusUnsupportedMediaType, "media-type", "settings are sent as %s or %s", mediaTOML, mediaJSON)
 	}
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, h.MaxBody))
 	if err != nil {
-		return tree.Subtree{}, bodyFault(err)
+		return tree.Subtree{}, bodyError(err)
 	}
 	var s tree.Subtree
 	if media == mediaTOML {
@@ -43,12 +43,12 @@
 		s, err = tree.ParseJSON(p, b)
 	}
 	if err != nil {
-		return s, invalid(err)
+		return s, invalidSettings(err)
 	}
 	return s, nil
 }
 
-func bodyFault(err error) error {
+func bodyError(err error) error {
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
 		return verdict.New(verdict.NotRun, http.StatusRequestEntityTooLarge, "body-too-large", "a body has %d bytes at most", large.Limit)
@@ -56,11 +56,11 @@
 	return verdict.New(verdict.NotRun, http.StatusBadRequest, "body-cut", "the body did not arrive whole").WithCause(err)
 }
 
-// invalid returns err, the faults of an edit that no log has seen, as an answer.
+// invalidSettings returns the error response for an edit that failed validation before it was proposed.
 //
-// A body of 4 MiB can hold a hundred thousand faults; shown whole, they would
-// fill the log and the operator's screen.
-func invalid(err error) error {
+// A body of 4 MiB can contain a hundred thousand problems. The list is truncated so
+// that it does not fill the log and the operator's screen.
+func invalidSettings(err error) error {
 	var problems tomlfile.Problems
 	if errors.As(err, &problems) {
 		err = problems.Shown()
--- a/internal/entry/operator/config.go
+++ b/internal/entry/operator/config.go
@@ -10,11 +10,11 @@
 	"hornbeamwood/internal/settings/follower"
 )
 
-// Log is the control log as operators' requests need it; errors of verdict.Error are passed on as they are.
+// Log is the part of the control log that operator requests use. Errors of type verdict.Error are returned unchanged.
 type Log interface {
-	// Propose commits a command of a section and returns its result.
+	// Propose commits a command to a section and returns its result.
 	Propose(ctx context.Context, section string, body []byte) ([]byte, error)
-	// Read returns the answer of a section that holds all edits accepted before the call.
+	// Read returns the answer of a section. The answer reflects all edits accepted before the call.
 	Read(ctx context.Context, section string, body []byte) ([]byte, error)
 }
 
@@ -24,48 +24,48 @@
 	View() follower.View
 }
 
-// Lease says whether the entry's copy is in force.
+// Lease checks the entry's settings lease.
 type Lease interface {
-	// Check returns a verdict.Error when the entry can't prove that its copy is in force.
+	// Check returns a verdict.Error when the entry can't prove that its copy of the settings is in force.
 	Check() error
 }
 
-// Force knows which revisions are in force everywhere.
+// Force waits for revisions to be in force at every entry.
 type Force interface {
 	// Wait returns nil once the revision is in force at every entry, or the error of ctx.
 	Wait(ctx context.Context, revision uint64) error
 }
 
-// Defaults of Config.
+// Default values of Config.
 const (
-	defaultMaxBody = 4 << 20
-	defaultTimeout = 5 * time.Second
-	defaultWait    = 30 * time.Second
+	defaultMaxBody   = 4 << 20
+	defaultTimeout   = 5 * time.Second
+	defaultWaitLimit = 30 * time.Second
 )
 
-// Config holds what the operators' interface is made of.
+// Config configures the HTTP interface for operators.
 type Config struct {
 	// Log is the control log; required.
 	Log Log
-	// Settings is the entry's copy, by which operators are known and edits are checked first; required.
+	// Settings is the entry's copy of the settings, used to authenticate operators and to validate edits early; required.
 	Settings Settings
-	// Lease is asked before anybody is let in; required.
+	// Lease is checked before a request is authenticated; required.
 	Lease Lease
-	// Force answers "?wait=in-force"; required.
+	// Force serves "?wait=in-force"; required.
 	Force Force
-	// Actions are further requests for operators.
+	// Actions are additional operator requests.
 	Actions []Action
 	// BootstrapKeyDigest is the digest of the key that may edit while the tree has no operators; zero for none.
 	BootstrapKeyDigest digest.Digest
-	// Logger takes the events; nil for none.
+	// Logger receives events; nil disables logging.
 	Logger log.Interface
-	// Now returns the wall clock that is noted as an edit's time of intent; time.Now when nil.
+	// Now returns the wall clock time recorded as an edit's time of intent; time.Now when nil.
 	Now func() time.Time
-	// MaxBody is the largest body of an edit in bytes, 4 MiB when zero.
+	// MaxBody is the maximum body size of an edit in bytes; 4 MiB when zero.
 	MaxBody int64
-	// Timeout is how long an answer of the control log may take, 5 s when zero.
+	// Timeout bounds a call to the control log; 5 s when zero.
 	Timeout time.Duration
-	// WaitLimit is how long "?wait=in-force" waits, 30 s when zero.
+	// WaitLimit bounds how long "?wait=in-force" waits; 30 s when zero.
 	WaitLimit time.Duration
 }
 
@@ -80,7 +80,7 @@
 		c.Timeout = defaultTimeout
 	}
 	if c.WaitLimit == 0 {
-		c.WaitLimit = defaultWait
+		c.WaitLimit = defaultWaitLimit
 	}
 	return c
 }
--- a/internal/entry/operator/doc.go
+++ b/internal/entry/operator/doc.go
@@ -1,3 +1,3 @@
-// Package operator speaks HTTP with operators: it shows the settings tree, its
-// history and its effective values, and takes edits of it.
+// Package operator implements the HTTP interface for operators: it serves the
+// settings tree, its history and its effective values, and accepts edits.
 package operator
--- a/internal/entry/operator/edit.go
+++ b/internal/entry/operator/edit.go
@@ -15,40 +15,40 @@
 
 // Headers of an edit.
 const (
-	// EditIDHeader carries the edit id; a resend carries the same.
+	// EditIDHeader carries the edit ID. A resend carries the same ID.
 	EditIDHeader = "Idempotency-Key"
-	// BaseHeader carries the revision that the operator saw, as ETag gave it.
+	// BaseHeader carries the revision that the edit is based on, in the form of the ETag header.
 	BaseHeader = "If-Match"
 )
 
-// waitParameter and waitInForce are the query by which an edit's answer waits until it is in force.
+// waitParameter and waitInForce form the query parameter that delays the response until the edit is in force.
 const (
 	waitParameter = "wait"
 	waitInForce   = "in-force"
 )
 
-// put makes a branch and those below it equal to the body.
+// put replaces a branch and its descendants with the body.
 func (h *handler) put(w http.ResponseWriter, r *http.Request, operator string) error {
-	return h.withBody(w, r, operator, func(s tree.Subtree) []tree.Change {
+	return h.editWithBody(w, r, operator, func(s tree.Subtree) []tree.Change {
 		return []tree.Change{s.Replace()}
 	})
 }
 
-// patch sets what the body sets and leaves all else.
+// patch merges the body into a branch and its descendants.
 func (h *handler) patch(w http.ResponseWriter, r *http.Request, operator string) error {
-	return h.withBody(w, r, operator, tree.Subtree.Merge)
+	return h.editWithBody(w, r, operator, tree.Subtree.Merge)
 }
 
-func (h *handler) withBody(w http.ResponseWriter, r *http.Request, operator string, changes func(tree.Subtree) []tree.Change) error {
-	e, err := editOf(r, operator)
+func (h *handler) editWithBody(w http.ResponseWriter, r *http.Request, operator string, changes func(tree.Subtree) []tree.Change) error {
+	e, err := parseEdit(r, operator)
 	if err != nil {
 		return err
 	}
-	p, err := pathOf(r)
+	p, err := parsePath(r)
 	if err != nil {
 		return err
 	}
-	s, err := h.subtree(w, r, p)
+	s, err := h.readSubtree(w, r, p)
 	if err != nil {
 		return err
 	}
@@ -56,13 +56,13 @@
 	return h.submit(w, r, e)
 }
 
-// remove takes a branch, or with ?key= one setting of it, from the tree.
+// remove deletes a branch from the tree or, with ?key=, one of its settings.
 func (h *handler) remove(w http.ResponseWriter, r *http.Request, operator string) error {
-	e, err := editOf(r, operator)
+	e, err := parseEdit(r, operator)
 	if err != nil {
 		return err
 	}
-	p, err := pathOf(r)
+	p, err := parsePath(r)
 	if err != nil {
 		return err
 	}
@@ -75,8 +75,8 @@
 	return h.submit(w, r, e)
 }
 
-// editOf returns the edit without its changes from the headers of a request.
-func editOf(r *http.Request, operator string) (section.Edit, error) {
+// parseEdit returns the edit described by the headers of a request, without its changes.
+func parseEdit(r *http.Request, operator string) (section.Edit, error) {
 	if wait := r.URL.Query().Get(waitParameter); wait != "" && wait != waitInForce {
 		return section.Edit{}, badRequest("wait", "?%s= takes %s only", waitParameter, waitInForce)
 	}
@@ -87,16 +87,16 @@
 	if err := section.CheckID(id); err != nil {
 		return section.Edit{}, badRequest("edit-id", "%s: %v", EditIDHeader, err)
 	}
-	base, err := baseOf(r.Header.Values(BaseHeader))
+	base, err := parseBase(r.Header.Values(BaseHeader))
 	if err != nil {
 		return section.Edit{}, err
 	}
 	return section.Edit{ID: id, Base: base, Operator: operator}, nil
 }
 
-// baseOf returns the revision of an If-Match header. An edit without one could
-// overwrite what its operator never saw.
-func baseOf(values []string) (uint64, error) {
+// parseBase returns the revision from an If-Match header. Without a base revision an
+// edit could overwrite changes that its operator has never seen.
+func parseBase(values []string) (uint64, error) {
 	if len(values) == 0 {
 		return 0, verdict.New(verdict.NotRun, http.StatusPreconditionRequired, "no-base", "an edit names the revision that it was made against as %s", BaseHeader)
 	}
@@ -117,15 +117,15 @@
 	return fmt.Sprintf("%q", strconv.FormatUint(revision, 10))
 }
 
-// submit checks an edit against the entry's copy where that is what the edit
-// was made against, and gives it to the log, which decides.
+// submit validates an edit against the entry's copy when that is at the base revision,
+// and then proposes it to the log, which decides.
 func (h *handler) submit(w http.ResponseWriter, r *http.Request, e section.Edit) error {
 	e.Intent = h.Now().UnixNano()
 	v := h.Settings.View()
 	if e.Base == v.Revision() {
 		if _, _, err := section.Check(v.Tree, e); err != nil {
-			err = invalid(err)
-			h.refused(e, err)
+			err = invalidSettings(err)
+			h.logRefusedEdit(e, err)
 			return err
 		}
 	}
@@ -137,11 +137,11 @@
 	defer cancel()
 	result, err := h.Log.Propose(ctx, section.Name, body)
 	if err != nil {
-		return h.unknown(e, err)
+		return h.unknownOutcome(e, err)
 	}
 	o, err := codec.Unmarshal[section.Outcome](result)
 	if err != nil {
-		return h.unknown(e, err)
+		return h.unknownOutcome(e, err)
 	}
-	return h.answer(w, r, e, o)
+	return h.answerOutcome(w, r, e, o)
 }
--- a/internal/entry/operator/failure.go
+++ b/internal/entry/operator/failure.go
@@ -14,28 +14,28 @@
 	"hornbeamwood/internal/settings/tomlfile"
 )
 
-// retryUnknown is when an edit of unknown outcome is best sent again.
-const retryUnknown = time.Second
+// retryDelay is the Retry-After value when the control log did not answer.
+const retryDelay = time.Second
 
-// Failure is the JSON body of each answer that is not a success.
+// Failure is the JSON body of an error response.
 type Failure struct {
 	// Error describes what went wrong.
 	Error FailureDetail `json:"error"`
-	// Verdict says whether the request may have changed anything.
+	// Verdict states whether the request may have changed anything.
 	Verdict verdict.Verdict `json:"verdict"`
 }
 
 // FailureDetail describes what went wrong.
 type FailureDetail struct {
-	// Code is a stable kebab-case word for programs.
+	// Code is a stable, machine-readable error code in kebab case.
 	Code string `json:"code"`
-	// Message is one sentence for people.
+	// Message is one human-readable sentence.
 	Message string `json:"message"`
-	// Reasons are the faults of an edit, each with its key and, for a TOML body, its line.
+	// Reasons are the problems of an edit, each with its key and, for a TOML body, its line.
 	Reasons tomlfile.Problems `json:"reasons,omitempty"`
-	// Winner is the edit that was accepted under the same number.
+	// Winner is the edit that was accepted against the same base revision.
 	Winner *section.Winner `json:"winner,omitempty"`
-	// Repeated says that this is the first outcome of an edit that was sent again.
+	// Repeated is set when the edit is a resend and this is its original outcome.
 	Repeated bool `json:"repeated,omitempty"`
 }
 
@@ -44,13 +44,13 @@
 	section.Outcome
 }
 
-// Error returns the kind of the outcome.
+// Error returns the kind and revision of the outcome.
 func (o outcomeError) Error() string {
 	return fmt.Sprintf("outcome %q at revision %d", o.Kind, o.Revision)
 }
 
-// fail writes err as the answer; an error that proves nothing is may-have-run.
-func fail(w http.ResponseWriter, err error) {
+// writeFailure writes err as the response. An error without a verdict becomes may-have-run.
+func writeFailure(w http.ResponseWriter, err error) {
 	v, ok := verdict.As(err)
 	if !ok {
 		v = verdict.New(verdict.MayHaveRun, http.StatusInternalServerError, "internal", "the entry failed to answer")
@@ -78,7 +78,7 @@
 	_ = writeJSON(w, v.Status, f)
 }
 
-// writeJSON writes v as the body; an error means that the operator went away.
+// writeJSON writes v as the response body. It returns an error when v can't be encoded.
 func writeJSON[T any](w http.ResponseWriter, status int, v T) error {
 	b, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
--- a/internal/entry/operator/fake_test.go
+++ b/internal/entry/operator/fake_test.go
@@ -19,79 +19,79 @@
 	"hornbeamwood/internal/settings/section"
 )
 
-// fakeLog is a control log of one replica that can lose answers.
+// fakeLog is a control log with a single replica that can lose answers or fail.
 type fakeLog struct {
-	mu       sync.Mutex
-	section  state.Section
-	lose     bool
-	down     error
-	proposed int
+	mu          sync.Mutex
+	section     state.Section
+	loseAnswers bool
+	failure     error
+	proposed    int
 }
 
 func (l *fakeLog) Propose(ctx context.Context, _ string, body []byte) ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.down != nil {
-		return nil, l.down
+	if l.failure != nil {
+		return nil, l.failure
 	}
 	l.proposed++
 	result := l.section.Apply(time.Unix(1_800_000_000, 0), body)
-	if l.lose {
+	if l.loseAnswers {
 		return nil, context.DeadlineExceeded
 	}
 	return result, nil
 }
 
 func (l *fakeLog) Read(_ context.Context, _ string, body []byte) ([]byte, error) {
-	if l.down != nil {
-		return nil, l.down
+	if l.failure != nil {
+		return nil, l.failure
 	}
 	return l.section.Query(body)
 }
 
-// fakeForce answers whether revisions are in force.
-type fakeForce struct {
+// fakeInForce returns err from Wait.
+type fakeInForce struct {
 	err error
 }
 
-func (f *fakeForce) Wait(context.Context, uint64) error { return f.err }
+func (f *fakeInForce) Wait(context.Context, uint64) error { return f.err }
 
-// fakeLease answers whether the entry's copy is in force.
+// fakeLease returns err from Check.
 type fakeLease struct {
 	err error
 }
 
 func (l *fakeLease) Check() error { return l.err }
 
-// bench is one entry's operators' interface over a fake log.
-type bench struct {
+// fixture is the operator interface of one entry with a fake control log.
+type fixture struct {
 	t       testing.TB
 	log     *fakeLog
 	copy    follower.Follower
-	force   *fakeForce
+	force   *fakeInForce
 	lease   *fakeLease
 	handler http.Handler
 }
 
-func newBench(t testing.TB) *bench {
-	b := &bench{
+func newFixture(t testing.TB) *fixture {
+	f := &fixture{
 		t:     t,
 		log:   &fakeLog{section: section.New()},
 		copy:  follower.New(),
-		force: &fakeForce{},
+		force: &fakeInForce{},
 		lease: &fakeLease{},
 	}
-	b.handler = New(Config{
-		Log:                b.log,
-		Settings:           b.copy,
-		Lease:              b.lease,
-		Force:              b.force,
+	f.handler = New(Config{
+		Log:                f.log,
+		Settings:           f.copy,
+		Lease:              f.lease,
+		Force:              f.force,
 		BootstrapKeyDigest: digest.Of("bootstrap-key"),
 		MaxBody:            4096,
 		Timeout:            time.Second,
 		WaitLimit:          time.Second,
 	})
-	return b
+	return f
 }
 
 const setupTree = `
@@ -110,38 +110,38 @@
 [workspaces.daejeon.services.hand-over]
 `
 
-// ready returns a bench whose tree has operators, at revision 1.
-func ready(t testing.TB) *bench {
+// newFixtureWithOperators returns a fixture whose tree has operators, at revision 1.
+func newFixtureWithOperators(t testing.TB) *fixture {
 	t.Helper()
-	b := newBench(t)
+	f := newFixture(t)
 	text := fmt.Sprintf(setupTree, digest.Of("ana-key"), digest.Of("ben-key"), digest.Of("caller-key"))
-	r := b.send("PUT", "/settings", "bootstrap-key", "setup", `"0"`, text)
+	r := f.send("PUT", "/settings", "bootstrap-key", "setup", `"0"`, text)
 	if r.Code != http.StatusOK {
 		t.Fatalf("setup: %d %s", r.Code, r.Body)
 	}
-	b.follow()
-	return b
+	f.syncCopy()
+	return f
 }
 
-// follow brings the entry's copy up to date.
-func (b *bench) follow() {
-	b.t.Helper()
-	q, _ := codec.Marshal(section.Query{Kind: section.QueryChanges, Known: b.copy.View().Revision()})
-	answer, err := b.log.section.Query(q)
+// syncCopy updates the entry's copy of the settings.
+func (f *fixture) syncCopy() {
+	f.t.Helper()
+	q, _ := codec.Marshal(section.Query{Kind: section.QueryChanges, Known: f.copy.View().Revision()})
+	answer, err := f.log.section.Query(q)
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	c, err := codec.Unmarshal[section.Changes](answer)
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	if _, err := b.copy.Apply(c); err != nil {
-		b.t.Fatal(err)
+	if _, err := f.copy.Apply(c); err != nil {
+		f.t.Fatal(err)
 	}
 }
 
-// send sends one request; empty values leave out their headers.
-func (b *bench) send(method, target, key, id, base, body string) *httptest.ResponseRecorder {
+// send sends one request. Headers with empty values are omitted.
+func (f *fixture) send(method, target, key, id, base, body string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, target, strings.NewReader(body))
 	for name, value := range map[string]string{"Idempotency-Key": id, "If-Match": base, "Authorization": "Bearer " + key} {
 		if value != "" && value != "Bearer " {
@@ -153,12 +153,12 @@
 		r.Header.Set("Content-Type", "application/json; charset=utf-8")
 	}
 	w := httptest.NewRecorder()
-	b.handler.ServeHTTP(w, r)
+	f.handler.ServeHTTP(w, r)
 	return w
 }
 
-// expect reports an answer that has another status, verdict or text.
-func expect(t testing.TB, w *httptest.ResponseRecorder, status int, v verdict.Verdict, texts ...string) {
+// expectAnswer fails the test if the response has a different status or verdict or lacks one of the texts.
+func expectAnswer(t testing.TB, w *httptest.ResponseRecorder, status int, v verdict.Verdict, texts ...string) {
 	t.Helper()
 	body, _ := io.ReadAll(w.Body)
 	if w.Code != status || w.Header().Get(verdict.Header) != v.String() {
--- a/internal/entry/operator/operator_test.go
+++ b/internal/entry/operator/operator_test.go
@@ -15,20 +15,20 @@
 )
 
 func TestBootstrapKeyWorksUntilThereAreOperators(t *testing.T) {
-	b := ready(t)
-	expect(t, b.send("GET", "/settings", "bootstrap-key", "", "", ""), 401, verdict.NotRun, "no-operator")
-	w := b.send("GET", "/settings/workspaces/daejeon", "ana-key", "", "", "")
+	f := newFixtureWithOperators(t)
+	expectAnswer(t, f.send("GET", "/settings", "bootstrap-key", "", "", ""), 401, verdict.NotRun, "no-operator")
+	w := f.send("GET", "/settings/workspaces/daejeon", "ana-key", "", "", "")
 	if w.Code != 200 || w.Header().Get("ETag") != `"1"` || !strings.Contains(w.Body.String(), `"hand-over": {}`) {
 		t.Errorf("got %d %s %s", w.Code, w.Header().Get("ETag"), w.Body)
 	}
 }
 
 func TestEditAndShow(t *testing.T) {
-	b := ready(t)
-	w := b.send("PATCH", "/settings/workspaces/daejeon?wait=in-force", "ana-key", "a-1", `"1"`, `{"share": 3, "deadline": "5s", "services": {"hand-over": {"priority": 9}}}`)
-	expect(t, w, 200, verdict.Ran, `"outcome": "accepted"`, `"revision": 2`, `"in-force": true`)
-	expect(t, b.send("PATCH", "/settings/workspaces/daejeon", "ben-key", "b-1", `"2"`, `{"share": null}`), 200, verdict.Ran, `"revision": 3`)
-	expect(t, b.send("DELETE", "/settings/workspaces/daejeon?key=deadline", "ben-key", "b-2", `"3"`, ""), 200, verdict.Ran, `"revision": 4`)
+	f := newFixtureWithOperators(t)
+	w := f.send("PATCH", "/settings/workspaces/daejeon?wait=in-force", "ana-key", "a-1", `"1"`, `{"share": 3, "deadline": "5s", "services": {"hand-over": {"priority": 9}}}`)
+	expectAnswer(t, w, 200, verdict.Ran, `"outcome": "accepted"`, `"revision": 2`, `"in-force": true`)
+	expectAnswer(t, f.send("PATCH", "/settings/workspaces/daejeon", "ben-key", "b-1", `"2"`, `{"share": null}`), 200, verdict.Ran, `"revision": 3`)
+	expectAnswer(t, f.send("DELETE", "/settings/workspaces/daejeon?key=deadline", "ben-key", "b-2", `"3"`, ""), 200, verdict.Ran, `"revision": 4`)
 	for target, want := range map[string]string{
 		"/settings-explain/workspaces/daejeon/services/hand-over?key=priority": `"from": "/workspaces/daejeon/services/hand-over"`,
 		"/settings-explain/workspaces/daejeon?key=share":                       `"value": 1`,
@@ -36,27 +36,26 @@
 		"/settings-history":                                                    `"operator": "bootstrap"`,
 		"/settings-diff?from=1":                                                `"key": "priority"`,
 	} {
-		w := b.send("GET", target, "ana-key", "", "", "")
+		w := f.send("GET", target, "ana-key", "", "", "")
 		if w.Code != 200 || w.Header().Get("ETag") != `"4"` || !strings.Contains(w.Body.String(), want) {
 			t.Errorf("%s: %d %s, want %s", target, w.Code, w.Body, want)
 		}
 	}
-	expect(t, b.send("DELETE", "/settings/workspaces/daejeon", "ana-key", "a-2", `"4"`, ""), 200, verdict.Ran)
-	expect(t, b.send("GET", "/settings/workspaces/daejeon", "ana-key", "", "", ""), 404, verdict.NotRun, "no-branch")
+	expectAnswer(t, f.send("DELETE", "/settings/workspaces/daejeon", "ana-key", "a-2", `"4"`, ""), 200, verdict.Ran)
+	expectAnswer(t, f.send("GET", "/settings/workspaces/daejeon", "ana-key", "", "", ""), 404, verdict.NotRun, "no-branch")
 }
 
-// Two operators send edits against the same number through two requests at
-// once. One is accepted; the other is told whose edit won and what it was, and
-// can look before editing again.
-func TestOperatorsRaceUnderEqualNumbers(t *testing.T) {
-	b := ready(t)
+// Two operators concurrently send edits against the same revision. One edit is
+// accepted; the response to the other names the winning edit and its operator.
+func TestConcurrentEditsOfOneRevision(t *testing.T) {
+	f := newFixtureWithOperators(t)
 	codes := make([]int, 8)
 	bodies := make([]string, len(codes))
 	var wg sync.WaitGroup
 	for i := range codes {
 		wg.Go(func() {
 			key := []string{"ana-key", "ben-key"}[i%2]
-			w := b.send("PATCH", "/settings/workspaces/daejeon", key, fmt.Sprint("e-", i), `"1"`, fmt.Sprintf(`{"priority": %d}`, i+1))
+			w := f.send("PATCH", "/settings/workspaces/daejeon", key, fmt.Sprint("e-", i), `"1"`, fmt.Sprintf(`{"priority": %d}`, i+1))
 			codes[i], bodies[i] = w.Code, w.Body.String()
 		})
 	}
@@ -78,41 +77,41 @@
 	}
 }
 
-// The log accepts an edit and its answer is lost. The operator gets an answer
-// that says so, and learns the outcome by sending the same edit again, also
-// after another operator has edited meanwhile and through an entry that has
-// followed. Nothing is done twice.
+// The log accepts an edit, but its answer is lost. The response reports an unknown
+// outcome, and a resend of the same edit returns the original outcome, even after
+// another operator has edited and through an entry that has applied that edit.
+// Nothing is applied twice.
 func TestUnknownOutcomeIsResolvedByTheSameEditID(t *testing.T) {
-	b := ready(t)
+	f := newFixtureWithOperators(t)
 	edit := func() int {
-		return b.send("PATCH", "/settings/workspaces/daejeon", "ana-key", "a-1", `"1"`, `{"priority": 3}`).Code
+		return f.send("PATCH", "/settings/workspaces/daejeon", "ana-key", "a-1", `"1"`, `{"priority": 3}`).Code
 	}
-	b.log.lose = true
-	w := b.send("PATCH", "/settings/workspaces/daejeon", "ana-key", "a-1", `"1"`, `{"priority": 3}`)
-	expect(t, w, 504, verdict.MayHaveRun, "outcome-unknown", "same edit id")
+	f.log.loseAnswers = true
+	w := f.send("PATCH", "/settings/workspaces/daejeon", "ana-key", "a-1", `"1"`, `{"priority": 3}`)
+	expectAnswer(t, w, 504, verdict.MayHaveRun, "outcome-unknown", "same edit id")
 	if w.Header().Get("Retry-After") == "" {
 		t.Error("no Retry-After")
 	}
-	b.log.lose = false
-	b.follow()
-	expect(t, b.send("PATCH", "/settings/workspaces/daejeon", "ben-key", "b-1", `"2"`, `{"priority": 8}`), 200, verdict.Ran)
-	b.follow()
-	w = b.send("PATCH", "/settings/workspaces/daejeon", "ana-key", "a-1", `"1"`, `{"priority": 3}`)
-	expect(t, w, 200, verdict.Ran, `"revision": 2`, `"repeated": true`)
+	f.log.loseAnswers = false
+	f.syncCopy()
+	expectAnswer(t, f.send("PATCH", "/settings/workspaces/daejeon", "ben-key", "b-1", `"2"`, `{"priority": 8}`), 200, verdict.Ran)
+	f.syncCopy()
+	w = f.send("PATCH", "/settings/workspaces/daejeon", "ana-key", "a-1", `"1"`, `{"priority": 3}`)
+	expectAnswer(t, w, 200, verdict.Ran, `"revision": 2`, `"repeated": true`)
 	if c := edit(); c != 200 {
-		t.Errorf("third time: %d", c)
+		t.Errorf("second resend: %d", c)
 	}
-	expect(t, b.send("PATCH", "/settings/workspaces/daejeon", "ana-key", "a-1", `"1"`, `{"priority": 4}`), 422, verdict.NotRun, "edit-id-reused")
-	w = b.send("GET", "/settings/workspaces/daejeon", "ana-key", "", "", "")
+	expectAnswer(t, f.send("PATCH", "/settings/workspaces/daejeon", "ana-key", "a-1", `"1"`, `{"priority": 4}`), 422, verdict.NotRun, "edit-id-reused")
+	w = f.send("GET", "/settings/workspaces/daejeon", "ana-key", "", "", "")
 	if !strings.Contains(w.Body.String(), `"priority": 8`) {
 		t.Errorf("the resend undid the later edit: %s", w.Body)
 	}
 }
 
-// A bad request must leave the tree as it was, say that nothing ran, and name
-// what is wrong, so that the operator need not guess whether to send it again.
+// An invalid request must leave the tree unchanged, have the verdict not-run and
+// name the problem, so that the operator knows whether to resend it.
 func TestBadRequestsChangeNothing(t *testing.T) {
-	b := ready(t)
+	f := newFixtureWithOperators(t)
 	for i, c := range []struct {
 		method, target, key, id, base, body string
 		status                              int
@@ -150,80 +149,80 @@
 			c.id = fmt.Sprint("x-", i)
 		}
 		t.Run(c.method+c.target+c.want, func(t *testing.T) {
-			expect(t, b.send(c.method, c.target, c.key, c.id, c.base, c.body), c.status, verdict.NotRun, c.want)
+			expectAnswer(t, f.send(c.method, c.target, c.key, c.id, c.base, c.body), c.status, verdict.NotRun, c.want)
 		})
 	}
-	w := b.send("GET", "/settings", "ana-key", "", "", "")
+	w := f.send("GET", "/settings", "ana-key", "", "", "")
 	if w.Header().Get("ETag") != `"1"` {
 		t.Errorf("the revision is %s", w.Header().Get("ETag"))
 	}
 }
 
-// A file of another program is sent by mistake, with a fault in each line. The
-// answer shows the first and how many more there are.
-func TestManyFaultsAreCutShort(t *testing.T) {
-	b := ready(t)
+// A file of another program is sent by mistake, with a problem on each line. The
+// response lists the first problems and the number of the others.
+func TestManyProblemsAreTruncated(t *testing.T) {
+	f := newFixtureWithOperators(t)
 	var body strings.Builder
 	for i := range 100 {
 		fmt.Fprintf(&body, "x%d = 1\n", i)
 	}
-	w := b.send("PATCH", "/settings", "ana-key", "x", `"1"`, body.String())
+	w := f.send("PATCH", "/settings", "ana-key", "x", `"1"`, body.String())
 	if n := strings.Count(w.Body.String(), `"line"`); n != tomlfile.MaxShown {
-		t.Errorf("%d faults are shown", n)
+		t.Errorf("%d problems are shown", n)
 	}
-	expect(t, w, 422, verdict.NotRun, "and 68 more")
+	expectAnswer(t, w, 422, verdict.NotRun, "and 68 more")
 }
 
 func TestMediaTypes(t *testing.T) {
-	b := ready(t)
+	f := newFixtureWithOperators(t)
 	r := httptest.NewRequest("PUT", "/settings", strings.NewReader("priority=1"))
 	r.Header.Set("Content-Type", "application/x-www-form-urlencoded")
 	r.Header.Set("Authorization", "Bearer ana-key")
 	r.Header.Set("Idempotency-Key", "x")
 	r.Header.Set("If-Match", `"1"`)
 	w := httptest.NewRecorder()
-	b.handler.ServeHTTP(w, r)
-	expect(t, w, 415, verdict.NotRun, "application/toml or application/json")
+	f.handler.ServeHTTP(w, r)
+	expectAnswer(t, w, 415, verdict.NotRun, "application/toml or application/json")
 
 	r = httptest.NewRequest("GET", "/settings", nil)
 	r.Header.Set("Authorization", "Bearer ana-key")
 	r.Header.Set("Accept", "application/toml")
 	w = httptest.NewRecorder()
-	b.handler.ServeHTTP(w, r)
+	f.handler.ServeHTTP(w, r)
 	if got := w.Header().Get("Content-Type"); got != mediaTOML || !strings.Contains(w.Body.String(), "[models.bulletin]") {
 		t.Errorf("got %s %s", got, w.Body)
 	}
 }
 
-// An entry that is cut off may still hold the key of an operator who was
-// removed. Without its lease it lets nobody in, and says that nothing ran.
-func TestNobodyIsLetInWithoutLease(t *testing.T) {
-	b := ready(t)
-	b.lease.err = verdict.New(verdict.NotRun, 503, "no-lease", "the settings may be out of date").WithRetryAfter(time.Second)
-	w := b.send("PATCH", "/settings", "ana-key", "x", `"1"`, "priority = 1")
-	expect(t, w, 503, verdict.NotRun, "no-lease")
-	if w.Header().Get("Retry-After") != "1" || b.log.proposed != 1 {
-		t.Errorf("Retry-After %q, %d proposals", w.Header().Get("Retry-After"), b.log.proposed)
+// A partitioned entry may still hold the key of an operator who was removed.
+// Without its lease it refuses all operators, with the verdict not-run.
+func TestOperatorsAreRefusedWithoutLease(t *testing.T) {
+	f := newFixtureWithOperators(t)
+	f.lease.err = verdict.New(verdict.NotRun, 503, "no-lease", "the settings may be out of date").WithRetryAfter(time.Second)
+	w := f.send("PATCH", "/settings", "ana-key", "x", `"1"`, "priority = 1")
+	expectAnswer(t, w, 503, verdict.NotRun, "no-lease")
+	if w.Header().Get("Retry-After") != "1" || f.log.proposed != 1 {
+		t.Errorf("Retry-After %q, %d proposals", w.Header().Get("Retry-After"), f.log.proposed)
 	}
 }
 
 func TestWithoutQuorum(t *testing.T) {
-	b := ready(t)
-	b.log.down = verdict.New(verdict.NotRun, 503, "no-quorum", "no quorum answers")
-	expect(t, b.send("PATCH", "/settings", "ana-key", "x", `"1"`, "priority = 1"), 503, verdict.NotRun, "no-quorum")
-	expect(t, b.send("GET", "/settings", "ana-key", "", "", ""), 503, verdict.NotRun, "no-quorum")
-	b.log.down = context.DeadlineExceeded
-	expect(t, b.send("PATCH", "/settings", "ana-key", "x", `"1"`, "priority = 1"), 504, verdict.MayHaveRun, "outcome-unknown")
-	expect(t, b.send("GET", "/settings", "ana-key", "", "", ""), 503, verdict.NotRun, "no-answer")
+	f := newFixtureWithOperators(t)
+	f.log.failure = verdict.New(verdict.NotRun, 503, "no-quorum", "no quorum answers")
+	expectAnswer(t, f.send("PATCH", "/settings", "ana-key", "x", `"1"`, "priority = 1"), 503, verdict.NotRun, "no-quorum")
+	expectAnswer(t, f.send("GET", "/settings", "ana-key", "", "", ""), 503, verdict.NotRun, "no-quorum")
+	f.log.failure = context.DeadlineExceeded
+	expectAnswer(t, f.send("PATCH", "/settings", "ana-key", "x", `"1"`, "priority = 1"), 504, verdict.MayHaveRun, "outcome-unknown")
+	expectAnswer(t, f.send("GET", "/settings", "ana-key", "", "", ""), 503, verdict.NotRun, "no-answer")
 }
 
-// An accepted edit that is not in force everywhere when the wait ends must
-// neither read as failed nor as in force.
+// The response to an accepted edit that is not in force everywhere when the wait
+// ends must report neither a failure nor that it is in force.
 func TestAcceptedButNotYetInForce(t *testing.T) {
-	b := ready(t)
-	b.force.err = context.DeadlineExceeded
-	w := b.send("PATCH", "/settings?wait=in-force", "ana-key", "x", `"1"`, "priority = 1")
-	expect(t, w, 202, verdict.Ran, `"outcome": "accepted"`, `"in-force": false`)
+	f := newFixtureWithOperators(t)
+	f.force.err = context.DeadlineExceeded
+	w := f.send("PATCH", "/settings?wait=in-force", "ana-key", "x", `"1"`, "priority = 1")
+	expectAnswer(t, w, 202, verdict.Ran, `"outcome": "accepted"`, `"in-force": false`)
 }
 
 func FuzzEdit(f *testing.F) {
@@ -232,7 +231,7 @@
 	f.Add("DELETE", "models/bulletin", "")
 	f.Add("PATCH", "", "[workspaces.a.models.b]\nshare = nan")
 	f.Fuzz(func(t *testing.T, method, path, body string) {
-		b := ready(t)
+		entry := newFixtureWithOperators(t)
 		if method != "PUT" && method != "PATCH" && method != "DELETE" {
 			return
 		}
@@ -241,7 +240,7 @@
 				return
 			}
 		}
-		w := b.send(method, "/settings/"+path, "ana-key", "x", `"1"`, body)
+		w := entry.send(method, "/settings/"+path, "ana-key", "x", `"1"`, body)
 		if w.Code >= 500 {
 			t.Fatalf("%s %s %q: %d %s", method, path, body, w.Code, w.Body)
 		}
--- a/internal/entry/operator/read.go
+++ b/internal/entry/operator/read.go
@@ -12,33 +12,33 @@
 	"hornbeamwood/internal/settings/tree"
 )
 
-// query returns the section's answer, which holds all edits accepted before the call.
-func query[T any](r *http.Request, h *handler, q section.Query) (T, error) {
-	var none T
+// querySection queries the settings section. The answer reflects all edits accepted before the call.
+func querySection[T any](r *http.Request, h *handler, q section.Query) (T, error) {
+	var zero T
 	body, err := codec.Marshal(q)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), h.Timeout)
 	defer cancel()
 	answer, err := h.Log.Read(ctx, section.Name, body)
 	if err != nil {
-		return none, unread(err)
+		return zero, readError(err)
 	}
 	v, err := codec.Unmarshal[T](answer)
 	if err != nil {
-		return none, unread(err)
+		return zero, readError(err)
 	}
 	return v, nil
 }
 
-// unread returns err as an answer; a read changes nothing, so it never may have run.
-func unread(err error) error {
+// readError returns the error response for a failed read. A read changes nothing, so its verdict is always not-run.
+func readError(err error) error {
 	if v, ok := verdict.As(err); ok {
 		return v.WithVerdict(verdict.NotRun)
 	}
 	return verdict.New(verdict.NotRun, http.StatusServiceUnavailable, "no-answer", "the control log did not answer").
-		WithRetryAfter(retryUnknown).
+		WithRetryAfter(retryDelay).
 		WithCause(err)
 }
 
@@ -46,13 +46,13 @@
 	return verdict.New(verdict.NotRun, http.StatusNotFound, "no-branch", "the tree has no branch %s", p)
 }
 
-// branch shows a branch and those below it.
-func (h *handler) branch(w http.ResponseWriter, r *http.Request, _ string) error {
-	p, err := pathOf(r)
+// showBranch responds with a branch and its descendants.
+func (h *handler) showBranch(w http.ResponseWriter, r *http.Request, _ string) error {
+	p, err := parsePath(r)
 	if err != nil {
 		return err
 	}
-	d, err := query[section.Dump](r, h, section.Query{Kind: section.QueryBranch, Path: p})
+	d, err := querySection[section.Dump](r, h, section.Query{Kind: section.QueryBranch, Path: p})
 	if err != nil {
 		return err
 	}
@@ -73,13 +73,13 @@
 	return nil
 }
 
-// explain shows the effective values of a branch, with ?key= one of them.
+// explain responds with the effective values of a branch or, with ?key=, one of them.
 func (h *handler) explain(w http.ResponseWriter, r *http.Request, _ string) error {
-	p, err := pathOf(r)
+	p, err := parsePath(r)
 	if err != nil {
 		return err
 	}
-	x, err := query[section.Explanation](r, h, section.Query{Kind: section.QueryExplain, Path: p})
+	x, err := querySection[section.Explanation](r, h, section.Query{Kind: section.QueryExplain, Path: p})
 	if err != nil {
 		return err
 	}
@@ -88,15 +88,15 @@
 		return noBranch(p)
 	}
 	if key := r.URL.Query().Get("key"); key != "" {
-		if x.Values, err = only(x.Values, p, key); err != nil {
+		if x.Values, err = selectKey(x.Values, p, key); err != nil {
 			return err
 		}
 	}
 	return writeJSON(w, http.StatusOK, x)
 }
 
-// only returns the value under key.
-func only(all []section.EffectiveValue, p tree.Path, key string) ([]section.EffectiveValue, error) {
+// selectKey returns only the value of key.
+func selectKey(all []section.EffectiveValue, p tree.Path, key string) ([]section.EffectiveValue, error) {
 	for _, v := range all {
 		if v.Key == key {
 			return []section.EffectiveValue{v}, nil
@@ -106,18 +106,18 @@
 	return nil, verdict.New(verdict.NotRun, http.StatusNotFound, "no-setting", "%s: %v", tree.Label(p, key), err)
 }
 
-// history shows the audit trail, newest first.
+// history responds with the audit trail, newest first.
 func (h *handler) history(w http.ResponseWriter, r *http.Request, _ string) error {
-	to, err := number(r, "to")
+	to, err := uintParameter(r, "to")
 	if err != nil {
 		return err
 	}
-	limit, err := number(r, "limit")
+	limit, err := uintParameter(r, "limit")
 	if err != nil {
 		return err
 	}
 	q := section.Query{Kind: section.QueryHistory, To: to, Limit: int(min(limit, 1<<16))}
-	trail, err := query[section.History](r, h, q)
+	trail, err := querySection[section.History](r, h, q)
 	if err != nil {
 		return err
 	}
@@ -125,17 +125,17 @@
 	return writeJSON(w, http.StatusOK, trail)
 }
 
-// diff shows the net differences between two revisions.
+// diff responds with the net differences between two revisions.
 func (h *handler) diff(w http.ResponseWriter, r *http.Request, _ string) error {
-	from, err := number(r, "from")
+	from, err := uintParameter(r, "from")
 	if err != nil {
 		return err
 	}
-	to, err := number(r, "to")
+	to, err := uintParameter(r, "to")
 	if err != nil {
 		return err
 	}
-	d, err := query[section.Diff](r, h, section.Query{Kind: section.QueryDiff, From: from, To: to})
+	d, err := querySection[section.Diff](r, h, section.Query{Kind: section.QueryDiff, From: from, To: to})
 	if err != nil {
 		return err
 	}
@@ -146,8 +146,8 @@
 	return writeJSON(w, http.StatusOK, d)
 }
 
-// number returns a parameter of the URL, 0 when it is missing.
-func number(r *http.Request, name string) (uint64, error) {
+// uintParameter returns a query parameter as an unsigned integer, 0 when it is missing.
+func uintParameter(r *http.Request, name string) (uint64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
 		return 0, nil
