--- a/internal/entry/backend/engine.go
+++ b/internal/entry/backend/engine.go
@@ -140,5 +140,5 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("backend: piece %s at %s was not asked for", r.Key, r.Store)
+	return fmt.Errorf("backend: piece %s at %s was not requested", r.Key, r.Store)
 }
--- a/internal/entry/backend/handler.go
+++ b/internal/entry/backend/handler.go
@@ -22,7 +22,7 @@
 // NewHandler returns the handler of POST /fleet/announcements and POST /fleet/cache-events.
 func NewHandler(c HandlerConfig) (http.Handler, error) {
 	if c.Table == nil || c.Leavers == nil || c.CacheReports == nil || c.KeyDigests == nil || c.Now == nil {
-		return nil, fmt.Errorf("backend: the handler's configuration is not complete")
+		return nil, fmt.Errorf("backend: the configuration of the handler is incomplete")
 	}
 	h := &handler{config: c}
 	m := http.NewServeMux()
