--- a/internal/entry/quarantine/actions.go
+++ b/internal/entry/quarantine/actions.go
@@ -11,12 +11,12 @@
 	"hornbeamwood/internal/policy/suspicion"
 )
 
-// maxBody bounds an operator's statement.
+// maxBody is the maximum size of a request body in bytes.
 const maxBody = 4 << 10
 
 // Clearance is the body of POST /quarantine/clear.
 type Clearance struct {
-	// Fingerprint is the request's, as GET /quarantine lists it.
+	// Fingerprint identifies the request, as listed by GET /quarantine.
 	Fingerprint string `json:"fingerprint"`
 }
 
@@ -24,7 +24,7 @@
 	log Log
 }
 
-// Actions returns the operators' requests GET /quarantine and POST /quarantine/clear.
+// Actions returns the operator requests GET /quarantine and POST /quarantine/clear.
 func Actions(l Log) []operator.Action {
 	a := &actions{log: l}
 	return []operator.Action{
--- a/internal/entry/quarantine/config.go
+++ b/internal/entry/quarantine/config.go
@@ -14,47 +14,47 @@
 const (
 	defaultInterval = time.Second
 	defaultLease    = 2 * time.Minute
-	defaultLimit    = 2
+	defaultServers  = 2
 	defaultWindow   = 10 * time.Minute
 	logTimeout      = 2 * time.Second
 	attemptBytes    = 16
-	// maxNames bounds what is remembered of whose requests run.
-	maxNames = 8192
+	// maxOwners bounds the number of recorded request owners.
+	maxOwners = 8192
 )
 
 // Log is the control log.
 type Log interface {
-	// Propose commits a section's command and returns its result.
+	// Propose commits a command to a section and returns its result.
 	Propose(ctx context.Context, section string, body []byte) ([]byte, error)
 	// Read answers a section's query.
 	Read(ctx context.Context, section string, body []byte) ([]byte, error)
 }
 
-// Limits are the fleet's rules for quarantine.
+// Limits are the fleet-wide thresholds for quarantine.
 type Limits struct {
-	// Servers is the number of different servers lost that quarantines; default 2.
+	// Servers is the number of distinct lost servers that quarantines a request; default 2.
 	Servers int
-	// Window is the time within which losses count; default 10 min.
+	// Window is the time window in which losses are counted; default 10 min.
 	Window time.Duration
 }
 
-// Config holds what a Guard needs.
+// Config configures a Guard.
 type Config struct {
 	// Log is the control log.
 	Log Log
-	// Limits returns the rules in force.
+	// Limits returns the limits in force.
 	Limits func() Limits
 	// Incarnation returns a server's last known incarnation; nil means 0 for all.
 	Incarnation func(server string) uint64
-	// Tell tells the other entries of a suspect and returns when they know; nil tells nobody.
+	// Tell reports a suspect to the other entries and returns once they have received the report; nil disables it.
 	Tell func(ctx context.Context, f completion.Fingerprint)
-	// Interval is the time between two looks at the record; default 1 s.
+	// Interval is the polling interval of the quarantine record; default 1 s.
 	Interval time.Duration
-	// Lease bounds how long a suspect holds its slot when this entry dies; default 2 min.
+	// Lease is how long a suspect's slot stays held after this entry crashes; default 2 min.
 	Lease time.Duration
-	// NewAttempt returns an id that is unique for ever; default 128 random bits.
+	// NewAttempt returns a globally unique ID that is never reused; default 128 random bits.
 	NewAttempt func() string
-	// Logger gets the events; nil logs nothing.
+	// Logger receives events; nil disables logging.
 	Logger log.Interface
 }
 
@@ -80,11 +80,11 @@
 	return c
 }
 
-// limits returns the rules in force with their defaults.
+// limits returns the limits in force with defaults applied.
 func (c Config) limits() Limits {
 	l := c.Limits()
 	if l.Servers <= 0 {
-		l.Servers = defaultLimit
+		l.Servers = defaultServers
 	}
 	if l.Window <= 0 {
 		l.Window = defaultWindow
--- a/internal/entry/quarantine/doc.go
+++ b/internal/entry/quarantine/doc.go
@@ -1,6 +1,6 @@
-// Package quarantine keeps requests that crash their servers from running, by
-// the fleet's record in the control log.
+// Package quarantine prevents requests that crash their servers from running,
+// based on the fleet-wide quarantine record in the control log.
 //
-// An entry follows the record, reports the servers that were lost under its
-// requests, and asks for a slot before it runs a suspect.
+// An entry polls the record, reports servers that were lost while they ran its
+// requests, and acquires a slot before it runs a suspect.
 package quarantine
--- a/internal/entry/quarantine/guard.go
+++ b/internal/entry/quarantine/guard.go
@@ -15,16 +15,16 @@
 	"hornbeamwood/internal/policy/suspicion"
 )
 
-// Guard follows the fleet's record; it is a completion.Guard.
+// Guard is a completion.Guard that follows the fleet-wide quarantine record.
 type Guard interface {
 	completion.Guard
-	// Name notes whose request a fingerprint is, for the operators' list.
+	// Name records the workspace and model of a fingerprint, for the list shown to operators.
 	Name(f completion.Fingerprint, workspace, model string)
-	// Suspect takes in what another entry tells.
+	// Suspect marks a fingerprint as suspect that another entry reported.
 	Suspect(f completion.Fingerprint)
 	// Quarantined returns the number of quarantined requests.
 	Quarantined() int
-	// Close ends the goroutine that follows the record.
+	// Close stops the goroutine that polls the record.
 	Close()
 }
 
@@ -32,25 +32,25 @@
 	Config
 	mu     sync.Mutex
 	view   suspicion.View
-	book   book
-	names  map[completion.Fingerprint]section.Running
+	local  localRuns
+	owners map[completion.Fingerprint]section.Running
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
-// New returns a Guard that follows the record until it is closed.
+// New returns a Guard that polls the record until it is closed.
 func New(c Config) Guard {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &guard{
 		Config: c.withDefaults(),
-		book:   newBook(),
-		names:  map[completion.Fingerprint]section.Running{},
+		local:  newLocalRuns(),
+		owners: map[completion.Fingerprint]section.Running{},
 		cancel: cancel,
 		done:   make(chan struct{}),
 	}
 	go func() {
 		defer close(g.done)
-		g.follow(ctx)
+		g.poll(ctx)
 	}()
 	return g
 }
@@ -65,10 +65,10 @@
 func (g *guard) Name(f completion.Fingerprint, workspace, model string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.names) >= maxNames {
-		clear(g.names)
+	if len(g.owners) >= maxOwners {
+		clear(g.owners)
 	}
-	g.names[f] = section.Running{Fingerprint: suspicion.Fingerprint(f), Workspace: workspace, Model: model}
+	g.owners[f] = section.Running{Fingerprint: suspicion.Fingerprint(f), Workspace: workspace, Model: model}
 }
 
 // Quarantined implements Guard.
@@ -78,26 +78,26 @@
 	return g.view.Quarantined()
 }
 
-// Check implements completion.Guard. A refusal is final and comes at once: a
-// caller that is held back sends the request a second time elsewhere.
+// Check implements completion.Guard. A refusal is final and immediate: a caller
+// whose request is delayed would send it a second time through another entry.
 func (g *guard) Check(now time.Time, f completion.Fingerprint) error {
 	g.mu.Lock()
 	d := g.view.Decide(suspicion.Fingerprint(f))
-	attempt, free := g.book.take(now, f, d.Standing, g.NewAttempt)
+	attempt, free := g.local.claimSlot(now, f, d.Standing, g.NewAttempt)
 	g.mu.Unlock()
 	switch {
 	case d.Standing == suspicion.Quarantined:
-		return g.refuse(f, d.RetryAfter)
+		return g.quarantineRefusal(f, d.RetryAfter)
 	case d.Standing == suspicion.Clear:
 		return nil
 	case !free:
-		return busy(time.Second, nil)
+		return suspectRefusal(time.Second, nil)
 	default:
-		return g.probe(f, attempt)
+		return g.acquireSlot(f, attempt)
 	}
 }
 
-func (g *guard) refuse(f completion.Fingerprint, after time.Duration) error {
+func (g *guard) quarantineRefusal(f completion.Fingerprint, after time.Duration) error {
 	event.RequestQuarantined.Write(g.Logger, log.Fields{"fingerprint": suspicion.Fingerprint(f).String()})
 	return verdict.New(verdict.NotRun, http.StatusServiceUnavailable, "request-quarantined",
 		"servers were lost while they ran this request; it is not run until an operator clears it").WithRetryAfter(after)
@@ -107,14 +107,14 @@
 func (g *guard) Started(_ time.Time, f completion.Fingerprint, server string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.book.start(f, server)
+	g.local.startRun(f, server)
 }
 
 // Alone implements completion.Guard.
 func (g *guard) Alone(_ time.Time, server string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.book.suspects[server] > 0
+	return g.local.suspects[server] > 0
 }
 
 // Suspect implements Guard.
@@ -126,30 +126,31 @@
 
 // Ended implements completion.Guard.
 //
-// A loss counts in the fleet when the log has it, and the other entries look
-// there once a second. A caller that sends the request again through each of
-// them would be faster and lose one more server at each; so they are told
-// before the caller gets its answer, and ask the log before they run it.
+// A loss counts fleet-wide once it is committed to the log, which the other
+// entries poll once a second. A caller that retries the request through each of
+// them could be faster, and each retry would lose another server. The other
+// entries are therefore notified before the caller receives its answer, and they
+// acquire a slot from the log before they run the request.
 func (g *guard) Ended(ctx context.Context, _ time.Time, f completion.Fingerprint, server string, lost bool) {
 	g.mu.Lock()
-	attempt, held := g.book.end(f, server)
+	attempt, held := g.local.endRun(f, server)
 	if lost {
 		g.view = g.view.WithSuspect(suspicion.Fingerprint(f))
 	}
-	who := g.whose(f)
+	owner := g.ownerOf(f)
 	g.mu.Unlock()
 	if lost {
 		g.Tell(ctx, f)
-		g.report(ctx, server, who)
+		g.reportLoss(ctx, server, owner)
 	}
 	if held {
-		g.finish(ctx, f, attempt, !lost)
+		g.releaseSlot(ctx, f, attempt, !lost)
 	}
 }
 
-// whose returns the request of a fingerprint with what is known of it.
-func (g *guard) whose(f completion.Fingerprint) section.Running {
-	if r, ok := g.names[f]; ok {
+// ownerOf returns the request of a fingerprint, with its workspace and model if they are recorded.
+func (g *guard) ownerOf(f completion.Fingerprint) section.Running {
+	if r, ok := g.owners[f]; ok {
 		return r
 	}
 	return section.Running{Fingerprint: suspicion.Fingerprint(f)}
--- a/internal/entry/quarantine/guard_test.go
+++ b/internal/entry/quarantine/guard_test.go
@@ -18,7 +18,7 @@
 	"hornbeamwood/internal/entry/completion"
 )
 
-// sectionLog is a log of one replica that commits at once.
+// sectionLog is a control log with a single replica that commits immediately.
 type sectionLog struct {
 	mu      sync.Mutex
 	section state.Section
@@ -42,8 +42,8 @@
 	return l.section.Query(body)
 }
 
-// entries returns n guards that look at the record only when a test makes them.
-func entries(t *testing.T, l *sectionLog, n int) []*guard {
+// newGuards returns n guards that refresh their view only when a test calls refresh.
+func newGuards(t *testing.T, l *sectionLog, n int) []*guard {
 	var all []*guard
 	for range n {
 		g := New(Config{Log: l, Interval: time.Hour}).(*guard)
@@ -53,8 +53,8 @@
 	return all
 }
 
-// run sends one request through an entry to a server and returns its refusal.
-func run(g *guard, f completion.Fingerprint, server string, lost bool) error {
+// runRequest sends one request through an entry to a server and returns the refusal, if any.
+func runRequest(g *guard, f completion.Fingerprint, server string, lost bool) error {
 	now := time.Unix(1_800_000_000, 0)
 	if err := g.Check(now, f); err != nil {
 		return err
@@ -64,19 +64,19 @@
 	return nil
 }
 
-// A prompt crashes each server that runs it, and its caller sends it through
-// every entry in turn. Two servers are lost, then every entry refuses at once
-// and says when to come back; another prompt of the same workspace is served.
+// A prompt crashes every server that runs it, and its caller sends it through
+// every entry in turn. After two lost servers every entry refuses the request
+// immediately with a Retry-After. Other prompts of the same workspace are served.
 func TestCulpritSentThroughEveryEntryCostsTwoServers(t *testing.T) {
 	log := newSectionLog()
-	all := entries(t, log, 6)
+	all := newGuards(t, log, 6)
 	culprit := completion.FingerprintOf("w", "m", []byte("crash"))
 	all[0].Name(culprit, "w", "m")
 	lost := 0
 	for n := range 30 {
 		g := all[n%len(all)]
-		g.look(context.Background())
-		err := run(g, culprit, fmt.Sprint("s", n), true)
+		g.refresh(context.Background())
+		err := runRequest(g, culprit, fmt.Sprint("s", n), true)
 		if err == nil {
 			lost++
 			continue
@@ -89,54 +89,54 @@
 		t.Errorf("%d servers were lost", lost)
 	}
 	for _, g := range all {
-		g.look(context.Background())
+		g.refresh(context.Background())
 		if g.Quarantined() != 1 {
-			t.Error("an entry doesn't know of the quarantine")
+			t.Error("an entry does not list the quarantined request")
 		}
-		if err := run(g, completion.FingerprintOf("w", "m", []byte("good")), "s", false); err != nil {
+		if err := runRequest(g, completion.FingerprintOf("w", "m", []byte("good")), "s", false); err != nil {
 			t.Errorf("another prompt: %v", err)
 		}
 	}
 }
 
-// A suspect runs once at a time in the whole fleet, its server gets nothing
-// else from this entry meanwhile, and its end without a loss clears it.
+// A suspect runs at most once at a time in the whole fleet, its server receives no
+// other work from this entry meanwhile, and a run without a loss clears it.
 func TestSuspectRunsAlone(t *testing.T) {
-	all := entries(t, newSectionLog(), 2)
+	all := newGuards(t, newSectionLog(), 2)
 	f := completion.FingerprintOf("w", "m", []byte("x"))
-	if err := run(all[0], f, "a", true); err != nil {
+	if err := runRequest(all[0], f, "a", true); err != nil {
 		t.Fatal(err)
 	}
-	all[1].look(context.Background())
+	all[1].refresh(context.Background())
 	now := time.Time{}
 	if err := all[1].Check(now, f); err != nil {
 		t.Fatal(err)
 	}
 	if e, ok := verdict.As(all[1].Check(now, f)); !ok || e.Code != "request-suspect" {
-		t.Errorf("it ran twice at once in one entry: %v", e)
+		t.Errorf("it ran twice concurrently in one entry: %v", e)
 	}
 	all[1].Started(now, f, "b")
 	if !all[1].Alone(now, "b") || all[1].Alone(now, "a") {
-		t.Error("the suspect's server takes other work")
+		t.Error("the guard does not isolate exactly the suspect's server")
 	}
 	if e, ok := verdict.As(all[0].Check(now, f)); !ok || e.Code != "request-suspect" || e.RetryAfter == 0 || e.Verdict != verdict.NotRun {
-		t.Errorf("it ran twice at once: %v", e)
+		t.Errorf("it ran twice concurrently: %v", e)
 	}
 	all[1].Ended(context.Background(), now, f, "b", false)
-	all[0].look(context.Background())
-	if err := run(all[0], f, "c", false); err != nil || all[1].Alone(now, "b") {
-		t.Errorf("after its whole answer: %v", err)
+	all[0].refresh(context.Background())
+	if err := runRequest(all[0], f, "c", false); err != nil || all[1].Alone(now, "b") {
+		t.Errorf("after a run without a loss: %v", err)
 	}
 }
 
 // An operator lists the quarantined requests of a workspace and clears one.
 func TestOperatorListsAndClears(t *testing.T) {
 	log := newSectionLog()
-	g := entries(t, log, 1)[0]
+	g := newGuards(t, log, 1)[0]
 	f := completion.FingerprintOf("w", "m", []byte("x"))
 	g.Name(f, "w", "m")
 	for _, s := range []string{"a", "b"} {
-		if err := run(g, f, s, true); err != nil {
+		if err := runRequest(g, f, s, true); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -157,8 +157,8 @@
 	if err := a.clear(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/quarantine/clear", strings.NewReader(body)), "o"); err != nil {
 		t.Fatal(err)
 	}
-	g.look(context.Background())
-	if err := run(g, f, "c", false); err != nil {
+	g.refresh(context.Background())
+	if err := runRequest(g, f, "c", false); err != nil {
 		t.Errorf("after the clearance: %v", err)
 	}
 }
--- a/internal/entry/quarantine/log.go
+++ b/internal/entry/quarantine/log.go
@@ -15,12 +15,12 @@
 	"hornbeamwood/internal/policy/suspicion"
 )
 
-// follow looks at the record at each interval until ctx ends.
-func (g *guard) follow(ctx context.Context) {
+// poll refreshes the view of the record at each interval until ctx ends.
+func (g *guard) poll(ctx context.Context) {
 	t := time.NewTicker(g.Interval)
 	defer t.Stop()
 	for {
-		g.look(ctx)
+		g.refresh(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -29,9 +29,9 @@
 	}
 }
 
-// look takes in what is newer than the view. When the log doesn't answer the
-// view stays as it is: forgetting it would let the next crash happen.
-func (g *guard) look(ctx context.Context) {
+// refresh applies changes newer than the view. When the log doesn't answer, the
+// view is kept: without it the next crash would not be prevented.
+func (g *guard) refresh(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, logTimeout)
 	defer cancel()
 	g.mu.Lock()
@@ -70,63 +70,63 @@
 	return codec.Unmarshal[section.Result](b)
 }
 
-// probe asks for the suspect's slot. Without the log's word a suspect isn't
-// run: two entries that probe it at once would lose two servers for one test.
-func (g *guard) probe(f completion.Fingerprint, attempt string) error {
+// acquireSlot requests the suspect's slot from the log. A suspect does not run without
+// it: two entries that ran the suspect concurrently would lose two servers for one probe.
+func (g *guard) acquireSlot(f completion.Fingerprint, attempt string) error {
 	r, err := g.propose(context.Background(), section.Command{Begin: &section.Begin{
-		Fingerprint: suspicion.Fingerprint(f), Server: slotOf(f), Attempt: attempt, Lease: g.Lease,
+		Fingerprint: suspicion.Fingerprint(f), Server: slotName(f), Attempt: attempt, Lease: g.Lease,
 	}})
 	if err == nil && r.Granted {
 		return nil
 	}
 	g.mu.Lock()
-	g.book.drop(f, attempt)
+	g.local.unclaimSlot(f, attempt)
 	g.mu.Unlock()
 	if err == nil && r.Standing == suspicion.Quarantined {
-		g.look(context.Background())
-		return g.refuse(f, g.retry(f))
+		g.refresh(context.Background())
+		return g.quarantineRefusal(f, g.retryAfter(f))
 	}
-	return busy(r.RetryAfter, err)
+	return suspectRefusal(r.RetryAfter, err)
 }
 
-func (g *guard) retry(f completion.Fingerprint) time.Duration {
+func (g *guard) retryAfter(f completion.Fingerprint) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return max(g.view.Decide(suspicion.Fingerprint(f)).RetryAfter, time.Second)
 }
 
-// slotOf returns the name of a suspect's own slot; which server runs it is
-// chosen later, and this entry keeps other work away from that server.
-func slotOf(f completion.Fingerprint) string {
+// slotName returns the name of a suspect's own slot. The server is chosen later,
+// and this entry sends no other work to that server.
+func slotName(f completion.Fingerprint) string {
 	return "request/" + suspicion.Fingerprint(f).String()
 }
 
-func busy(after time.Duration, cause error) error {
+func suspectRefusal(after time.Duration, cause error) error {
 	return verdict.New(verdict.NotRun, http.StatusServiceUnavailable, "request-suspect",
 		"a server was lost while it ran this request; it is run one at a time until it is cleared").
 		WithRetryAfter(max(after, time.Second)).WithCause(cause)
 }
 
-// report tells the fleet of a lost server.
-func (g *guard) report(ctx context.Context, server string, who section.Running) {
+// reportLoss reports a lost server to the quarantine record.
+func (g *guard) reportLoss(ctx context.Context, server string, owner section.Running) {
 	l := g.limits()
 	r, err := g.propose(ctx, section.Command{Lost: &section.Lost{
-		Server: server, Incarnation: g.Incarnation(server), Running: []section.Running{who},
+		Server: server, Incarnation: g.Incarnation(server), Running: []section.Running{owner},
 		Servers: l.Servers, Window: l.Window,
 	}})
-	f := log.Fields{"server": server, "workspace": who.Workspace, "fingerprint": who.Fingerprint.String()}
+	f := log.Fields{"server": server, "workspace": owner.Workspace, "fingerprint": owner.Fingerprint.String()}
 	if err != nil {
 		f["cause"] = err.Error()
 	}
 	event.ServerLostUnder.Write(g.Logger, f)
 	if err == nil && len(r.Changes) > 0 {
-		g.look(ctx)
+		g.refresh(ctx)
 	}
 }
 
-// finish gives a suspect's slot back and takes in what the log says of it; a
-// suspect that only this entry knew of, because its report failed, is cleared here.
-func (g *guard) finish(ctx context.Context, f completion.Fingerprint, attempt string, whole bool) {
+// releaseSlot releases a suspect's slot and applies the standing that the log returns. This
+// also clears a suspect that only this entry knows of, because its loss report failed.
+func (g *guard) releaseSlot(ctx context.Context, f completion.Fingerprint, attempt string, whole bool) {
 	r, err := g.propose(ctx, section.Command{Finish: &section.Finish{
 		Fingerprint: suspicion.Fingerprint(f), Attempt: attempt, Whole: whole,
 	}})
@@ -137,5 +137,5 @@
 	now := suspicion.Change{Fingerprint: suspicion.Fingerprint(f), Standing: r.Standing}
 	g.view = g.view.With(g.view.Version(), []suspicion.Change{now}, false)
 	g.mu.Unlock()
-	g.look(ctx)
+	g.refresh(ctx)
 }
