--- a/internal/entry/settings/config.go
+++ b/internal/entry/settings/config.go
@@ -14,32 +14,32 @@
 
 // Log is the control log.
 type Log interface {
-	// ReadAll answers queries from one state and renews the settings lease of the entry that r speaks for.
+	// ReadAll answers queries from one state and renews the settings lease of the entry that sends r.
 	ReadAll(ctx context.Context, r *protocol.Report, queries ...state.Query) (protocol.Answers, error)
 	// InForce returns whether a settings revision is in force everywhere.
 	InForce(ctx context.Context, revision uint64) (lease.Force, error)
 }
 
-// Feed is a part of the replicated state that an entry follows beside the settings.
+// Feed is a part of the replicated state that an entry follows in addition to the settings.
 type Feed interface {
-	// Query returns what is asked for.
+	// Query returns the query for the newest changes.
 	Query() (state.Query, error)
-	// Take takes the answer.
-	Take(answer []byte) error
+	// Apply applies the answer to the query.
+	Apply(answer []byte) error
 }
 
-// Config is what a Keeper needs.
+// Config configures a Keeper.
 type Config struct {
 	// Log is the control log.
 	Log Log
-	// Holder is this entry.
+	// Holder identifies this entry as a lease holder.
 	Holder lease.Holder
-	// Follower is the entry's copy of the tree.
+	// Follower is the entry's copy of the settings tree.
 	Follower follower.Follower
-	// Feeds are followed with the settings.
+	// Feeds are updated along with the settings.
 	Feeds []Feed
 	// Now returns the local time with its monotonic reading.
 	Now func() time.Time
-	// Logger takes the events.
+	// Logger receives events.
 	Logger log.Interface
 }
