--- a/internal/entry/control/client.go
+++ b/internal/entry/control/client.go
@@ -19,31 +19,31 @@
 const (
 	// defaultTimeout bounds a call whose context has no deadline.
 	defaultTimeout = 5 * time.Second
-	// readTimeout bounds one try of a read with a small answer; a frozen replica costs no more than this.
+	// readTimeout bounds one attempt of a read with a small answer, and so the delay that a suspended replica causes.
 	readTimeout = 700 * time.Millisecond
-	// answerTimeout bounds one try of a read whose answer may be large, beside protocol.ReadIdle.
-	answerTimeout = 20 * time.Second
-	// proposeTimeout bounds one try of a proposal; past it the commit is unknown.
+	// largeReadTimeout bounds one attempt of a read whose answer may be large, in addition to protocol.ReadIdle.
+	largeReadTimeout = 20 * time.Second
+	// proposeTimeout bounds one attempt of a proposal; after it the outcome of the commit is unknown.
 	proposeTimeout = 2 * time.Second
-	// roundPause is waited after every replica refused.
-	roundPause = 30 * time.Millisecond
+	// roundBackoff is the delay after a call has failed at every replica.
+	roundBackoff = 30 * time.Millisecond
 )
 
-// Config is what a Client needs.
+// Config configures a Client.
 type Config struct {
-	// Node makes the calls.
+	// Node sends the RPCs.
 	Node rpc.Node
 	// Replicas are the addresses of the control replicas.
 	Replicas []string
 }
 
-// Client proposes commands to the control log and reads from it through whichever replica answers.
+// Client proposes commands to the control log and reads from it, through any replica that answers.
 type Client interface {
-	// Propose commits a section's command and returns its result; a failure is a verdict.Error.
+	// Propose commits a command to a section and returns its result. A failure is a verdict.Error.
 	Propose(ctx context.Context, section string, body []byte) ([]byte, error)
-	// Read answers one section's query from a state that is no older than the call.
+	// Read answers a query of one section from a state that is no older than the call.
 	Read(ctx context.Context, section string, body []byte) ([]byte, error)
-	// ReadAll answers several queries from one state and renews the settings lease of the entry that r speaks for, if any.
+	// ReadAll answers several queries from one state and, if r is not nil, renews the settings lease of the entry that sends r.
 	ReadAll(ctx context.Context, r *protocol.Report, queries ...state.Query) (protocol.Answers, error)
 	// InForce returns whether a settings revision is in force everywhere.
 	InForce(ctx context.Context, revision uint64) (lease.Force, error)
@@ -65,11 +65,11 @@
 
 // Propose implements Client.
 //
-// Only a failure that proves that nothing was appended lets the next replica
-// be tried: a second proposal of a command that is on its way would apply twice.
+// The next replica is attempts only after a failure that proves that nothing was
+// appended. Otherwise a command that is still in flight could be applied twice.
 func (c *client) Propose(ctx context.Context, section string, body []byte) ([]byte, error) {
 	p := protocol.Proposal{Section: section, Body: body}
-	a, err := try(ctx, c, proposeTimeout, onlyNotRun, func(ctx context.Context, address string) (protocol.Applied, error) {
+	a, err := callReplicas(ctx, c, proposeTimeout, retryIfNotRun, func(ctx context.Context, address string) (protocol.Applied, error) {
 		return rpc.Call(ctx, c.config.Node, address, protocol.Propose, p)
 	})
 	return a.Result, err
@@ -87,7 +87,7 @@
 // ReadAll implements Client.
 func (c *client) ReadAll(ctx context.Context, r *protocol.Report, queries ...state.Query) (protocol.Answers, error) {
 	q := protocol.Reading{Queries: queries, Report: r}
-	a, err := try(ctx, c, answerTimeout, always, func(ctx context.Context, address string) (protocol.Answers, error) {
+	a, err := callReplicas(ctx, c, largeReadTimeout, retryAlways, func(ctx context.Context, address string) (protocol.Answers, error) {
 		return rpc.Call(ctx, c.config.Node, address, protocol.Read, q)
 	})
 	if err == nil && len(a.Bodies) != len(queries) {
@@ -98,14 +98,14 @@
 
 // InForce implements Client.
 func (c *client) InForce(ctx context.Context, revision uint64) (lease.Force, error) {
-	return try(ctx, c, readTimeout, always, func(ctx context.Context, address string) (lease.Force, error) {
+	return callReplicas(ctx, c, readTimeout, retryAlways, func(ctx context.Context, address string) (lease.Force, error) {
 		return rpc.Call(ctx, c.config.Node, address, protocol.InForce, protocol.InForceQuery{Revision: revision})
 	})
 }
 
 // Holders implements Client.
 func (c *client) Holders(ctx context.Context) ([]protocol.HolderRevision, error) {
-	l, err := try(ctx, c, readTimeout, always, func(ctx context.Context, address string) (protocol.HolderList, error) {
+	l, err := callReplicas(ctx, c, readTimeout, retryAlways, func(ctx context.Context, address string) (protocol.HolderList, error) {
 		return rpc.Call(ctx, c.config.Node, address, protocol.Holders, protocol.Empty{})
 	})
 	return l.Holders, err
@@ -116,10 +116,10 @@
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	var mu sync.Mutex
-	var asked sync.WaitGroup
+	var calls sync.WaitGroup
 	all := make(map[string]replica.Status)
 	for _, a := range c.config.Replicas {
-		asked.Go(func() {
+		calls.Go(func() {
 			s, err := rpc.Call(ctx, c.config.Node, a, protocol.Status, protocol.Empty{})
 			if err != nil {
 				return
@@ -129,16 +129,16 @@
 			all[a] = s
 		})
 	}
-	asked.Wait()
+	calls.Wait()
 	return all
 }
 
-func onlyNotRun(err error) bool { return verdict.Of(err) == verdict.NotRun }
+func retryIfNotRun(err error) bool { return verdict.Of(err) == verdict.NotRun }
 
-func always(error) bool { return true }
+func retryAlways(error) bool { return true }
 
-// try calls replica after replica until one answers, a failure forbids another try, or ctx ends.
-func try[R any](ctx context.Context, c *client, timeout time.Duration, again func(error) bool, call func(context.Context, string) (R, error)) (R, error) {
+// callReplicas calls one replica after the other until one answers, a failure is not retryable, or ctx ends.
+func callReplicas[R any](ctx context.Context, c *client, timeout time.Duration, retryable func(error) bool, call func(context.Context, string) (R, error)) (R, error) {
 	var zero R
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
@@ -149,26 +149,26 @@
 	if n == 0 {
 		return zero, verdict.New(verdict.NotRun, http.StatusServiceUnavailable, "no-control", "no control replica is configured")
 	}
-	for tried := uint64(1); ; tried++ {
-		at := c.current.Load()
-		r, err := once(ctx, timeout, c.config.Replicas[at%n], call)
+	for attempts := uint64(1); ; attempts++ {
+		current := c.current.Load()
+		r, err := callWithTimeout(ctx, timeout, c.config.Replicas[current%n], call)
 		if err == nil {
 			return r, nil
 		}
-		if !again(err) || ctx.Err() != nil {
+		if !retryable(err) || ctx.Err() != nil {
 			return zero, err
 		}
-		c.current.CompareAndSwap(at, at+1)
-		if tried%n != 0 {
+		c.current.CompareAndSwap(current, current+1)
+		if attempts%n != 0 {
 			continue
 		}
-		if !wait.For(ctx, roundPause) {
+		if !wait.For(ctx, roundBackoff) {
 			return zero, err
 		}
 	}
 }
 
-func once[R any](ctx context.Context, timeout time.Duration, address string, call func(context.Context, string) (R, error)) (R, error) {
+func callWithTimeout[R any](ctx context.Context, timeout time.Duration, address string, call func(context.Context, string) (R, error)) (R, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return call(ctx, address)
--- a/internal/entry/control/narrow_link_test.go
+++ b/internal/entry/control/slow_link_test.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	linkRate  = 10_000_000 / 8 // bytes a second of a link of 10 Mbit/s
-	linkQueue = 256            // packets that wait for the link; more are lost
+	linkRate  = 10_000_000 / 8 // bytes per second of a link of 10 Mbit/s
+	linkQueue = 256            // packets queued for the link; further packets are dropped
 )
 
 func openNode(t *testing.T, role keys.Role) rpc.Node {
@@ -31,20 +31,20 @@
 	return n
 }
 
-// narrowLink returns an address behind which the server is reached by one peer, whose answers pass at linkRate.
-func narrowLink(t *testing.T, server string) string {
+// slowLink returns the address of a proxy to the server for one peer. The proxy forwards answers at linkRate.
+func slowLink(t *testing.T, server string) string {
 	t.Helper()
-	near, err := net.ListenPacket("udp", "127.0.0.1:0")
+	local, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	far, err := net.Dial("udp", server)
+	remote, err := net.Dial("udp", server)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = near.Close()
-		_ = far.Close()
+		_ = local.Close()
+		_ = remote.Close()
 	})
 	type packet struct {
 		bytes []byte
@@ -55,7 +55,7 @@
 	go func() {
 		buffer := make([]byte, 64<<10)
 		for {
-			n, from, err := near.ReadFrom(buffer)
+			n, from, err := local.ReadFrom(buffer)
 			if err != nil {
 				return
 			}
@@ -63,7 +63,7 @@
 			case peers <- from:
 			default:
 			}
-			_, _ = far.Write(buffer[:n])
+			_, _ = remote.Write(buffer[:n])
 		}
 	}()
 	go func() {
@@ -71,7 +71,7 @@
 		buffer := make([]byte, 64<<10)
 		peer := <-peers
 		for {
-			n, err := far.Read(buffer)
+			n, err := remote.Read(buffer)
 			if err != nil {
 				return
 			}
@@ -89,20 +89,21 @@
 			}
 			free = free.Add(time.Duration(len(p.bytes)) * time.Second / linkRate)
 			time.Sleep(time.Until(free))
-			_, _ = near.WriteTo(p.bytes, p.to)
+			_, _ = local.WriteTo(p.bytes, p.to)
 		}
 	}()
-	return near.LocalAddr().String()
+	return local.LocalAddr().String()
 }
 
-// A settings tree of megabytes takes an entry's link for longer than one try may
-// last. Given up and begun anew each time it never comes, and the entry serves nobody.
-func TestLargeAnswerComesThroughANarrowLink(t *testing.T) {
+// The transfer of a settings tree of several megabytes over an entry's link takes longer
+// than the timeout of a small read. If each attempt timed out and started over, the tree
+// would never arrive and the entry would serve no requests.
+func TestLargeAnswerArrivesOverASlowLink(t *testing.T) {
 	const size = 2 << 20
 	server := openNode(t, keys.Control)
-	tries := make(chan struct{}, 64)
+	attempts := make(chan struct{}, 64)
 	rpc.Handle(server, protocol.Read, func(context.Context, rpc.Peer, protocol.Reading) (protocol.Answers, error) {
-		tries <- struct{}{}
+		attempts <- struct{}{}
 		return protocol.Answers{Bodies: [][]byte{make([]byte, size)}}, nil
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -115,41 +116,41 @@
 		cancel()
 		<-done
 	})
-	c := New(Config{Node: openNode(t, keys.Entry), Replicas: []string{narrowLink(t, server.Address())}})
+	c := New(Config{Node: openNode(t, keys.Entry), Replicas: []string{slowLink(t, server.Address())}})
 	bounded, stop := context.WithTimeout(t.Context(), 20*time.Second)
 	defer stop()
 	a, err := c.ReadAll(bounded, nil, state.Query{Section: "settings"})
 	if err != nil {
-		t.Fatalf("after %d tries: %v", len(tries), err)
+		t.Fatalf("after %d attempts: %v", len(attempts), err)
 	}
-	if len(a.Bodies[0]) != size || len(tries) != 1 {
-		t.Errorf("%d bytes came after %d tries", len(a.Bodies[0]), len(tries))
+	if len(a.Bodies[0]) != size || len(attempts) != 1 {
+		t.Errorf("received %d bytes after %d attempts", len(a.Bodies[0]), len(attempts))
 	}
 }
 
-// A replica that takes a read and says nothing must not hold its caller up for as
-// long as an answer that keeps coming may take.
-func TestSilentReplicaIsLeftSoon(t *testing.T) {
-	silent, sound := openNode(t, keys.Control), openNode(t, keys.Control)
-	rpc.Handle(silent, protocol.Read, func(ctx context.Context, _ rpc.Peer, _ protocol.Reading) (protocol.Answers, error) {
+// A replica that accepts a read and does not answer must not delay its caller for as
+// long as the transfer of a large answer may take.
+func TestUnresponsiveReplicaIsSkippedSoon(t *testing.T) {
+	unresponsive, healthy := openNode(t, keys.Control), openNode(t, keys.Control)
+	rpc.Handle(unresponsive, protocol.Read, func(ctx context.Context, _ rpc.Peer, _ protocol.Reading) (protocol.Answers, error) {
 		<-ctx.Done()
 		time.Sleep(2 * readTimeout)
 		return protocol.Answers{}, ctx.Err()
 	})
-	rpc.Handle(sound, protocol.Read, func(context.Context, rpc.Peer, protocol.Reading) (protocol.Answers, error) {
+	rpc.Handle(healthy, protocol.Read, func(context.Context, rpc.Peer, protocol.Reading) (protocol.Answers, error) {
 		return protocol.Answers{Bodies: [][]byte{{1}}}, nil
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	for _, n := range []rpc.Node{silent, sound} {
+	for _, n := range []rpc.Node{unresponsive, healthy} {
 		go func() { _ = n.Serve(ctx) }()
 	}
-	c := New(Config{Node: openNode(t, keys.Entry), Replicas: []string{silent.Address(), sound.Address()}})
-	began := time.Now()
+	c := New(Config{Node: openNode(t, keys.Entry), Replicas: []string{unresponsive.Address(), healthy.Address()}})
+	start := time.Now()
 	if _, err := c.ReadAll(t.Context(), nil, state.Query{Section: "settings"}); err != nil {
 		t.Fatal(err)
 	}
-	if took := time.Since(began); took > 2*readTimeout {
-		t.Errorf("the read took %s", took)
+	if elapsed := time.Since(start); elapsed > 2*readTimeout {
+		t.Errorf("the read took %s", elapsed)
 	}
 }
