--- a/internal/entry/status/collector.go
+++ b/internal/entry/status/collector.go
@@ -17,12 +17,12 @@
 	"hornbeamwood/internal/settings/node"
 )
 
-// timeout bounds all questions of one report.
+// timeout bounds all queries for one report.
 const timeout = 2 * time.Second
 
 // Control is the control log.
 type Control interface {
-	// Read answers one section's query.
+	// Read answers a query of one section.
 	Read(ctx context.Context, section string, body []byte) ([]byte, error)
 	// Holders returns the entries that hold a settings lease.
 	Holders(ctx context.Context) ([]protocol.HolderRevision, error)
@@ -30,17 +30,17 @@
 	Statuses(ctx context.Context) map[string]replica.Status
 }
 
-// Config is what a Collector asks.
+// Config configures the status report.
 type Config struct {
 	// Entry is this entry's name.
 	Entry string
-	// Replicas are the control replicas of the node file.
+	// Replicas are the control replicas listed in the node file.
 	Replicas []node.Peer
 	// Control is the control log.
 	Control Control
-	// Settings is the entry's copy of the settings.
+	// Settings provides the entry's copy of the settings.
 	Settings interface{ View() follower.View }
-	// Servers are the backend servers.
+	// Servers provides the backend servers.
 	Servers interface{ View() membership.View }
 	// Quarantined returns the number of quarantined requests.
 	Quarantined func() int
@@ -52,46 +52,46 @@
 	Config
 }
 
-// Action returns the operators' request GET /status.
+// Action returns the operator request GET /status.
 func Action(c Config) operator.Action {
-	k := &collector{Config: c}
+	reporter := &collector{Config: c}
 	return operator.Action{
 		Pattern: "GET /status",
 		Run: func(w http.ResponseWriter, r *http.Request, _ string) error {
-			return operator.WriteJSON(w, http.StatusOK, k.collect(r.Context()))
+			return operator.WriteJSON(w, http.StatusOK, reporter.collect(r.Context()))
 		},
 	}
 }
 
-func (k *collector) collect(ctx context.Context) Report {
+func (c *collector) collect(ctx context.Context) Report {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	r := Report{
-		Entry:       k.Entry,
-		Revision:    k.Settings.View().Revision(),
-		Replicas:    k.replicas(ctx),
-		Servers:     k.servers(),
-		Quarantined: k.Quarantined(),
+		Entry:       c.Entry,
+		Revision:    c.Settings.View().Revision(),
+		Replicas:    c.replicas(ctx),
+		Servers:     c.servers(),
+		Quarantined: c.Quarantined(),
 	}
-	holders, err := k.Control.Holders(ctx)
+	holders, err := c.Control.Holders(ctx)
 	if err != nil {
 		r.Problems = append(r.Problems, "settings leases: "+err.Error())
 	}
 	for _, h := range holders {
 		r.Entries = append(r.Entries, Entry{Name: h.Holder.Name, Revision: h.Revision})
 	}
-	if r.Ledger, err = k.ledger(ctx); err != nil {
+	if r.Ledger, err = c.ledger(ctx); err != nil {
 		r.Problems = append(r.Problems, "ledger: "+err.Error())
 	}
 	return r
 }
 
-func (k *collector) replicas(ctx context.Context) []Replica {
-	found := k.Control.Statuses(ctx)
-	all := make([]Replica, 0, len(k.Replicas))
-	for _, p := range k.Replicas {
+func (c *collector) replicas(ctx context.Context) []Replica {
+	statuses := c.Control.Statuses(ctx)
+	all := make([]Replica, 0, len(c.Replicas))
+	for _, p := range c.Replicas {
 		r := Replica{Name: p.Name, Address: p.Address.String(), Role: "unreachable"}
-		if s, ok := found[r.Address]; ok {
+		if s, ok := statuses[r.Address]; ok {
 			r.Role, r.Term, r.Applied = s.Role, s.Term, s.Applied
 			r.Identity, r.CaughtUp = string(s.Identity), s.CaughtUp
 			r.Voters, r.Votes = voters(s)
@@ -101,38 +101,38 @@
 	return all
 }
 
-// voters returns how many members vote and whether the replica is one of them.
-func voters(s replica.Status) (n int, itself bool) {
+// voters returns the number of voting members and whether the replica is one of them.
+func voters(s replica.Status) (n int, votes bool) {
 	for _, m := range s.Members {
 		if !m.Voter {
 			continue
 		}
 		n++
-		itself = itself || m.Identity == s.Identity
+		votes = votes || m.Identity == s.Identity
 	}
-	return n, itself
+	return n, votes
 }
 
-func (k *collector) ledger(ctx context.Context) (ledger.Counts, error) {
+func (c *collector) ledger(ctx context.Context) (ledger.Counts, error) {
 	q, err := codec.Marshal(ledger.Query{Counts: &ledger.CountsQuery{}})
 	if err != nil {
 		return ledger.Counts{}, err
 	}
-	b, err := k.Control.Read(ctx, ledger.Name, q)
+	b, err := c.Control.Read(ctx, ledger.Name, q)
 	if err != nil {
 		return ledger.Counts{}, err
 	}
 	return codec.Unmarshal[ledger.Counts](b)
 }
 
-func (k *collector) servers() []Server {
-	now := k.Now()
-	v := k.Servers.View()
+func (c *collector) servers() []Server {
+	now := c.Now()
+	v := c.Servers.View()
 	all := make([]Server, 0, v.Len())
 	for s := range v.All() {
 		a := s.Announcement()
 		load, _ := s.Load()
-		x := Server{
+		server := Server{
 			Identity:     a.Identity,
 			Kind:         string(a.Kind),
 			Zone:         a.Zone,
@@ -144,9 +144,9 @@
 			QueuedTokens: load.QueuedTokens,
 		}
 		for _, h := range a.Holdings {
-			x.Holds = append(x.Holds, h.Model+"@"+h.WeightVersion)
+			server.Holds = append(server.Holds, h.Model+"@"+h.WeightVersion)
 		}
-		all = append(all, x)
+		all = append(all, server)
 	}
 	slices.SortFunc(all, func(a, b Server) int { return cmp.Compare(a.Identity, b.Identity) })
 	return all
--- a/internal/entry/status/doc.go
+++ b/internal/entry/status/doc.go
@@ -1,3 +1,3 @@
-// Package status shows operators where the deployment stands, as one entry
-// sees it.
+// Package status reports the state of the deployment to operators, as seen by
+// one entry.
 package status
--- a/internal/entry/status/report.go
+++ b/internal/entry/status/report.go
@@ -4,11 +4,11 @@
 	"hornbeamwood/internal/control/ledger"
 )
 
-// Report is the answer to GET /status.
+// Report is the response to GET /status.
 type Report struct {
-	// Entry is the entry that answers.
+	// Entry is the name of the entry that responds.
 	Entry string `json:"entry"`
-	// Revision is the settings revision that it has applied.
+	// Revision is the settings revision that the entry has applied.
 	Revision uint64 `json:"revision"`
 	// Replicas are the control replicas.
 	Replicas []Replica `json:"replicas"`
@@ -16,31 +16,31 @@
 	Entries []Entry `json:"entries"`
 	// Servers are the backend servers.
 	Servers []Server `json:"servers"`
-	// Ledger counts the records of non-idempotent calls by state.
+	// Ledger holds the number of records of non-idempotent calls by state.
 	Ledger ledger.Counts `json:"ledger"`
 	// Quarantined is the number of quarantined requests.
 	Quarantined int `json:"quarantined"`
-	// Problems says what could not be asked.
+	// Problems lists the queries that failed.
 	Problems []string `json:"problems,omitempty"`
 }
 
 // Replica is one control replica.
 type Replica struct {
-	// Name and Address are those of the node file.
+	// Name and Address are as in the node file.
 	Name    string `json:"name"`
 	Address string `json:"address"`
-	// Role is leader, follower and so on, or unreachable.
+	// Role is the replica's role, such as leader or follower, or unreachable.
 	Role string `json:"role"`
 	// Term and Applied are the replica's term and last applied log index.
 	Term    uint64 `json:"term"`
 	Applied uint64 `json:"applied"`
-	// Identity names the replica with its disk.
+	// Identity identifies the replica together with its disk.
 	Identity string `json:"identity"`
-	// Voters is the number of voting members that it knows.
+	// Voters is the number of voting members known to the replica.
 	Voters int `json:"voters"`
-	// Votes says that the replica itself is one of them.
+	// Votes is set when the replica itself is a voting member.
 	Votes bool `json:"votes"`
-	// CaughtUp says that it has applied all that was committed.
+	// CaughtUp is set when the replica has applied all committed entries.
 	CaughtUp bool `json:"caught-up"`
 }
 
@@ -48,7 +48,7 @@
 type Entry struct {
 	// Name is the entry's name.
 	Name string `json:"name"`
-	// Revision is the settings revision that it has applied.
+	// Revision is the settings revision that the entry has applied.
 	Revision uint64 `json:"revision"`
 }
 
@@ -60,11 +60,11 @@
 	Zone     string `json:"zone"`
 	Address  string `json:"address"`
 	State    string `json:"state"`
-	// Holds names models with versions, or services.
+	// Holds lists models with their weight versions, or services.
 	Holds []string `json:"holds"`
-	// AgeMillis is the age of its last announcement.
+	// AgeMillis is the age of the server's last announcement.
 	AgeMillis int64 `json:"age-millis"`
-	// Running and QueuedTokens are its reported load.
+	// Running and QueuedTokens are the load that the server reported.
 	Running      int   `json:"running"`
 	QueuedTokens int64 `json:"queued-tokens"`
 }
