--- a/internal/entry/backend/config.go
+++ b/internal/entry/backend/config.go
@@ -10,11 +10,11 @@
 	"hornbeamwood/internal/fleet/membership"
 )
 
-// Limits of what a backend server may send.
+// Limits for requests from backend servers.
 const (
-	// MaxAnnouncement is the largest body of an announcement in bytes.
+	// MaxAnnouncement is the maximum body size of an announcement in bytes.
 	MaxAnnouncement = 32 << 10
-	// MaxNesting is the deepest JSON that is read.
+	// MaxNesting is the maximum nesting depth of accepted JSON.
 	MaxNesting = 8
 )
 
--- a/internal/entry/control/client.go
+++ b/internal/entry/control/client.go
@@ -65,7 +65,7 @@
 
 // Propose implements Client.
 //
-// The next replica is attempts only after a failure that proves that nothing was
+// The next replica is tried only after a failure that proves that nothing was
 // appended. Otherwise a command that is still in flight could be applied twice.
 func (c *client) Propose(ctx context.Context, section string, body []byte) ([]byte, error) {
 	p := protocol.Proposal{Section: section, Body: body}
--- a/internal/entry/operator/operator_test.go
+++ b/internal/entry/operator/operator_test.go
@@ -46,7 +46,8 @@
 }
 
 // Two operators concurrently send edits against the same revision. One edit is
-// accepted; the response to the other names the winning edit and its operator.
+// accepted; the response to the other names the winning edit and its operator, so
+// that it can be reviewed before another edit.
 func TestConcurrentEditsOfOneRevision(t *testing.T) {
 	f := newFixtureWithOperators(t)
 	codes := make([]int, 8)
--- a/internal/entry/quarantine/config.go
+++ b/internal/entry/quarantine/config.go
@@ -50,7 +50,7 @@
 	Tell func(ctx context.Context, f completion.Fingerprint)
 	// Interval is the polling interval of the quarantine record; default 1 s.
 	Interval time.Duration
-	// Lease is how long a suspect's slot stays held after this entry crashes; default 2 min.
+	// Lease bounds how long a suspect's slot stays held after this entry crashes; default 2 min.
 	Lease time.Duration
 	// NewAttempt returns a globally unique ID that is never reused; default 128 random bits.
 	NewAttempt func() string
