--- a/internal/base/logline/standard.go
+++ b/internal/base/logline/standard.go
@@ -18,12 +18,12 @@
 	logger log.Interface
 }
 
-// TakeStandard redirects the standard logger, which libraries use, to l: each line becomes an event.
+// RedirectStandard redirects the standard logger, which libraries use, to l: each line becomes an event.
 //
 // Otherwise such lines have no fields and are missed by searches of the log. A
 // panic in a request handler would be visible only as connections that close
 // without an answer.
-func TakeStandard(l log.Interface) {
+func RedirectStandard(l log.Interface) {
 	stdlog.SetFlags(0)
 	stdlog.SetOutput(newStandardWriter(l))
 }
--- a/internal/cli/settings/fake_entry_test.go
+++ b/internal/cli/settings/fake_entry_test.go
@@ -44,14 +44,14 @@
 // Check implements operator.Lease.
 func (h *fakeEntry) Check() error { return nil }
 
-// Wait implements operator.Force.
+// Wait implements operator.InForceWaiter.
 func (h *fakeEntry) Wait(context.Context, uint64) error { return nil }
 
 // newFakeEntry returns a fakeEntry and the Config that reaches it, with one operator at revision 1.
 func newFakeEntry(t *testing.T) (*fakeEntry, Config) {
 	t.Helper()
 	h := &fakeEntry{section: section.New(), follower: follower.New()}
-	handler := operator.New(operator.Config{Log: h, Settings: h.follower, Lease: h, Force: h, BootstrapKeyDigest: digest.Of("bootstrap")})
+	handler := operator.New(operator.Config{Log: h, Settings: h.follower, Lease: h, InForce: h, BootstrapKeyDigest: digest.Of("bootstrap")})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodGet && h.dropResponses.Add(-1) >= 0 {
 			handler.ServeHTTP(httptest.NewRecorder(), r)
--- a/internal/cli/settings/refused_error.go
+++ b/internal/cli/settings/refused_error.go
@@ -24,7 +24,7 @@
 	}
 	if w := d.Winner; w != nil {
 		lines = append(lines, fmt.Sprintf("  revision %d is by %s", w.Revision, operatorOrUnknown(w.Operator)))
-		for _, change := range w.What {
+		for _, change := range w.Summary {
 			lines = append(lines, "    "+change)
 		}
 	}
--- a/internal/control/admission/reconciler.go
+++ b/internal/control/admission/reconciler.go
@@ -59,8 +59,8 @@
 	Logger log.Interface
 }
 
-// Keeper changes the members while its replica is the leader, and asks to join while its replica belongs to no group.
-type Keeper interface {
+// Reconciler changes the members while its replica is the leader, and asks to join while its replica belongs to no group.
+type Reconciler interface {
 	// Reconcile carries out the next membership change or join request, if one is needed.
 	Reconcile(ctx context.Context)
 	// Run calls Reconcile at a fixed interval until ctx ends.
@@ -81,8 +81,8 @@
 	searchFailed bool
 }
 
-// NewKeeper returns a Keeper.
-func NewKeeper(c Config) Keeper {
+// NewReconciler returns a Keeper.
+func NewReconciler(c Config) Reconciler {
 	return &reconciler{Config: c}
 }
 
--- a/internal/control/admission/reconciler_test.go
+++ b/internal/control/admission/reconciler_test.go
@@ -62,7 +62,7 @@
 	follower := replica.Status{Role: raft.Follower.String(), Term: 2, Leader: "other", LeaderAddress: "other", Members: members}
 	leader := replica.Status{Role: raft.Leader.String(), Term: 2, Address: "other", Leader: "other", LeaderAddress: "other", Members: members}
 	p := &fakePeers{statuses: map[string]replica.Status{"seed-1": follower, "seed-2": follower, "other": leader}}
-	r := NewKeeper(Config{
+	r := NewReconciler(Config{
 		Replica:   fakeReplica{replica.Status{Identity: "9", Address: "blank", Role: replica.RoleBlank}},
 		Peers:     p,
 		Addresses: func() []string { return []string{"seed-1", "seed-2"} },
@@ -74,8 +74,8 @@
 }
 
 // blankReconciler returns a Keeper of a replica that lost its disk and knows only the given addresses.
-func blankReconciler(p Peers, known ...string) Keeper {
-	return NewKeeper(Config{
+func blankReconciler(p Peers, known ...string) Reconciler {
+	return NewReconciler(Config{
 		Replica:   fakeReplica{replica.Status{Identity: "9", Address: "blank", Role: replica.RoleBlank}},
 		Peers:     p,
 		Addresses: func() []string { return known },
@@ -123,7 +123,7 @@
 	follower := replica.Status{Role: raft.Follower.String(), Term: 2, LeaderAddress: "leader"}
 	p := &fakePeers{statuses: map[string]replica.Status{"seed-1": follower}}
 	handler := memory.New()
-	r := NewKeeper(Config{
+	r := NewReconciler(Config{
 		Replica:   fakeReplica{replica.Status{Name: "r", Identity: "9", Address: "blank", Role: replica.RoleBlank}},
 		Peers:     p,
 		Addresses: func() []string { return []string{"seed-1"} },
--- a/internal/control/disk/snapshot_file.go
+++ b/internal/control/disk/snapshot_file.go
@@ -53,7 +53,7 @@
 		return corrupt(0, err.Error())
 	}
 	data, dataSize, state := readFrame(b[size:])
-	if state != frameWhole || size+dataSize != len(b) || !meta.Holds(data) {
+	if state != frameWhole || size+dataSize != len(b) || !meta.Verify(data) {
 		return corrupt(size, "the snapshot's data does not match its checksum")
 	}
 	return raft.Snapshot{Meta: meta, Data: data}, nil
--- a/internal/control/disk/state.go
+++ b/internal/control/disk/state.go
@@ -10,6 +10,6 @@
 	Snapshot raft.SnapshotMeta
 	// Entries are the entries after Snapshot, without a gap.
 	Entries []raft.Entry
-	// Torn is the number of bytes of an incomplete, never acknowledged write that were truncated.
-	Torn int64
+	// TornBytes is the number of bytes of an incomplete, never acknowledged write that were truncated.
+	TornBytes int64
 }
--- a/internal/control/disk/store.go
+++ b/internal/control/disk/store.go
@@ -41,8 +41,8 @@
 	Identity() raft.Identity
 	// Founding returns the founding configuration and whether there is one.
 	Founding() (Founding, bool)
-	// Found stores the founding configuration; it fails if there is one already.
-	Found(f Founding) error
+	// SaveFounding stores the founding configuration; it fails if there is one already.
+	SaveFounding(f Founding) error
 	// State returns the content of the folder when it was opened.
 	State() State
 	// Append stores a hard state, unless it is nil, and entries with one sync.
@@ -186,8 +186,8 @@
 	return *s.founding, true
 }
 
-// Found implements Store.
-func (s *store) Found(f Founding) error {
+// SaveFounding implements Store.
+func (s *store) SaveFounding(f Founding) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.founding != nil {
--- a/internal/control/disk/store_log.go
+++ b/internal/control/disk/store_log.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return fmt.Errorf("disk: read %s: %w", files.Path(name), err)
 	}
-	s.state.Torn += int64(len(b)) - at
+	s.state.TornBytes += int64(len(b)) - at
 	if at < int64(len(segmentMagic)) {
 		if err := files.Remove(name); err != nil {
 			return fmt.Errorf("disk: remove the incomplete %s: %w", files.Path(name), err)
--- a/internal/control/disk/store_test.go
+++ b/internal/control/disk/store_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	s := open(t, files)
 	member := raft.Member{Name: "control-1", Identity: s.Identity(), Address: "10.0.0.1:7000", Voter: true}
-	if err := s.Found(disk.Founding{ID: "f", Configuration: raft.NewConfiguration(member)}); err != nil {
+	if err := s.SaveFounding(disk.Founding{ID: "f", Configuration: raft.NewConfiguration(member)}); err != nil {
 		t.Fatal(err)
 	}
 	return s
@@ -93,8 +93,8 @@
 		name := segments(t, files)[0]
 		files.Cut(name, files.Size(name)-cut)
 		s = open(t, files)
-		if got := s.State(); len(got.Entries) != 4 || got.Torn != int64(39-cut) || got.HardState.Term != 1 {
-			t.Fatalf("cut %d: %d entries, %d bytes truncated", cut, len(got.Entries), got.Torn)
+		if got := s.State(); len(got.Entries) != 4 || got.TornBytes != int64(39-cut) || got.HardState.Term != 1 {
+			t.Fatalf("cut %d: %d entries, %d bytes truncated", cut, len(got.Entries), got.TornBytes)
 		}
 		appendAll(t, s, entries(5, 6))
 		if err := s.Close(); err != nil {
@@ -274,7 +274,7 @@
 		files.Crash(nil)
 		s = open(t, files)
 		got := s.State()
-		if s.Identity() != identity || len(got.Entries) != 9 || got.HardState.Term != 1 || got.Torn != 0 {
+		if s.Identity() != identity || len(got.Entries) != 9 || got.HardState.Term != 1 || got.TornBytes != 0 {
 			t.Errorf("segments of %d bytes: identity %s, %d entries, %+v", size, s.Identity(), len(got.Entries), got.HardState)
 		}
 	}
--- a/internal/control/members/keeper.go
+++ b/internal/control/members/reconciler.go
@@ -35,7 +35,7 @@
 	Probe(ctx context.Context, address string) (replica.Formation, error)
 }
 
-// Config configures a Keeper.
+// Config configures a Reconciler.
 type Config struct {
 	// Replica is this process's replica.
 	Replica Replica
@@ -49,25 +49,25 @@
 	Logger log.Interface
 }
 
-// Keeper reconciles the members of the control log with the identities that operators admit.
-type Keeper interface {
+// Reconciler reconciles the members of the control log with the identities that operators admit.
+type Reconciler interface {
 	// Run checks the members periodically until ctx is done.
 	Run(ctx context.Context)
-	// Look makes the next membership change, if there is one.
-	Look(ctx context.Context)
+	// Reconcile makes the next membership change, if there is one.
+	Reconcile(ctx context.Context)
 }
 
-type keeper struct {
+type reconciler struct {
 	Config
 }
 
-// NewKeeper returns a Keeper; it changes nothing while its replica is not the leader.
-func NewKeeper(c Config) Keeper {
-	return &keeper{Config: c}
+// NewReconciler returns a Reconciler; it changes nothing while its replica is not the leader.
+func NewReconciler(c Config) Reconciler {
+	return &reconciler{Config: c}
 }
 
 // Run implements Keeper.
-func (k *keeper) Run(ctx context.Context) {
+func (k *reconciler) Run(ctx context.Context) {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
@@ -75,13 +75,13 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			k.Look(ctx)
+			k.Reconcile(ctx)
 		}
 	}
 }
 
-// Look implements Keeper.
-func (k *keeper) Look(ctx context.Context) {
+// Reconcile implements Keeper.
+func (k *reconciler) Reconcile(ctx context.Context) {
 	s := k.Replica.Status()
 	admitted := k.Admitted()
 	if s.Role != raft.Leader.String() || len(admitted) == 0 {
@@ -102,7 +102,7 @@
 }
 
 // candidates probes the seeds and returns those that answer under their name, with their current identities.
-func (k *keeper) candidates(ctx context.Context) []raft.Member {
+func (k *reconciler) candidates(ctx context.Context) []raft.Member {
 	var all []raft.Member
 	for _, s := range k.Seeds {
 		ctx, cancel := context.WithTimeout(ctx, probeTimeout)
@@ -116,7 +116,7 @@
 	return all
 }
 
-func (k *keeper) apply(ctx context.Context, c protocol.Change) error {
+func (k *reconciler) apply(ctx context.Context, c protocol.Change) error {
 	ctx, cancel := context.WithTimeout(ctx, checkInterval)
 	defer cancel()
 	switch c.Kind {
--- a/internal/control/protocol/lease.go
+++ b/internal/control/protocol/lease.go
@@ -32,7 +32,7 @@
 }
 
 // InForce returns whether a revision is in force; replicas that are not the leader forward the call to it.
-var InForce = rpc.Method[InForceQuery, lease.Force]{
+var InForce = rpc.Method[InForceQuery, lease.InForceStatus]{
 	Name:  "control-in-force",
 	Roles: []keys.Role{keys.Entry, keys.Control},
 }
--- a/internal/control/quarantine/lost.go
+++ b/internal/control/quarantine/lost.go
@@ -44,11 +44,11 @@
 // updateStandings computes the standing of each record.
 func (q *quarantine) updateStandings() {
 	order := q.order()
-	cases := make([]*suspicion.Case, len(order))
+	cases := make([]*suspicion.FingerprintLosses, len(order))
 	for i, f := range order {
-		cases[i] = &suspicion.Case{Losses: q.records[f].Losses}
+		cases[i] = &suspicion.FingerprintLosses{Losses: q.records[f].Losses}
 	}
-	suspicion.Judge(cases, q.limit)
+	suspicion.Classify(cases, q.limit)
 	for i, f := range order {
 		q.setStanding(q.records[f], cases[i].Standing)
 	}
--- a/internal/control/quic/leases.go
+++ b/internal/control/quic/leases.go
@@ -14,7 +14,7 @@
 	// Renew records an entry's report in the given term. It is called before a quorum confirms the leader for the reply.
 	Renew(term uint64, r protocol.Report)
 	// InForce returns whether a revision is in force everywhere. It is called after a quorum confirmed the leader of the term.
-	InForce(term, revision uint64) lease.Force
+	InForce(term, revision uint64) lease.InForceStatus
 	// Live returns the entries whose lease has not expired, with the revisions that they have applied.
 	Live() []protocol.HolderRevision
 }
@@ -42,7 +42,7 @@
 }
 
 // InForce implements Leases.
-func (l *leases) InForce(term, revision uint64) lease.Force {
+func (l *leases) InForce(term, revision uint64) lease.InForceStatus {
 	return l.holders.InForce(l.now(), term, revision, l.terms.Terms())
 }
 
--- a/internal/control/quic/server.go
+++ b/internal/control/quic/server.go
@@ -73,7 +73,7 @@
 
 // CatchUp implements Leader.
 func (s *server) CatchUp(ctx context.Context) error {
-	c, err := s.confirmed(ctx, protocol.Confirmation{})
+	c, err := s.confirmed(ctx, protocol.ConfirmRequest{})
 	if err != nil {
 		return err
 	}
@@ -110,19 +110,19 @@
 }
 
 // read answers queries from a state that includes everything that was committed before the call.
-func (s *server) read(ctx context.Context, _ rpc.Peer, q protocol.Reading) (protocol.Answers, error) {
-	c, err := s.confirmed(ctx, protocol.Confirmation{Report: q.Report})
+func (s *server) read(ctx context.Context, _ rpc.Peer, q protocol.ReadRequest) (protocol.ReadResponse, error) {
+	c, err := s.confirmed(ctx, protocol.ConfirmRequest{Report: q.Report})
 	if err != nil {
-		return protocol.Answers{}, err
+		return protocol.ReadResponse{}, err
 	}
 	if err := s.Replica.WaitApplied(ctx, c.Index); err != nil {
-		return protocol.Answers{}, err
+		return protocol.ReadResponse{}, err
 	}
-	a := protocol.Answers{Index: c.Index, Bodies: make([][]byte, 0, len(q.Queries))}
+	a := protocol.ReadResponse{Index: c.Index, Bodies: make([][]byte, 0, len(q.Queries))}
 	for _, x := range q.Queries {
 		b, err := s.Machine.Query(x)
 		if err != nil {
-			return protocol.Answers{}, verdict.New(verdict.NotRun, http.StatusBadRequest, "malformed-query", "section %q could not answer", x.Section).WithCause(err)
+			return protocol.ReadResponse{}, verdict.New(verdict.NotRun, http.StatusBadRequest, "malformed-query", "section %q could not answer", x.Section).WithCause(err)
 		}
 		a.Bodies = append(a.Bodies, b)
 	}
@@ -130,7 +130,7 @@
 }
 
 // confirmed returns an index that a quorum confirmed to the leader, on this replica or another one.
-func (s *server) confirmed(ctx context.Context, q protocol.Confirmation) (protocol.Confirmed, error) {
+func (s *server) confirmed(ctx context.Context, q protocol.ConfirmRequest) (protocol.ConfirmResponse, error) {
 	c, err := s.renewAndConfirm(ctx, q)
 	if err == nil {
 		return c, nil
@@ -142,7 +142,7 @@
 	return rpc.Call(ctx, s.Node, leader, protocol.Confirm, q)
 }
 
-func (s *server) confirm(ctx context.Context, _ rpc.Peer, q protocol.Confirmation) (protocol.Confirmed, error) {
+func (s *server) confirm(ctx context.Context, _ rpc.Peer, q protocol.ConfirmRequest) (protocol.ConfirmResponse, error) {
 	return s.renewAndConfirm(ctx, q)
 }
 
@@ -150,22 +150,22 @@
 //
 // In the reverse order an edit could be declared in force between the two steps,
 // and the entry would continue with the older settings.
-func (s *server) renewAndConfirm(ctx context.Context, q protocol.Confirmation) (protocol.Confirmed, error) {
+func (s *server) renewAndConfirm(ctx context.Context, q protocol.ConfirmRequest) (protocol.ConfirmResponse, error) {
 	if q.Report != nil {
 		s.Leases.Renew(s.Replica.Status().Term, *q.Report)
 	}
 	l, err := s.leadership(ctx)
-	return protocol.Confirmed{Index: l.index}, err
+	return protocol.ConfirmResponse{Index: l.index}, err
 }
 
-func (s *server) inForce(ctx context.Context, _ rpc.Peer, q protocol.InForceQuery) (lease.Force, error) {
+func (s *server) inForce(ctx context.Context, _ rpc.Peer, q protocol.InForceQuery) (lease.InForceStatus, error) {
 	l, err := s.leadership(ctx)
 	if err == nil {
 		return s.Leases.InForce(l.term, q.Revision), nil
 	}
 	leader, ok := otherLeader(err)
 	if !ok {
-		return lease.Force{}, err
+		return lease.InForceStatus{}, err
 	}
 	return rpc.Call(ctx, s.Node, leader, protocol.InForce, q)
 }
--- a/internal/control/raft/follower.go
+++ b/internal/control/raft/follower.go
@@ -86,7 +86,7 @@
 func (r *core) installSnapshot(m Message) {
 	in := r.incomingSnapshot
 	r.incomingSnapshot = incoming{}
-	if !in.meta.Holds(in.data) {
+	if !in.meta.Verify(in.data) {
 		// An incomplete snapshot, or one mixed from chunks of two, would be a
 		// state that no replica ever had. The leader restarts from the first chunk.
 		r.reply(m, Message{Kind: MessageSnapshotResponse, Index: in.meta.Index})
--- a/internal/control/raft/snapshot.go
+++ b/internal/control/raft/snapshot.go
@@ -23,8 +23,8 @@
 	return m
 }
 
-// Holds reports whether data has the size and checksum of m.
-func (m SnapshotMeta) Holds(data []byte) bool {
+// Verify reports whether data has the size and checksum of m.
+func (m SnapshotMeta) Verify(data []byte) bool {
 	return m.Size == uint64(len(data)) && m.Checksum == xxhash.Sum64(data)
 }
 
--- a/internal/control/raft/world_test.go
+++ b/internal/control/raft/world_test.go
@@ -76,7 +76,7 @@
 	if v.store == nil {
 		return
 	}
-	if err := v.store.Found(f); err != nil {
+	if err := v.store.SaveFounding(f); err != nil {
 		v.crash()
 		return
 	}
--- a/internal/control/reaper/reaper.go
+++ b/internal/control/reaper/reaper.go
@@ -28,7 +28,7 @@
 // Leases provides the settings leases.
 type Leases interface {
 	// InForce is true for revision 0 once every lease of an earlier term has expired.
-	InForce(term, revision uint64) lease.Force
+	InForce(term, revision uint64) lease.InForceStatus
 	// Live returns the entries whose lease has not expired.
 	Live() []protocol.HolderRevision
 }
--- a/internal/control/reaper/reaper_test.go
+++ b/internal/control/reaper/reaper_test.go
@@ -20,8 +20,10 @@
 	abandoned []ledger.Owner
 }
 
-func (f *fakeControl) Confirm(context.Context) (uint64, error)        { return f.term, f.err }
-func (f *fakeControl) InForce(uint64, uint64) lease.Force             { return lease.Force{InForce: f.settled} }
+func (f *fakeControl) Confirm(context.Context) (uint64, error) { return f.term, f.err }
+func (f *fakeControl) InForce(uint64, uint64) lease.InForceStatus {
+	return lease.InForceStatus{InForce: f.settled}
+}
 func (f *fakeControl) Live() []protocol.HolderRevision                { return f.live }
 func (f *fakeControl) Owners(context.Context) ([]ledger.Owner, error) { return f.owners, nil }
 func (f *fakeControl) Abandon(_ context.Context, o ledger.Owner) error {
--- a/internal/control/replica/bootstrapper.go
+++ b/internal/control/replica/bootstrapper.go
@@ -72,7 +72,7 @@
 			return disk.Founding{}, false
 		}
 	}
-	if b.replica.config.Join {
+	if b.replica.config.JoinOnly {
 		return disk.Founding{}, false
 	}
 	founding, err := newFounding(own, b.replica.config.Seeds, answers)
--- a/internal/control/replica/config.go
+++ b/internal/control/replica/config.go
@@ -43,12 +43,12 @@
 	Address string
 	// Seeds are the initial members of the group, including this replica if it is one of them.
 	Seeds []Seed
-	// Join prevents the replica from founding a group: it only joins an existing one.
+	// JoinOnly prevents the replica from founding a group: it only joins an existing one.
 	//
 	// A replica whose disk is replaced by an empty one while the other replicas
 	// are unreachable would otherwise found a second, empty group. Clients of
 	// that group would lose everything that the first one accepted.
-	Join bool
+	JoinOnly bool
 	// Peers returns addresses besides the seeds at which a group may be found; nil for none.
 	Peers func() []string
 	// Transport sends messages to the other replicas.
--- a/internal/control/replica/loop.go
+++ b/internal/control/replica/loop.go
@@ -240,7 +240,7 @@
 func (l *loop) startCore(f disk.Founding) {
 	r := l.replica
 	if _, ok := r.store.Founding(); !ok {
-		if err := r.store.Found(f); err != nil {
+		if err := r.store.SaveFounding(f); err != nil {
 			r.fail(err)
 			return
 		}
--- a/internal/control/replica/replica.go
+++ b/internal/control/replica/replica.go
@@ -156,8 +156,8 @@
 		"replica": r.config.Name, "identity": r.self.Identity, "formed": formed,
 		"snapshot": state.Snapshot.Index, "entries": len(state.Entries), "term": state.HardState.Term,
 	})
-	if state.Torn > 0 {
-		event.TornWriteCut.Write(r.config.Logger, log.Fields{"replica": r.config.Name, "bytes": state.Torn})
+	if state.TornBytes > 0 {
+		event.TornWriteCut.Write(r.config.Logger, log.Fields{"replica": r.config.Name, "bytes": state.TornBytes})
 	}
 }
 
--- a/internal/entry/backend/config.go
+++ b/internal/entry/backend/config.go
@@ -20,11 +20,11 @@
 
 // Table merges announcements into the membership of the fleet.
 type Table interface {
-	Announce(now time.Time, a announcement.Announcement) membership.Merge
+	Announce(now time.Time, a announcement.Announcement) membership.MergeResult
 }
 
-// Leavers notifies the other entries as soon as a server announces that it leaves.
-type Leavers interface {
+// LeaveNotifier notifies the other entries as soon as a server announces that it leaves.
+type LeaveNotifier interface {
 	Leaving(identity string)
 }
 
@@ -35,10 +35,10 @@
 
 // HandlerConfig configures NewHandler.
 type HandlerConfig struct {
-	// Table, Leavers and CacheReports receive what the servers send.
-	Table        Table
-	Leavers      Leavers
-	CacheReports CacheReports
+	// Table, LeaveNotifier and CacheReports receive what the servers send.
+	Table         Table
+	LeaveNotifier LeaveNotifier
+	CacheReports  CacheReports
 	// KeyDigests returns the SHA-256 digests of the valid announcement keys.
 	KeyDigests func() [][32]byte
 	// Now returns the local time with its monotonic reading.
--- a/internal/entry/backend/handler.go
+++ b/internal/entry/backend/handler.go
@@ -21,7 +21,7 @@
 
 // NewHandler returns the handler of POST /fleet/announcements and POST /fleet/cache-events.
 func NewHandler(c HandlerConfig) (http.Handler, error) {
-	if c.Table == nil || c.Leavers == nil || c.CacheReports == nil || c.KeyDigests == nil || c.Now == nil {
+	if c.Table == nil || c.LeaveNotifier == nil || c.CacheReports == nil || c.KeyDigests == nil || c.Now == nil {
 		return nil, fmt.Errorf("backend: the configuration of the handler is incomplete")
 	}
 	h := &handler{config: c}
@@ -79,7 +79,7 @@
 		return
 	}
 	if m.Leaving {
-		h.config.Leavers.Leaving(a.Identity)
+		h.config.LeaveNotifier.Leaving(a.Identity)
 	}
 	h.logMerge(a, m)
 	writeJSON(w, http.StatusOK, AnnouncementAnswer{Outcome: m.Outcome})
@@ -93,7 +93,7 @@
 }
 
 // logMerge logs when a server is new, changed or leaving, not on every announcement.
-func (h *handler) logMerge(a announcement.Announcement, m membership.Merge) {
+func (h *handler) logMerge(a announcement.Announcement, m membership.MergeResult) {
 	if !m.Changed && !m.Leaving {
 		return
 	}
--- a/internal/entry/backend/handler_test.go
+++ b/internal/entry/backend/handler_test.go
@@ -35,11 +35,11 @@
 	t.Helper()
 	table := membership.New(membership.Config{Servers: 3})
 	h, err := NewHandler(HandlerConfig{
-		Table:        table,
-		Leavers:      s,
-		CacheReports: s,
-		KeyDigests:   func() [][32]byte { return [][32]byte{sha256.Sum256([]byte("old")), sha256.Sum256([]byte(validKey))} },
-		Now:          func() time.Time { return time.Unix(1000, 0) },
+		Table:         table,
+		LeaveNotifier: s,
+		CacheReports:  s,
+		KeyDigests:    func() [][32]byte { return [][32]byte{sha256.Sum256([]byte("old")), sha256.Sum256([]byte(validKey))} },
+		Now:           func() time.Time { return time.Unix(1000, 0) },
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/entry/backend/order_issuer.go
+++ b/internal/entry/backend/order_issuer.go
@@ -16,20 +16,20 @@
 	"hornbeamwood/internal/fleet/orders"
 )
 
-// Giver sends orders to engines while this process holds the order lease.
-type Giver interface {
+// OrderIssuer sends orders to engines while this process holds the order lease.
+type OrderIssuer interface {
 	// Close stops issuing orders, waits for the answers to those already sent, and releases the lease.
 	Close()
 }
 
 type orderIssuer struct {
-	GiverConfig
+	OrderIssuerConfig
 	cancel   context.CancelFunc
 	running  sync.WaitGroup
 	outcomes chan orders.Outcome
 
 	// The fields below are used only by the goroutine that executes run.
-	term                 lease.Term
+	term                 lease.HeldLease
 	plan                 orders.Plan
 	committedNoteVersion uint64
 	renewedAt            time.Time
@@ -37,8 +37,8 @@
 	acquireTriedAt       time.Time
 }
 
-// NewGiver returns a Giver that runs until it is closed.
-func NewGiver(c GiverConfig) (Giver, error) {
+// NewOrderIssuer returns an OrderIssuer that runs until it is closed.
+func NewOrderIssuer(c OrderIssuerConfig) (OrderIssuer, error) {
 	if c.Holder == "" || c.Controller == nil || c.Log == nil || c.Engines == nil || c.Servers == nil || c.Settings == nil || c.Now == nil {
 		return nil, fmt.Errorf("backend: the configuration of the order issuer is incomplete")
 	}
@@ -46,12 +46,12 @@
 		c.Step = DefaultStep
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	oi := &orderIssuer{GiverConfig: c, cancel: cancel, outcomes: make(chan orders.Outcome)}
+	oi := &orderIssuer{OrderIssuerConfig: c, cancel: cancel, outcomes: make(chan orders.Outcome)}
 	oi.running.Go(func() { oi.run(ctx) })
 	return oi, nil
 }
 
-// Close implements Giver.
+// Close implements OrderIssuer.
 func (oi *orderIssuer) Close() {
 	oi.cancel()
 	oi.running.Wait()
@@ -139,7 +139,7 @@
 		o := orders.Outcome{Engine: i.Engine, ID: i.Order.ID, Result: orders.NotSent}
 		now := oi.Now()
 		if term.Valid(now) {
-			ctx, cancel := context.WithTimeout(context.Background(), min(orderTimeout, term.Ends.Sub(now)))
+			ctx, cancel := context.WithTimeout(context.Background(), min(orderTimeout, term.ValidUntil.Sub(now)))
 			a, err := do(ctx, i.Address, i.Order)
 			cancel()
 			o.Result, o.State = resultOf(err), a.State
--- a/internal/entry/backend/order_issuer_config.go
+++ b/internal/entry/backend/order_issuer_config.go
@@ -43,8 +43,8 @@
 	View() membership.View
 }
 
-// GiverConfig configures NewGiver.
-type GiverConfig struct {
+// OrderIssuerConfig configures NewOrderIssuer.
+type OrderIssuerConfig struct {
 	// Holder identifies this process and its incarnation as a lease holder.
 	Holder string
 	// Controller plans the orders. Nothing else may use it.
--- a/internal/entry/backend/order_issuer_lease.go
+++ b/internal/entry/backend/order_issuer_lease.go
@@ -62,7 +62,7 @@
 		return
 	}
 	received := oi.Now()
-	oi.term = lease.NewTerm(r, sent, received, d)
+	oi.term = lease.NewHeldLease(r, sent, received, d)
 	oi.committedNoteVersion, oi.renewedAt = 0, sent
 	oi.Controller.Begin(received, oi.term, inherited)
 	event.OrderLease.Write(oi.Logger, log.Fields{"held": true, "fencing": r.Fencing, "wait": r.Wait, "inherited": len(inherited)})
@@ -97,7 +97,7 @@
 
 func (oi *orderIssuer) endTerm(cause string) {
 	event.OrderLease.Write(oi.Logger, log.Fields{"held": false, "fencing": oi.term.Fencing, "cause": cause})
-	oi.term = lease.Term{}
+	oi.term = lease.HeldLease{}
 	oi.plan = orders.Plan{}
 	oi.Controller.End()
 }
--- a/internal/entry/backend/order_issuer_test.go
+++ b/internal/entry/backend/order_issuer_test.go
@@ -110,9 +110,9 @@
 	return true
 }
 
-func newTestOrderIssuer(t *testing.T, holder string, l *singleReplicaLog, f *fakeEngines) Giver {
+func newTestOrderIssuer(t *testing.T, holder string, l *singleReplicaLog, f *fakeEngines) OrderIssuer {
 	t.Helper()
-	oi, err := NewGiver(GiverConfig{
+	oi, err := NewOrderIssuer(OrderIssuerConfig{
 		Holder:     holder,
 		Controller: orders.New(orders.Config{Recheck: time.Millisecond, Flight: time.Millisecond}),
 		Log:        l,
--- a/internal/entry/caller/isolation_test.go
+++ b/internal/entry/caller/isolation_test.go
@@ -123,7 +123,7 @@
 		}
 		before := len(entries.Entries)
 		a, want := sendRandom(t, b, r, me, other)
-		await(t, func() bool { return h.InFlight() == 0 && calls.Open() == 0 })
+		await(t, func() bool { return h.InFlight() == 0 && calls.OpenCalls() == 0 })
 		text := fmt.Sprint(a.header, a.body, entriesSince(entries, before))
 		if want != "" && a.body != want {
 			return fmt.Sprintf("%s got %q instead of %q", me.name, a.body, want)
--- a/internal/entry/completion/config.go
+++ b/internal/entry/completion/config.go
@@ -70,8 +70,8 @@
 	Strategy  route.Strategy
 	Admission admission.Policy
 	Retry     retry.Policy
-	// Returns estimates how likely a prompt is to be reused.
-	Returns placement.Returns
+	// ReuseEstimator estimates how likely a prompt is to be reused.
+	ReuseEstimator placement.ReuseEstimator
 	// Guard refuses requests that crash their servers.
 	Guard Guard
 	// Entries is the number of entries of the cell.
--- a/internal/entry/completion/exporter.go
+++ b/internal/entry/completion/exporter.go
@@ -82,7 +82,7 @@
 		return
 	}
 	visit := r.visits.add(document)
-	x.Returns.Seen(j.Workspace, visit)
+	x.ReuseEstimator.Seen(j.Workspace, visit)
 	d := placement.Decide(x.input(j, a, visit))
 	e := x.newExport(j, a, d)
 	event.ExportPlanned.Write(x.Logger, log.Fields{
@@ -106,9 +106,9 @@
 func (x *exporter) input(j *job, a *attempt, visit int) placement.Input {
 	load, _ := a.server.Load()
 	in := placement.Input{
-		Rules:       j.Rules,
-		Return:      x.Returns.Probability(j.Workspace, visit),
-		PrefillRate: max(load.PrefillRate, 1),
+		Rules:            j.Rules,
+		ReuseProbability: x.ReuseEstimator.Probability(j.Workspace, visit),
+		PrefillRate:      max(load.PrefillRate, 1),
 	}
 	size := x.pieceBytes(j.Model.Name)
 	for i, k := range j.keys {
--- a/internal/entry/completion/fixture_test.go
+++ b/internal/entry/completion/fixture_test.go
@@ -159,10 +159,10 @@
 	lost    []string
 }
 
-func (g *fakeGuard) Name(Fingerprint, string, string)       {}
-func (g *fakeGuard) Check(time.Time, Fingerprint) error     { return g.refused }
-func (g *fakeGuard) Started(time.Time, Fingerprint, string) {}
-func (g *fakeGuard) Alone(time.Time, string) bool           { return false }
+func (g *fakeGuard) RecordOwner(Fingerprint, string, string)  {}
+func (g *fakeGuard) Check(time.Time, Fingerprint) error       { return g.refused }
+func (g *fakeGuard) Started(time.Time, Fingerprint, string)   {}
+func (g *fakeGuard) RequiresIsolation(time.Time, string) bool { return false }
 func (g *fakeGuard) Ended(_ context.Context, _ time.Time, _ Fingerprint, server string, lost bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -203,7 +203,7 @@
 	b.router = New(Config{
 		Servers: b.table, Work: g.Work(), Cache: b.cache, Engines: b.engines, Exports: fakeExports{}, Heads: b.heads,
 		Strategy: route.New(route.Config{}), Admission: admission.New(admission.Config{}),
-		Retry: retry.New(retry.Config{}), Returns: placement.NewReturns(0.5), Guard: b.guard, Entries: 1,
+		Retry: retry.New(retry.Config{}), ReuseEstimator: placement.NewReuseEstimator(0.5), Guard: b.guard, Entries: 1,
 		Now:        func() time.Time { return now },
 		NewAttempt: func() string { attempts++; return fmt.Sprintf("attempt-%d", attempts) },
 		Random:     rand.New(rand.NewPCG(1, 2)),
--- a/internal/entry/completion/guard.go
+++ b/internal/entry/completion/guard.go
@@ -22,14 +22,14 @@
 
 // Guard refuses requests that crash the servers that run them.
 type Guard interface {
-	// Name records the workspace and model of a fingerprint for the list that operators see.
-	Name(f Fingerprint, workspace, model string)
+	// RecordOwner records the workspace and model of a fingerprint for the list that operators see.
+	RecordOwner(f Fingerprint, workspace, model string)
 	// Check returns nil when the request may run and otherwise its final refusal.
 	Check(now time.Time, f Fingerprint) error
 	// Started records that a server runs the request.
 	Started(now time.Time, f Fingerprint, server string)
 	// Ended records that the request has ended at a server; lost says whether the server was lost with it.
 	Ended(ctx context.Context, now time.Time, f Fingerprint, server string, lost bool)
-	// Alone reports whether a server runs a suspect request, which must not share the server with others.
-	Alone(now time.Time, server string) bool
+	// RequiresIsolation reports whether a server runs a suspect request, which must not share the server with others.
+	RequiresIsolation(now time.Time, server string) bool
 }
--- a/internal/entry/completion/router.go
+++ b/internal/entry/completion/router.go
@@ -62,13 +62,13 @@
 		return nil, err
 	}
 	j := r.newJob(q)
-	r.Guard.Name(j.fingerprint, q.Workspace, q.Model.Name)
+	r.Guard.RecordOwner(j.fingerprint, q.Workspace, q.Model.Name)
 	if err := r.Guard.Check(r.Now(), j.fingerprint); err != nil {
 		r.metrics.ended(err)
 		return nil, err
 	}
 	j.locations = r.Cache.Lookup(ctx, j.keys)
-	r.Retry.First(q.Workspace, q.Rules.RetryShare, q.Snapshot.Fleet.RetryShare)
+	r.Retry.CountFirstAttempt(q.Workspace, q.Rules.RetryShare, q.Snapshot.Fleet.RetryShare)
 	a, err := r.start(ctx, j)
 	for err != nil {
 		if a == nil {
--- a/internal/entry/completion/view.go
+++ b/internal/entry/completion/view.go
@@ -55,18 +55,18 @@
 func (r *router) candidate(now time.Time, s *membership.Server) route.Candidate {
 	a := s.Announcement()
 	load, _ := s.Load()
-	p := r.Work.Pending(now, s.Key(), s.LoadTaken())
+	p := r.Work.Pending(now, s.Key(), s.LoadMeasuredAt())
 	var since route.Work
 	since = since.With(peerBand, int32(p.Requests+p.PeerRequests), p.Tokens+p.PeerTokens)
 	c := route.Candidate{
-		Identity:      a.Identity,
-		Load:          load,
-		ReportedAt:    s.LoadTaken(),
-		Since:         since,
-		InFlight:      r.inFlight.of(a.Identity).With(peerBand, int32(p.PeerRequests), p.PeerTokens),
-		PriorityAware: true,
-		Reserve:       a.Role == reserveRole,
-		Suspect:       r.Guard.Alone(now, a.Identity) || r.losses.lostAfter(now.Add(-s.Age(now)), a.Identity),
+		Identity:        a.Identity,
+		Load:            load,
+		ReportedAt:      s.LoadMeasuredAt(),
+		SentSinceReport: since,
+		InFlight:        r.inFlight.of(a.Identity).With(peerBand, int32(p.PeerRequests), p.PeerTokens),
+		PriorityAware:   true,
+		Reserve:         a.Role == reserveRole,
+		Suspect:         r.Guard.RequiresIsolation(now, a.Identity) || r.losses.lostAfter(now.Add(-s.Age(now)), a.Identity),
 	}
 	if c.Load.PrefillRate <= 0 {
 		c.Load.PrefillRate = assumedPrefillRate
@@ -85,8 +85,8 @@
 func (r *router) store(now time.Time, s *membership.Server) route.Store {
 	a := s.Announcement()
 	load, _ := s.Load()
-	p := r.Work.Pending(now, s.Key(), s.LoadTaken())
-	drained := int64(now.Sub(s.LoadTaken()).Seconds() * load.LinkRate)
+	p := r.Work.Pending(now, s.Key(), s.LoadMeasuredAt())
+	drained := int64(now.Sub(s.LoadMeasuredAt()).Seconds() * load.LinkRate)
 	return route.Store{
 		Identity:   a.Identity,
 		LinkRate:   load.LinkRate,
--- a/internal/entry/control/client.go
+++ b/internal/entry/control/client.go
@@ -44,9 +44,9 @@
 	// Read answers a query of one section from a state that is no older than the call.
 	Read(ctx context.Context, section string, body []byte) ([]byte, error)
 	// ReadAll answers several queries from one state and, if r is not nil, renews the settings lease of the entry that sends r.
-	ReadAll(ctx context.Context, r *protocol.Report, queries ...state.Query) (protocol.Answers, error)
+	ReadAll(ctx context.Context, r *protocol.Report, queries ...state.Query) (protocol.ReadResponse, error)
 	// InForce returns whether a settings revision is in force everywhere.
-	InForce(ctx context.Context, revision uint64) (lease.Force, error)
+	InForce(ctx context.Context, revision uint64) (lease.InForceStatus, error)
 	// Holders returns the entries that hold a settings lease.
 	Holders(ctx context.Context) ([]protocol.HolderRevision, error)
 	// Statuses returns the status of each replica that answers, by the replica's address.
@@ -85,9 +85,9 @@
 }
 
 // ReadAll implements Client.
-func (c *client) ReadAll(ctx context.Context, r *protocol.Report, queries ...state.Query) (protocol.Answers, error) {
-	q := protocol.Reading{Queries: queries, Report: r}
-	a, err := callReplicas(ctx, c, largeReadTimeout, retryAlways, func(ctx context.Context, address string) (protocol.Answers, error) {
+func (c *client) ReadAll(ctx context.Context, r *protocol.Report, queries ...state.Query) (protocol.ReadResponse, error) {
+	q := protocol.ReadRequest{Queries: queries, Report: r}
+	a, err := callReplicas(ctx, c, largeReadTimeout, retryAlways, func(ctx context.Context, address string) (protocol.ReadResponse, error) {
 		return rpc.Call(ctx, c.config.Node, address, protocol.Read, q)
 	})
 	if err == nil && len(a.Bodies) != len(queries) {
@@ -97,8 +97,8 @@
 }
 
 // InForce implements Client.
-func (c *client) InForce(ctx context.Context, revision uint64) (lease.Force, error) {
-	return callReplicas(ctx, c, readTimeout, retryAlways, func(ctx context.Context, address string) (lease.Force, error) {
+func (c *client) InForce(ctx context.Context, revision uint64) (lease.InForceStatus, error) {
+	return callReplicas(ctx, c, readTimeout, retryAlways, func(ctx context.Context, address string) (lease.InForceStatus, error) {
 		return rpc.Call(ctx, c.config.Node, address, protocol.InForce, protocol.InForceQuery{Revision: revision})
 	})
 }
--- a/internal/entry/control/slow_link_test.go
+++ b/internal/entry/control/slow_link_test.go
@@ -102,9 +102,9 @@
 	const size = 2 << 20
 	server := openNode(t, keys.Control)
 	attempts := make(chan struct{}, 64)
-	rpc.Handle(server, protocol.Read, func(context.Context, rpc.Peer, protocol.Reading) (protocol.Answers, error) {
+	rpc.Handle(server, protocol.Read, func(context.Context, rpc.Peer, protocol.ReadRequest) (protocol.ReadResponse, error) {
 		attempts <- struct{}{}
-		return protocol.Answers{Bodies: [][]byte{make([]byte, size)}}, nil
+		return protocol.ReadResponse{Bodies: [][]byte{make([]byte, size)}}, nil
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -132,13 +132,13 @@
 // long as the transfer of a large answer may take.
 func TestUnresponsiveReplicaIsSkippedSoon(t *testing.T) {
 	unresponsive, healthy := openNode(t, keys.Control), openNode(t, keys.Control)
-	rpc.Handle(unresponsive, protocol.Read, func(ctx context.Context, _ rpc.Peer, _ protocol.Reading) (protocol.Answers, error) {
+	rpc.Handle(unresponsive, protocol.Read, func(ctx context.Context, _ rpc.Peer, _ protocol.ReadRequest) (protocol.ReadResponse, error) {
 		<-ctx.Done()
 		time.Sleep(2 * readTimeout)
-		return protocol.Answers{}, ctx.Err()
+		return protocol.ReadResponse{}, ctx.Err()
 	})
-	rpc.Handle(healthy, protocol.Read, func(context.Context, rpc.Peer, protocol.Reading) (protocol.Answers, error) {
-		return protocol.Answers{Bodies: [][]byte{{1}}}, nil
+	rpc.Handle(healthy, protocol.Read, func(context.Context, rpc.Peer, protocol.ReadRequest) (protocol.ReadResponse, error) {
+		return protocol.ReadResponse{Bodies: [][]byte{{1}}}, nil
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
--- a/internal/entry/operator/answer.go
+++ b/internal/entry/operator/answer.go
@@ -51,7 +51,7 @@
 	if r.URL.Query().Get(waitParameter) == waitInForce {
 		ctx, cancel := context.WithTimeout(r.Context(), h.WaitLimit)
 		defer cancel()
-		a.InForce = h.Force.Wait(ctx, o.Revision) == nil
+		a.InForce = h.InForce.Wait(ctx, o.Revision) == nil
 		if !a.InForce {
 			status = http.StatusAccepted
 		}
--- a/internal/entry/operator/config.go
+++ b/internal/entry/operator/config.go
@@ -30,8 +30,8 @@
 	Check() error
 }
 
-// Force waits for revisions to be in force at every entry.
-type Force interface {
+// InForceWaiter waits for revisions to be in force at every entry.
+type InForceWaiter interface {
 	// Wait returns nil once the revision is in force at every entry, or the error of ctx.
 	Wait(ctx context.Context, revision uint64) error
 }
@@ -51,8 +51,8 @@
 	Settings Settings
 	// Lease is checked before a request is authenticated; required.
 	Lease Lease
-	// Force serves "?wait=in-force"; required.
-	Force Force
+	// InForce serves "?wait=in-force"; required.
+	InForce InForceWaiter
 	// Actions are additional operator requests.
 	Actions []Action
 	// BootstrapKeyDigest is the digest of the key that may edit while the tree has no operators; zero for none.
--- a/internal/entry/operator/fake_test.go
+++ b/internal/entry/operator/fake_test.go
@@ -85,7 +85,7 @@
 		Log:                f.log,
 		Settings:           f.copy,
 		Lease:              f.lease,
-		Force:              f.force,
+		InForce:            f.force,
 		BootstrapKeyDigest: digest.Of("bootstrap-key"),
 		MaxBody:            4096,
 		Timeout:            time.Second,
--- a/internal/entry/picker/picker.go
+++ b/internal/entry/picker/picker.go
@@ -32,8 +32,8 @@
 	Servers Servers
 	// Work counts the calls sent since the servers' load reports.
 	Work membership.Work
-	// Age returns the maximum age of a server's last announcement.
-	Age func() time.Duration
+	// MaxAnnouncementAge returns the maximum age of a server's last announcement.
+	MaxAnnouncementAge func() time.Duration
 	// Zone is this entry's availability zone.
 	Zone string
 	// Now returns the local time with its monotonic reading.
@@ -81,7 +81,7 @@
 
 func (p *picker) candidates(now time.Time, name string, excluded []string) []candidate {
 	var all []candidate
-	need := membership.Need{Kind: announcement.Service, Service: name, Age: p.Age()}
+	need := membership.Need{Kind: announcement.Service, Service: name, Age: p.MaxAnnouncementAge()}
 	view := p.Servers.View()
 	for s := range view.All() {
 		a := s.Announcement()
@@ -89,7 +89,7 @@
 			continue
 		}
 		load, _ := s.Load()
-		w := p.Work.Pending(now, s.Key(), s.LoadTaken())
+		w := p.Work.Pending(now, s.Key(), s.LoadMeasuredAt())
 		all = append(all, candidate{
 			server: s,
 			calls:  load.Running + w.Requests + w.PeerRequests,
--- a/internal/entry/quarantine/config.go
+++ b/internal/entry/quarantine/config.go
@@ -46,8 +46,8 @@
 	Limits func() Limits
 	// Incarnation returns a server's last known incarnation; nil means 0 for all.
 	Incarnation func(server string) uint64
-	// Tell reports a suspect to the other entries and returns once they have received the report; nil disables it.
-	Tell func(ctx context.Context, f completion.Fingerprint)
+	// ReportSuspect reports a suspect to the other entries and returns once they have received the report; nil disables it.
+	ReportSuspect func(ctx context.Context, f completion.Fingerprint)
 	// Interval is the polling interval of the quarantine record; default 1 s.
 	Interval time.Duration
 	// Lease bounds how long a suspect's slot stays held after this entry crashes; default 2 min.
@@ -65,8 +65,8 @@
 	if c.Incarnation == nil {
 		c.Incarnation = func(string) uint64 { return 0 }
 	}
-	if c.Tell == nil {
-		c.Tell = func(context.Context, completion.Fingerprint) {}
+	if c.ReportSuspect == nil {
+		c.ReportSuspect = func(context.Context, completion.Fingerprint) {}
 	}
 	if c.Interval <= 0 {
 		c.Interval = defaultInterval
--- a/internal/entry/quarantine/guard.go
+++ b/internal/entry/quarantine/guard.go
@@ -18,10 +18,10 @@
 // Guard is a completion.Guard that follows the fleet-wide quarantine record.
 type Guard interface {
 	completion.Guard
-	// Name records the workspace and model of a fingerprint, for the list shown to operators.
-	Name(f completion.Fingerprint, workspace, model string)
-	// Suspect marks a fingerprint as suspect that another entry reported.
-	Suspect(f completion.Fingerprint)
+	// RecordOwner records the workspace and model of a fingerprint, for the list shown to operators.
+	RecordOwner(f completion.Fingerprint, workspace, model string)
+	// MarkSuspect marks a fingerprint as suspect that another entry reported.
+	MarkSuspect(f completion.Fingerprint)
 	// Quarantined returns the number of quarantined requests.
 	Quarantined() int
 	// Close stops the goroutine that polls the record.
@@ -61,8 +61,8 @@
 	<-g.done
 }
 
-// Name implements Guard.
-func (g *guard) Name(f completion.Fingerprint, workspace, model string) {
+// RecordOwner implements Guard.
+func (g *guard) RecordOwner(f completion.Fingerprint, workspace, model string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.owners) >= maxOwners {
@@ -110,15 +110,15 @@
 	g.local.startRun(f, server)
 }
 
-// Alone implements completion.Guard.
-func (g *guard) Alone(_ time.Time, server string) bool {
+// RequiresIsolation implements completion.Guard.
+func (g *guard) RequiresIsolation(_ time.Time, server string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.local.suspects[server] > 0
 }
 
-// Suspect implements Guard.
-func (g *guard) Suspect(f completion.Fingerprint) {
+// MarkSuspect implements Guard.
+func (g *guard) MarkSuspect(f completion.Fingerprint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.view = g.view.WithSuspect(suspicion.Fingerprint(f))
@@ -140,7 +140,7 @@
 	owner := g.ownerOf(f)
 	g.mu.Unlock()
 	if lost {
-		g.Tell(ctx, f)
+		g.ReportSuspect(ctx, f)
 		g.reportLoss(ctx, server, owner)
 	}
 	if held {
--- a/internal/entry/quarantine/guard_test.go
+++ b/internal/entry/quarantine/guard_test.go
@@ -71,7 +71,7 @@
 	log := newSectionLog()
 	all := newGuards(t, log, 6)
 	culprit := completion.FingerprintOf("w", "m", []byte("crash"))
-	all[0].Name(culprit, "w", "m")
+	all[0].RecordOwner(culprit, "w", "m")
 	lost := 0
 	for n := range 30 {
 		g := all[n%len(all)]
@@ -116,7 +116,7 @@
 		t.Errorf("it ran twice concurrently in one entry: %v", e)
 	}
 	all[1].Started(now, f, "b")
-	if !all[1].Alone(now, "b") || all[1].Alone(now, "a") {
+	if !all[1].RequiresIsolation(now, "b") || all[1].RequiresIsolation(now, "a") {
 		t.Error("the guard does not isolate exactly the suspect's server")
 	}
 	if e, ok := verdict.As(all[0].Check(now, f)); !ok || e.Code != "request-suspect" || e.RetryAfter == 0 || e.Verdict != verdict.NotRun {
@@ -124,7 +124,7 @@
 	}
 	all[1].Ended(context.Background(), now, f, "b", false)
 	all[0].refresh(context.Background())
-	if err := runRequest(all[0], f, "c", false); err != nil || all[1].Alone(now, "b") {
+	if err := runRequest(all[0], f, "c", false); err != nil || all[1].RequiresIsolation(now, "b") {
 		t.Errorf("after a run without a loss: %v", err)
 	}
 }
@@ -134,7 +134,7 @@
 	log := newSectionLog()
 	g := newGuards(t, log, 1)[0]
 	f := completion.FingerprintOf("w", "m", []byte("x"))
-	g.Name(f, "w", "m")
+	g.RecordOwner(f, "w", "m")
 	for _, s := range []string{"a", "b"} {
 		if err := runRequest(g, f, s, true); err != nil {
 			t.Fatal(err)
--- a/internal/entry/service/at_most_once_test.go
+++ b/internal/entry/service/at_most_once_test.go
@@ -275,8 +275,8 @@
 	}
 	_, err = c.Call(context.Background(), callOf("w", "k", "x"))
 	var e verdict.Error
-	if !errors.As(err, &e) || e.Status != http.StatusConflict || e.RetryAfter == 0 || c.Open() != 1 {
-		t.Fatalf("meanwhile: %v with %d open", err, c.Open())
+	if !errors.As(err, &e) || e.Status != http.StatusConflict || e.RetryAfter == 0 || c.OpenCalls() != 1 {
+		t.Fatalf("meanwhile: %v with %d open", err, c.OpenCalls())
 	}
 	mu.Lock()
 	unavailable = false
--- a/internal/entry/service/client.go
+++ b/internal/entry/service/client.go
@@ -21,8 +21,8 @@
 	Call(ctx context.Context, r Request) (Answer, error)
 	// Abandon marks the claims of an entry's incarnations up to the given one as unknown and returns their number.
 	Abandon(ctx context.Context, entry string, incarnation uint64) (int, error)
-	// Open returns the number of claimed calls whose outcome has not been recorded yet.
-	Open() int
+	// OpenCalls returns the number of claimed calls whose outcome has not been recorded yet.
+	OpenCalls() int
 	// Drain waits until no claimed call is open; it returns an error when ctx ends first.
 	Drain(ctx context.Context) error
 }
@@ -67,8 +67,8 @@
 	return c.callOnce(ctx, r)
 }
 
-// Open implements Client.
-func (c *client) Open() int {
+// OpenCalls implements Client.
+func (c *client) OpenCalls() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.openCalls
--- a/internal/entry/settings/config.go
+++ b/internal/entry/settings/config.go
@@ -15,9 +15,9 @@
 // Log is the control log.
 type Log interface {
 	// ReadAll answers queries from one state and renews the settings lease of the entry that sends r.
-	ReadAll(ctx context.Context, r *protocol.Report, queries ...state.Query) (protocol.Answers, error)
+	ReadAll(ctx context.Context, r *protocol.Report, queries ...state.Query) (protocol.ReadResponse, error)
 	// InForce returns whether a settings revision is in force everywhere.
-	InForce(ctx context.Context, revision uint64) (lease.Force, error)
+	InForce(ctx context.Context, revision uint64) (lease.InForceStatus, error)
 }
 
 // Feed is a part of the replicated state that an entry follows in addition to the settings.
@@ -28,7 +28,7 @@
 	Apply(answer []byte) error
 }
 
-// Config configures a Keeper.
+// Config configures a LeasedSettings.
 type Config struct {
 	// Log is the control log.
 	Log Log
--- a/internal/entry/settings/leased_settings.go
+++ b/internal/entry/settings/leased_settings.go
@@ -27,8 +27,8 @@
 	inForcePollInterval = 100 * time.Millisecond
 )
 
-// Keeper holds an entry's settings and renews their lease.
-type Keeper interface {
+// LeasedSettings holds an entry's settings and renews their lease.
+type LeasedSettings interface {
 	// Current returns the settings for new work, or a verdict.Error when their lease has expired.
 	Current() (*rules.Snapshot, error)
 	// Check returns a verdict.Error when the lease has expired.
@@ -45,21 +45,21 @@
 
 type leasedSettings struct {
 	Config
-	lease     lease.Keeper
+	lease     lease.EntryLease
 	cancel    context.CancelFunc
 	running   sync.WaitGroup
 	leaseHeld bool
 }
 
-// NewKeeper returns a Keeper that renews its lease until it is closed.
-func NewKeeper(c Config) Keeper {
+// NewLeasedSettings returns a LeasedSettings that renews its lease until it is closed.
+func NewLeasedSettings(c Config) LeasedSettings {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &leasedSettings{Config: c, lease: lease.NewKeeper(), cancel: cancel}
+	s := &leasedSettings{Config: c, lease: lease.NewEntryLease(), cancel: cancel}
 	s.running.Go(func() { s.run(ctx) })
 	return s
 }
 
-// Current implements Keeper.
+// Current implements LeasedSettings.
 //
 // The copy is read before the lease is checked. In the other order a newer copy
 // could be applied in between, and the checked lease would not cover it.
@@ -68,24 +68,24 @@
 	return snapshot, s.lease.Check(s.Now(), snapshot.Fleet.ServeWithoutQuorum)
 }
 
-// Check implements Keeper.
+// Check implements LeasedSettings.
 func (s *leasedSettings) Check() error {
 	_, err := s.Current()
 	return err
 }
 
-// View implements Keeper.
+// View implements LeasedSettings.
 func (s *leasedSettings) View() follower.View {
 	return s.Follower.View()
 }
 
-// Close implements Keeper.
+// Close implements LeasedSettings.
 func (s *leasedSettings) Close() {
 	s.cancel()
 	s.running.Wait()
 }
 
-// Wait implements Keeper.
+// Wait implements LeasedSettings.
 func (s *leasedSettings) Wait(ctx context.Context, revision uint64) error {
 	for {
 		f, err := s.Log.InForce(ctx, revision)
@@ -100,7 +100,7 @@
 	}
 }
 
-// Release implements Keeper.
+// Release implements LeasedSettings.
 func (s *leasedSettings) Release(ctx context.Context) error {
 	s.Close()
 	_, err := s.Log.ReadAll(ctx, &protocol.Report{Holder: s.Holder, Released: true})
--- a/internal/entry/settings/leased_settings_test.go
+++ b/internal/entry/settings/leased_settings_test.go
@@ -28,18 +28,18 @@
 	reports []protocol.Report
 }
 
-func (l *fakeLog) ReadAll(ctx context.Context, r *protocol.Report, queries ...state.Query) (protocol.Answers, error) {
+func (l *fakeLog) ReadAll(ctx context.Context, r *protocol.Report, queries ...state.Query) (protocol.ReadResponse, error) {
 	if l.beforeAnswer != nil {
 		l.beforeAnswer()
 	}
 	if d, ok := ctx.Deadline(); l.latency > 0 && ok && time.Until(d) < l.latency {
-		return protocol.Answers{}, context.DeadlineExceeded
+		return protocol.ReadResponse{}, context.DeadlineExceeded
 	}
 	if l.unreachable {
-		return protocol.Answers{}, errors.New("no answer")
+		return protocol.ReadResponse{}, errors.New("no answer")
 	}
 	l.reports = append(l.reports, *r)
-	var a protocol.Answers
+	var a protocol.ReadResponse
 	for _, q := range queries {
 		b, err := l.machine.Query(q)
 		if err != nil {
@@ -50,8 +50,8 @@
 	return a, nil
 }
 
-func (l *fakeLog) InForce(context.Context, uint64) (lease.Force, error) {
-	return lease.Force{Waiting: []string{"entry-2"}}, nil
+func (l *fakeLog) InForce(context.Context, uint64) (lease.InForceStatus, error) {
+	return lease.InForceStatus{Waiting: []string{"entry-2"}}, nil
 }
 
 // fixture is an entry with a clock that the test advances; it renews its lease only when the test calls renew.
@@ -79,7 +79,7 @@
 			Follower: follower.New(),
 			Now:      func() time.Time { return f.now },
 		},
-		lease:  lease.NewKeeper(),
+		lease:  lease.NewEntryLease(),
 		cancel: func() {},
 	}
 	return f
--- a/internal/fleet/membership/merge.go
+++ b/internal/fleet/membership/merge.go
@@ -1,7 +1,7 @@
 package membership
 
-// Merge is the result of merging one announcement.
-type Merge struct {
+// MergeResult is the result of merging one announcement.
+type MergeResult struct {
 	// Outcome is the effect of the merge.
 	Outcome Outcome
 	// Cause is the reason for the outcome.
@@ -14,6 +14,6 @@
 	Changed bool
 }
 
-func refuse(c Cause, detail string) Merge {
-	return Merge{Outcome: Refused, Cause: c, Detail: detail}
+func refuse(c Cause, detail string) MergeResult {
+	return MergeResult{Outcome: Refused, Cause: c, Detail: detail}
 }
--- a/internal/fleet/membership/server.go
+++ b/internal/fleet/membership/server.go
@@ -40,8 +40,8 @@
 	return s.load, s.load.Sequence > 0
 }
 
-// LoadTaken returns the local time at which the values of Load were measured.
-func (s *Server) LoadTaken() time.Time {
+// LoadMeasuredAt returns the local time at which the values of Load were measured.
+func (s *Server) LoadMeasuredAt() time.Time {
 	return s.loadMeasuredAt
 }
 
--- a/internal/fleet/membership/table.go
+++ b/internal/fleet/membership/table.go
@@ -16,9 +16,9 @@
 // Table holds the newest announcements of all backend servers of a cell.
 type Table interface {
 	// Announce merges an announcement that the server itself sent to this entry.
-	Announce(now time.Time, a announcement.Announcement) Merge
+	Announce(now time.Time, a announcement.Announcement) MergeResult
 	// Merge merges an announcement that was made at most age ago.
-	Merge(now time.Time, a announcement.Announcement, age time.Duration) Merge
+	Merge(now time.Time, a announcement.Announcement, age time.Duration) MergeResult
 	// View returns the current records of all servers without taking a lock.
 	View() View
 	// Sweep removes servers whose last announcement is too old and returns their identities.
@@ -46,12 +46,12 @@
 }
 
 // Announce implements Table.
-func (t *table) Announce(now time.Time, a announcement.Announcement) Merge {
+func (t *table) Announce(now time.Time, a announcement.Announcement) MergeResult {
 	return t.merge(now, a, source{direct: true})
 }
 
 // Merge implements Table.
-func (t *table) Merge(now time.Time, a announcement.Announcement, age time.Duration) Merge {
+func (t *table) Merge(now time.Time, a announcement.Announcement, age time.Duration) MergeResult {
 	return t.merge(now, a, source{age: age})
 }
 
@@ -64,7 +64,7 @@
 	return v
 }
 
-func (t *table) merge(now time.Time, a announcement.Announcement, src source) Merge {
+func (t *table) merge(now time.Time, a announcement.Announcement, src source) MergeResult {
 	if err := t.config.Check(a); err != nil {
 		return refuse(BadField, err.Error())
 	}
@@ -77,7 +77,7 @@
 	}
 	known := &e.server.announcement
 	if a.Incarnation < known.Incarnation {
-		return Merge{Outcome: Stale, Cause: OlderIncarnation}
+		return MergeResult{Outcome: Stale, Cause: OlderIncarnation}
 	}
 	if a.Incarnation > known.Incarnation {
 		return t.restart(s, e, now, a, src)
@@ -89,7 +89,7 @@
 }
 
 // add adds a new server.
-func (t *table) add(s *shard, now time.Time, a announcement.Announcement, src source) Merge {
+func (t *table) add(s *shard, now time.Time, a announcement.Announcement, src source) MergeResult {
 	if t.count.Load() >= int64(t.config.Servers) {
 		return refuse(TooManyServers, fmt.Sprintf("%d servers are known, which is the limit", t.config.Servers))
 	}
@@ -101,7 +101,7 @@
 	e.server = updatedServer(nil, a, e.madeAt(now, a, src), src.direct)
 	s.entries[a.Identity] = e
 	s.publish()
-	return Merge{
+	return MergeResult{
 		Outcome: Accepted,
 		Cause:   NewServer,
 		Leaving: a.State == announcement.Leaving,
@@ -110,7 +110,7 @@
 }
 
 // restart replaces the record of an older incarnation, whatever its state.
-func (t *table) restart(s *shard, e *entry, now time.Time, a announcement.Announcement, src source) Merge {
+func (t *table) restart(s *shard, e *entry, now time.Time, a announcement.Announcement, src source) MergeResult {
 	old := e.server.announcement
 	if user, ok := t.addresses.claim(now, a.Address, a.Identity, t.usedBy(now, a.Address)); !ok {
 		return refuse(AddressConflict, fmt.Sprintf("%s is in use by %s", a.Address, user))
@@ -121,7 +121,7 @@
 	e.delay = delayEstimator{}
 	e.server = updatedServer(e.server, a, e.madeAt(now, a, src), src.direct)
 	s.publish()
-	return Merge{
+	return MergeResult{
 		Outcome: Accepted,
 		Cause:   NewIncarnation,
 		Leaving: a.State == announcement.Leaving,
@@ -130,7 +130,7 @@
 }
 
 // mergeSameIncarnation merges an announcement of the current incarnation.
-func (s *shard) mergeSameIncarnation(e *entry, a announcement.Announcement, madeAt time.Time, direct bool) Merge {
+func (s *shard) mergeSameIncarnation(e *entry, a announcement.Announcement, madeAt time.Time, direct bool) MergeResult {
 	old := e.server
 	wasReady := old.announcement.State == announcement.Ready
 	leaves := wasReady && a.State == announcement.Leaving
@@ -138,16 +138,16 @@
 	case a.Sequence > old.announcement.Sequence:
 		e.server = updatedServer(old, a, madeAt, direct)
 		s.publish()
-		return Merge{Outcome: Accepted, Cause: NewerSequence, Leaving: leaves, Changed: e.server.digest != old.digest}
+		return MergeResult{Outcome: Accepted, Cause: NewerSequence, Leaving: leaves, Changed: e.server.digest != old.digest}
 	case leaves:
 		n := *old
 		n.announcement.State = announcement.Leaving
 		n.direct = direct
 		e.server = &n
 		s.publish()
-		return Merge{Outcome: Accepted, Cause: LateLeaving, Leaving: true}
+		return MergeResult{Outcome: Accepted, Cause: LateLeaving, Leaving: true}
 	case a.Sequence < old.announcement.Sequence:
-		return Merge{Outcome: Stale, Cause: OlderSequence}
+		return MergeResult{Outcome: Stale, Cause: OlderSequence}
 	}
 	if madeAt.After(old.madeAt) {
 		n := *old
@@ -155,7 +155,7 @@
 		e.server = &n
 		s.publish()
 	}
-	return Merge{Outcome: Duplicate, Cause: SameSequence}
+	return MergeResult{Outcome: Duplicate, Cause: SameSequence}
 }
 
 // usedBy returns a function that reports whether an identity still uses the address. It reads the lock-free view because the other identity's shard may be locked.
--- a/internal/fleet/orders/controller.go
+++ b/internal/fleet/orders/controller.go
@@ -19,9 +19,9 @@
 // while the first one runs.
 type Controller interface {
 	// Begin starts a term of the lease with the orders from the previous holder's note.
-	Begin(now time.Time, t lease.Term, inherited []Outstanding)
+	Begin(now time.Time, t lease.HeldLease, inherited []Outstanding)
 	// Renewed records a renewal that committed the note of the given version.
-	Renewed(t lease.Term, noteVersion uint64)
+	Renewed(t lease.HeldLease, noteVersion uint64)
 	// End ends the term.
 	End()
 	// Plan returns the actions that are due now.
@@ -47,7 +47,7 @@
 
 type controller struct {
 	config        Config
-	term          lease.Term
+	term          lease.HeldLease
 	sendFrom      time.Time
 	jobs          map[string]*job
 	retries       map[target]retry
@@ -67,14 +67,14 @@
 // that it sent right before that may be in flight for up to Flight. Engines
 // that check fencing numbers would refuse that order; the others would carry
 // out both orders.
-func (c *controller) Begin(now time.Time, t lease.Term, inherited []Outstanding) {
+func (c *controller) Begin(now time.Time, t lease.HeldLease, inherited []Outstanding) {
 	c.End()
 	c.term = t
 	c.sendFrom = now
-	if t.Quiet.After(now) {
-		c.sendFrom = t.Quiet
+	if t.ActiveFrom.After(now) {
+		c.sendFrom = t.ActiveFrom
 	}
-	if t.Quiet.After(now) || len(inherited) > 0 {
+	if t.ActiveFrom.After(now) || len(inherited) > 0 {
 		c.sendFrom = c.sendFrom.Add(c.config.Flight)
 	}
 	for _, o := range inherited {
@@ -90,7 +90,7 @@
 }
 
 // Renewed implements Controller.
-func (c *controller) Renewed(t lease.Term, noteVersion uint64) {
+func (c *controller) Renewed(t lease.HeldLease, noteVersion uint64) {
 	if t.Fencing != c.term.Fencing {
 		return
 	}
@@ -100,7 +100,7 @@
 
 // End implements Controller.
 func (c *controller) End() {
-	c.term = lease.Term{}
+	c.term = lease.HeldLease{}
 	c.jobs = map[string]*job{}
 	c.fenced = false
 	c.version++
--- a/internal/fleet/orders/fencing_test.go
+++ b/internal/fleet/orders/fencing_test.go
@@ -87,7 +87,7 @@
 	if !g.term.Valid(now) {
 		g.c.End()
 		g.plan = Plan{}
-		g.term = lease.Term{}
+		g.term = lease.HeldLease{}
 	}
 	if w.now >= g.due {
 		g.due = w.now + 2*time.Second
@@ -242,7 +242,7 @@
 				w.fault = err.Error()
 			}
 			w.counts.terms++
-			g.term = lease.NewTerm(x, sent, received, leaseTime)
+			g.term = lease.NewHeldLease(x, sent, received, leaseTime)
 			g.renewed = 0
 			g.c.Begin(received, g.term, inherited)
 		})
--- a/internal/fleet/orders/simulation_test.go
+++ b/internal/fleet/orders/simulation_test.go
@@ -33,7 +33,7 @@
 	name           string
 	c              Controller
 	table          membership.Table
-	term           lease.Term
+	term           lease.HeldLease
 	suspendedUntil time.Duration
 	due            time.Duration
 	unsent         []Instruction
--- a/internal/fleet/quic/suspects.go
+++ b/internal/fleet/quic/suspects.go
@@ -31,14 +31,14 @@
 	Node rpc.Node
 	// Addresses maps the names of the other entries to their addresses.
 	Addresses map[string]string
-	// Take is called with the fingerprint of each request that another entry reports as suspect.
-	Take func(fingerprint [32]byte)
+	// OnReport is called with the fingerprint of each request that another entry reports as suspect.
+	OnReport func(fingerprint [32]byte)
 }
 
 // Suspects reports a request to the other entries as soon as a server was lost while running it.
 type Suspects interface {
-	// Tell returns when every other entry has answered or timed out.
-	Tell(ctx context.Context, fingerprint [32]byte)
+	// Report returns when every other entry has answered or timed out.
+	Report(ctx context.Context, fingerprint [32]byte)
 }
 
 type suspects struct {
@@ -48,14 +48,14 @@
 // NewSuspects registers the receiver; it is called before the node serves.
 func NewSuspects(c SuspectsConfig) Suspects {
 	rpc.Handle(c.Node, suspect, func(_ context.Context, _ rpc.Peer, s suspectReport) (empty, error) {
-		c.Take(s.Fingerprint)
+		c.OnReport(s.Fingerprint)
 		return empty{}, nil
 	})
 	return &suspects{SuspectsConfig: c}
 }
 
-// Tell implements Suspects.
-func (s *suspects) Tell(ctx context.Context, fingerprint [32]byte) {
+// Report implements Suspects.
+func (s *suspects) Report(ctx context.Context, fingerprint [32]byte) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	var calls sync.WaitGroup
--- a/internal/load/comparison/ablations.go
+++ b/internal/load/comparison/ablations.go
@@ -6,8 +6,8 @@
 )
 
 // Ablations returns the policy with one element disabled at a time.
-func Ablations() []model.Contender {
-	var all []model.Contender
+func Ablations() []model.Variant {
+	var all []model.Variant
 	for _, p := range route.DefaultElements() {
 		if name := p.Element.Name(); !requiredElements[name] {
 			all = append(all, Policy("without "+name, name))
@@ -20,9 +20,9 @@
 	withoutAdmission := Policy("without admission")
 	withoutAdmission.Admission = false
 	withoutFairQueueing := Policy("without fair queueing")
-	withoutFairQueueing.Fair = false
+	withoutFairQueueing.FairQueueing = false
 	withoutWorth := Policy("without worth in admission")
-	withoutWorth.Worthless = true
+	withoutWorth.IgnoreWorth = true
 	return append(all, exportAll, exportNone, withoutAdmission, withoutFairQueueing, withoutWorth)
 }
 
--- a/internal/load/comparison/capacity.go
+++ b/internal/load/comparison/capacity.go
@@ -27,7 +27,7 @@
 }
 
 func sustains(c Config, d workload.Deployment, rate float64) bool {
-	leastLoaded := model.Contender{
+	leastLoaded := model.Variant{
 		Name:     "least-loaded",
 		Strategy: func() route.Strategy { return baseline.NewLeastLoaded(baseline.Config{}) },
 	}
--- a/internal/load/comparison/cell.go
+++ b/internal/load/comparison/cell.go
@@ -10,7 +10,7 @@
 	// Deployment defines sizes and classes.
 	Deployment workload.Deployment
 	// Variant is the routing strategy with its options that is measured.
-	Variant model.Contender
+	Variant model.Variant
 	// Scenario names the failure; empty means none.
 	Scenario string
 	// Load is the load as a fraction of the capacity.
--- a/internal/load/comparison/cells.go
+++ b/internal/load/comparison/cells.go
@@ -13,7 +13,7 @@
 
 // ablationCells returns the policy and its ablations at full load and at overload.
 func ablationCells(_ Config, d workload.Deployment, capacity float64) []Cell {
-	all := append([]model.Contender{Policy(PolicyName)}, Ablations()...)
+	all := append([]model.Variant{Policy(PolicyName)}, Ablations()...)
 	return append(variantCells(d, capacity, 1, all), variantCells(d, capacity, 1.5, all)...)
 }
 
@@ -39,7 +39,7 @@
 	return cells
 }
 
-func variantCells(d workload.Deployment, capacity, load float64, all []model.Contender) []Cell {
+func variantCells(d workload.Deployment, capacity, load float64, all []model.Variant) []Cell {
 	cells := make([]Cell, len(all))
 	for i, x := range all {
 		cells[i] = Cell{Deployment: d, Variant: x, Load: load, Rate: load * capacity}
--- a/internal/load/comparison/direction_test.go
+++ b/internal/load/comparison/direction_test.go
@@ -18,8 +18,8 @@
 )
 
 // testVariants returns the baselines without stores, followed by the policy.
-func testVariants() []model.Contender {
-	var all []model.Contender
+func testVariants() []model.Variant {
+	var all []model.Variant
 	for _, build := range []func(baseline.Config) route.Strategy{
 		baseline.NewRoundRobin, baseline.NewLeastLoaded, baseline.NewPrefixHash,
 	} {
@@ -71,7 +71,7 @@
 // The load is 1.5 times the capacity. If work for requests that are not answered in
 // time displaces other work, fewer requests are answered than at full load.
 func TestOverloadDoesNotLowerGoodput(t *testing.T) {
-	own := []model.Contender{Policy(PolicyName)}
+	own := []model.Variant{Policy(PolicyName)}
 	var cells []Cell
 	for _, load := range []float64{1, 1.5} {
 		cells = append(cells, variantCells(workload.Certilote(), certiloteRate*load, 1, own)...)
@@ -93,7 +93,7 @@
 // If rows differed between runs, a comparison could not distinguish a change of the
 // policy from noise.
 func TestSameSeedGivesSameRows(t *testing.T) {
-	cells := variantCells(workload.Association(), associationRate, 1, []model.Contender{Policy(PolicyName)})
+	cells := variantCells(workload.Association(), associationRate, 1, []model.Variant{Policy(PolicyName)})
 	rows := Measure(Short(), append(cells, cells...))
 	if a, b := rows[0].Result, rows[1].Result; !reflect.DeepEqual(a, b) {
 		t.Errorf("two runs differ:\n%+v\n%+v", a, b)
--- a/internal/load/comparison/flood.go
+++ b/internal/load/comparison/flood.go
@@ -12,14 +12,14 @@
 const floodFactor = 1.5
 
 // floodVariants returns the baselines and the policy with and without fair queueing.
-func floodVariants() []model.Contender {
+func floodVariants() []model.Variant {
 	withoutFairQueueing := Policy("without fair queueing")
-	withoutFairQueueing.Fair = false
+	withoutFairQueueing.FairQueueing = false
 	return append(Baselines(), withoutFairQueueing, Policy(PolicyName))
 }
 
 // floodCells returns cells at full load in which a small workspace sends half of the capacity in addition.
-func floodCells(d workload.Deployment, capacity float64, all []model.Contender) []Cell {
+func floodCells(d workload.Deployment, capacity float64, all []model.Variant) []Cell {
 	floodingWorkspace := d.Workspaces[len(d.Workspaces)-1].Name
 	cells := variantCells(d.WithFlood(floodingWorkspace, floodFactor), capacity, floodFactor, all)
 	for i := range cells {
--- a/internal/load/comparison/measure.go
+++ b/internal/load/comparison/measure.go
@@ -30,7 +30,7 @@
 
 func (c Config) modelConfig(x *Cell, seed uint64) model.Config {
 	return model.Config{
-		Deployment: x.Deployment, Profile: c.Profile, Contender: x.Variant, Rate: x.Rate,
+		Deployment: x.Deployment, Profile: c.Profile, Variant: x.Variant, Rate: x.Rate,
 		Warmup: c.Warmup, Measured: c.Measured, Seed: seed, Failures: x.Failures, Flooder: x.Flooder,
 	}
 }
--- a/internal/load/comparison/scenarios.go
+++ b/internal/load/comparison/scenarios.go
@@ -19,10 +19,10 @@
 // failure begins after a fifth of the measured time and lasts for two fifths.
 func Scenarios() []Scenario {
 	return []Scenario{
-		{Name: "store-dies", Failures: singleFailure(model.StoreDies, 0)},
-		{Name: "link-slows-tenfold", Failures: singleFailure(model.LinkSlows, 0)},
+		{Name: "store-dies", Failures: singleFailure(model.StoreCrash, 0)},
+		{Name: "link-slows-tenfold", Failures: singleFailure(model.LinkSlowdown, 0)},
 		{Name: "third-of-servers-lost", Failures: thirdOfServersLost},
-		{Name: "entry-killed", Failures: singleFailure(model.EntryDies, 2)},
+		{Name: "entry-killed", Failures: singleFailure(model.EntryCrash, 2)},
 	}
 }
 
@@ -37,7 +37,7 @@
 	reserve := d.Reserve / 3
 	lost := (d.Servers+d.Reserve)/3 - reserve
 	return []model.Failure{
-		{Kind: model.ServersDie, Index: 0, Count: lost, At: length / 5, Until: length * 3 / 5},
-		{Kind: model.ServersDie, Index: d.Servers, Count: reserve, At: length / 5, Until: length * 3 / 5},
+		{Kind: model.ServerCrash, Index: 0, Count: lost, At: length / 5, Until: length * 3 / 5},
+		{Kind: model.ServerCrash, Index: d.Servers, Count: reserve, At: length / 5, Until: length * 3 / 5},
 	}
 }
--- a/internal/load/comparison/variants.go
+++ b/internal/load/comparison/variants.go
@@ -10,15 +10,15 @@
 const PolicyName = "hornbeamwood"
 
 // Policy returns the policy under test without the named elements.
-func Policy(name string, without ...string) model.Contender {
-	return model.Contender{
+func Policy(name string, without ...string) model.Variant {
+	return model.Variant{
 		Name: name,
 		Strategy: func() route.Strategy {
 			return route.New(route.Config{Name: name, Without: without})
 		},
-		Exports:   model.ExportWorth,
-		Admission: true,
-		Fair:      true,
+		Exports:      model.ExportWorth,
+		Admission:    true,
+		FairQueueing: true,
 	}
 }
 
@@ -26,8 +26,8 @@
 // stores. With stores, every piece is exported after a run, and every missing piece
 // that a store holds is imported. Least loaded is also measured with a fixed division
 // of the servers by role.
-func Baselines() []model.Contender {
-	var all []model.Contender
+func Baselines() []model.Variant {
+	var all []model.Variant
 	for _, build := range []func(baseline.Config) route.Strategy{
 		baseline.NewRoundRobin, baseline.NewLeastLoaded, baseline.NewPrefixHash,
 	} {
@@ -39,8 +39,8 @@
 	return append(all, newVariant(byRole, baseline.Config{Imports: true}, model.ExportAll))
 }
 
-func newVariant(build func(baseline.Config) route.Strategy, c baseline.Config, e model.ExportRule) model.Contender {
-	return model.Contender{
+func newVariant(build func(baseline.Config) route.Strategy, c baseline.Config, e model.ExportRule) model.Variant {
+	return model.Variant{
 		Name:     build(c).Name(),
 		Strategy: func() route.Strategy { return build(c) },
 		Exports:  e,
--- a/internal/load/model/config.go
+++ b/internal/load/model/config.go
@@ -12,8 +12,8 @@
 	Deployment workload.Deployment
 	// Profile holds the parameters of the simulated engines, stores and links.
 	Profile Profile
-	// Contender is the strategy to measure.
-	Contender Contender
+	// Variant is the strategy to measure.
+	Variant Variant
 	// Rate is the number of requests per second.
 	Rate float64
 	// Warmup is the time before requests are counted.
--- a/internal/load/model/entry.go
+++ b/internal/load/model/entry.go
@@ -21,7 +21,7 @@
 	strategy   route.Strategy
 	admission  admission.Policy
 	retries    retry.Policy
-	reuse      placement.Returns
+	reuse      placement.ReuseEstimator
 	servers    []serverView
 	stores     []storeView
 	own        map[*record]bool
@@ -35,10 +35,10 @@
 	e := &entry{
 		index: index, run: r,
 		random:    rand.New(rand.NewPCG(r.config.Seed, uint64(index)+100)),
-		strategy:  r.config.Contender.Strategy(),
+		strategy:  r.config.Variant.Strategy(),
 		admission: admission.New(admission.Config{}),
 		retries:   retry.New(retry.Config{}),
-		reuse:     placement.NewReturns(0.5),
+		reuse:     placement.NewReuseEstimator(0.5),
 		servers:   make([]serverView, len(r.engines)),
 		stores:    make([]storeView, len(r.stores)),
 		own:       map[*record]bool{},
@@ -57,7 +57,7 @@
 // arrive accepts a request from its caller.
 func (e *entry) arrive(q *request) {
 	q.entry = e
-	e.retries.First(q.arrival.Workspace, retryShare, retryShare)
+	e.retries.CountFirstAttempt(q.arrival.Workspace, retryShare, retryShare)
 	if q.arrival.Document != 0 {
 		e.reuse.Seen(q.arrival.Workspace, q.arrival.Visit)
 	}
@@ -100,7 +100,7 @@
 	if d.Server == route.None {
 		return false
 	}
-	if !e.run.config.Contender.Admission {
+	if !e.run.config.Variant.Admission {
 		return true
 	}
 	return e.admission.Decide(admission.Input{
@@ -116,7 +116,7 @@
 
 // worth returns the worth of the request, or 0 if admission does not compare requests by worth.
 func (e *entry) worth(q *request) float64 {
-	if e.run.config.Contender.Worthless {
+	if e.run.config.Variant.IgnoreWorth {
 		return 0
 	}
 	return q.arrival.Rules.Worth
--- a/internal/load/model/exports.go
+++ b/internal/load/model/exports.go
@@ -7,7 +7,7 @@
 
 // export exports pieces of an answered request by the export rule of the strategy under comparison.
 func (e *entry) export(q *request) {
-	rule := e.run.config.Contender.Exports
+	rule := e.run.config.Variant.Exports
 	if rule == ExportNone || q.arrival.Document == 0 {
 		return
 	}
@@ -36,9 +36,9 @@
 func (e *entry) placementInput(q *request) placement.Input {
 	p := e.run.config.Profile
 	in := placement.Input{
-		Rules:       q.arrival.Rules,
-		Return:      e.reuse.Probability(q.arrival.Workspace, q.arrival.Visit),
-		PrefillRate: p.PrefillRate,
+		Rules:            q.arrival.Rules,
+		ReuseProbability: e.reuse.Probability(q.arrival.Workspace, q.arrival.Visit),
+		PrefillRate:      p.PrefillRate,
 	}
 	for _, key := range q.arrival.Pieces {
 		in.Pieces = append(in.Pieces, placement.Piece{
--- a/internal/load/model/failure.go
+++ b/internal/load/model/failure.go
@@ -20,14 +20,14 @@
 type FailureKind uint8
 
 const (
-	// StoreDies crashes a store, which loses its content and restarts empty.
-	StoreDies FailureKind = iota
-	// LinkSlows divides the rate of a store's link by ten.
-	LinkSlows
-	// ServersDie crashes Count servers.
-	ServersDie
-	// EntryDies crashes an entry with its requests in flight.
-	EntryDies
+	// StoreCrash crashes a store, which loses its content and restarts empty.
+	StoreCrash FailureKind = iota
+	// LinkSlowdown divides the rate of a store's link by ten.
+	LinkSlowdown
+	// ServerCrash crashes Count servers.
+	ServerCrash
+	// EntryCrash crashes an entry with its requests in flight.
+	EntryCrash
 )
 
 type failureAction struct {
@@ -39,19 +39,19 @@
 const slowdown = 10
 
 var failureActions = map[FailureKind]failureAction{
-	StoreDies: {
+	StoreCrash: {
 		begin: func(r *run, f Failure) { r.crashStore(f.Index) },
 		end:   func(r *run, f Failure) { r.stores[f.Index].restart() },
 	},
-	LinkSlows: {
+	LinkSlowdown: {
 		begin: func(r *run, f Failure) { r.stores[f.Index].link.rate /= slowdown },
 		end:   func(r *run, f Failure) { r.stores[f.Index].link.rate *= slowdown },
 	},
-	ServersDie: {
+	ServerCrash: {
 		begin: func(r *run, f Failure) { r.crashServers(f) },
 		end:   func(r *run, f Failure) { r.restartServers(f) },
 	},
-	EntryDies: {
+	EntryCrash: {
 		begin: func(r *run, f Failure) { r.entries[f.Index].crash() },
 		end:   func(r *run, f Failure) { r.entries[f.Index].down = false },
 	},
--- a/internal/load/model/fair.go
+++ b/internal/load/model/fair.go
@@ -13,7 +13,7 @@
 
 // usesFairQueue reports whether a request is subject to fair queueing.
 func (e *entry) usesFairQueue(q *request) bool {
-	return e.run.config.Contender.Fair && route.Band(q.arrival.Rules.Priority) < route.UrgentBand
+	return e.run.config.Variant.FairQueueing && route.Band(q.arrival.Rules.Priority) < route.UrgentBand
 }
 
 // ahead returns the backlog at the chosen server.
--- a/internal/load/model/route_query.go
+++ b/internal/load/model/route_query.go
@@ -81,7 +81,7 @@
 	c := &cell.Candidates[at[r.server]]
 	c.InFlight = c.InFlight.With(r.band, 1, r.tokens)
 	if r.sent > e.servers[r.server].reportedAt {
-		c.Since = c.Since.With(r.band, 1, r.tokens)
+		c.SentSinceReport = c.SentSinceReport.With(r.band, 1, r.tokens)
 	}
 }
 
--- a/internal/load/model/contender.go
+++ b/internal/load/model/variant.go
@@ -2,8 +2,8 @@
 
 import "hornbeamwood/internal/policy/route"
 
-// Contender is a strategy under comparison with its settings.
-type Contender struct {
+// Variant is a strategy under comparison with its settings.
+type Variant struct {
 	// Name is the name of its row in the comparison.
 	Name string
 	// Strategy returns a new strategy for one entry.
@@ -12,11 +12,11 @@
 	Exports ExportRule
 	// Admission reports whether requests that cannot meet their deadlines are refused at once.
 	Admission bool
-	// Worthless reports that admission does not compare requests by worth.
-	Worthless bool
-	// Fair reports whether requests that are not urgent wait in a fair queue at the entry while the
+	// IgnoreWorth reports that admission does not compare requests by worth.
+	IgnoreWorth bool
+	// FairQueueing reports whether requests that are not urgent wait in a fair queue at the entry while the
 	// backlog of each server exceeds fairness.BacklogThreshold.
-	Fair bool
+	FairQueueing bool
 }
 
 // ExportRule is a rule for exports to stores.
--- a/internal/policy/baseline/least_loaded.go
+++ b/internal/policy/baseline/least_loaded.go
@@ -42,6 +42,6 @@
 // queued returns the seconds of prefill queued at a server.
 func queued(now time.Time, c *route.Candidate) float64 {
 	drained := c.Load.PrefillRate * now.Sub(c.ReportedAt).Seconds()
-	left := max(float64(c.Load.QueuedTokens)-drained, 0) + float64(c.Since.Total())
+	left := max(float64(c.Load.QueuedTokens)-drained, 0) + float64(c.SentSinceReport.Total())
 	return left / max(c.Load.PrefillRate, 1)
 }
--- a/internal/policy/placement/policy.go
+++ b/internal/policy/placement/policy.go
@@ -58,7 +58,7 @@
 func newExport(in *Input, i int) Export {
 	p := &in.Pieces[i]
 	e := Export{Piece: i, Store: Place(p.Key, in.Stores)}
-	e.Tier = tier(in.Return, p, &in.Stores[e.Store])
+	e.Tier = tier(in.ReuseProbability, p, &in.Stores[e.Store])
 	e.Worth = worth(in, p, &in.Stores[e.Store])
 	return e
 }
@@ -70,8 +70,8 @@
 	link := float64(p.Bytes) / s.LinkRate
 	saved := in.Rules.RecomputePrice*float64(p.Tokens)/tokensPerPrice +
 		in.Rules.FirstTokenPrice*max(float64(p.Tokens)/max(in.PrefillRate, 1)-link, 0)
-	price := in.Rules.LinkPrice * (1 + s.Backlog) * link * (1 + in.Return)
-	return (in.Return*saved - price) / link
+	price := in.Rules.LinkPrice * (1 + s.Backlog) * link * (1 + in.ReuseProbability)
+	return (in.ReuseProbability*saved - price) / link
 }
 
 func tier(reuse float64, p *Piece, s *Store) route.Tier {
--- a/internal/policy/placement/policy_test.go
+++ b/internal/policy/placement/policy_test.go
@@ -55,8 +55,8 @@
 
 func TestExportsDependOnWorth(t *testing.T) {
 	in := Input{
-		Rules:  rules.Rules{CacheExport: true, RecomputePrice: 1, LinkPrice: 1},
-		Return: 0.8, PrefillRate: 10000,
+		Rules:            rules.Rules{CacheExport: true, RecomputePrice: 1, LinkPrice: 1},
+		ReuseProbability: 0.8, PrefillRate: 10000,
 		Pieces: []Piece{{Key: 1, Tokens: 4000, Bytes: 2.5e8}, {Key: 2, Tokens: 4000, Bytes: 2.5e8, Stored: true}},
 		Stores: stores(2),
 	}
@@ -64,7 +64,7 @@
 		t.Errorf("likely return: got %+v", d)
 	}
 	never := in
-	never.Return = 0
+	never.ReuseProbability = 0
 	if d := Decide(never); d.Reason != NotWorthTheLink || len(d.Exports) != 0 {
 		t.Errorf("no return: got %+v", d)
 	}
@@ -80,7 +80,7 @@
 }
 
 func TestReuseProbabilityIsLearned(t *testing.T) {
-	r := NewReturns(0.5)
+	r := NewReuseEstimator(0.5)
 	for i := range 1000 {
 		r.Seen("large", 1)
 		if i%10 == 0 {
--- a/internal/policy/placement/reuse.go
+++ b/internal/policy/placement/reuse.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// Returns estimates from observations how often the prompts of each workspace are sent again.
-type Returns interface {
+// ReuseEstimator estimates from observations how often the prompts of each workspace are sent again.
+type ReuseEstimator interface {
 	// Seen counts a prompt at its given visit; visit 1 is the first time that it is sent.
 	Seen(workspace string, visit int)
 	// Probability returns the estimated probability, from 0 to 1, that a prompt at the given visit
@@ -33,8 +33,8 @@
 // weight.
 const halveAt = 2000
 
-// NewReturns returns an estimator whose estimate is prior until it has seen enough prompts.
-func NewReturns(prior float64) Returns {
+// NewReuseEstimator returns an estimator whose estimate is prior until it has seen enough prompts.
+func NewReuseEstimator(prior float64) ReuseEstimator {
 	return &reuseEstimator{prior: prior, counts: map[string]*visitCounts{}}
 }
 
--- a/internal/policy/retry/policy.go
+++ b/internal/policy/retry/policy.go
@@ -14,9 +14,9 @@
 // budgets from its own first attempts, so that the sum over all entries stays within the configured
 // share of the requests.
 type Policy interface {
-	// First counts a first attempt of a workspace. The rules allow share of the requests of the
+	// CountFirstAttempt counts a first attempt of a workspace. The rules allow share of the requests of the
 	// workspace, and fleetShare of all requests, to be retried.
-	First(workspace string, share, fleetShare float64)
+	CountFirstAttempt(workspace string, share, fleetShare float64)
 	// Decide returns whether the failed attempt is followed by another and, if so, takes it from
 	// the budgets.
 	Decide(f Failure, random *rand.Rand) Decision
@@ -52,7 +52,7 @@
 	return &p.shards[xxhash.Sum64String(workspace)%shards]
 }
 
-func (p *policy) First(workspace string, share, fleetShare float64) {
+func (p *policy) CountFirstAttempt(workspace string, share, fleetShare float64) {
 	s := p.shard(workspace)
 	s.mutex.Lock()
 	b, ok := s.buckets[workspace]
--- a/internal/policy/retry/policy_test.go
+++ b/internal/policy/retry/policy_test.go
@@ -35,7 +35,7 @@
 			var all float64
 			for range first {
 				w := string(rune('a' + random.IntN(workspaces)))
-				p.First(w, share, fleetShare)
+				p.CountFirstAttempt(w, share, fleetShare)
 				firstAttempts[w]++
 				for a := 1; ; a++ {
 					f := failure(w)
@@ -62,7 +62,7 @@
 func TestForbiddenRetries(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	p := New(Config{})
-	p.First("a", 1, 1)
+	p.CountFirstAttempt("a", 1, 1)
 	cases := map[Reason]func(f *Failure){
 		MayHaveRun:           func(f *Failure) { f.Idempotent, f.Verdict = false, verdict.MayHaveRun },
 		PartAnswered:         func(f *Failure) { f.Answered = true },
--- a/internal/policy/route/candidate.go
+++ b/internal/policy/route/candidate.go
@@ -18,8 +18,8 @@
 	// InFlight is the work in flight without a first token, sent by this entry and, by their last
 	// messages, by its peers.
 	InFlight Work
-	// Since is the part of InFlight that was sent after ReportedAt.
-	Since Work
+	// SentSinceReport is the part of InFlight that was sent after ReportedAt.
+	SentSinceReport Work
 	// Suspect reports that the server may be lost; it is used only when no other server is left.
 	Suspect bool
 	// Reserve reports that the server is reserved for urgent requests while other servers can do
--- a/internal/policy/route/fixture_test.go
+++ b/internal/policy/route/fixture_test.go
@@ -47,9 +47,9 @@
 		},
 	}
 	for range r.IntN(4) {
-		c.Since = c.Since.With(r.IntN(Bands), 1, r.Int64N(20000))
+		c.SentSinceReport = c.SentSinceReport.With(r.IntN(Bands), 1, r.Int64N(20000))
 	}
-	c.InFlight = c.Since.With(r.IntN(Bands), 1, r.Int64N(20000))
+	c.InFlight = c.SentSinceReport.With(r.IntN(Bands), 1, r.Int64N(20000))
 	return c
 }
 
--- a/internal/policy/route/in_flight.go
+++ b/internal/policy/route/in_flight.go
@@ -13,6 +13,6 @@
 // Apply adds the work sent since the report. Work in flight has no first token yet, so none of it
 // is subtracted as computed.
 func (workInFlight) Apply(_ *Query, c *Candidate, e *Estimate) {
-	e.Backlog += float64(c.Since.Total()) / prefillRate(c)
+	e.Backlog += float64(c.SentSinceReport.Total()) / prefillRate(c)
 	e.Wait = e.Backlog
 }
--- a/internal/policy/route/naive_test.go
+++ b/internal/policy/route/naive_test.go
@@ -119,7 +119,7 @@
 func naiveWait(r *Request, x *Candidate) float64 {
 	var since, all, before float64
 	for b := range Bands {
-		since += float64(x.Since.Tokens[b])
+		since += float64(x.SentSinceReport.Tokens[b])
 		all += float64(x.InFlight.Tokens[b])
 		if b >= r.Rules.Priority {
 			before += float64(x.InFlight.Tokens[b])
--- a/internal/policy/route/policy_test.go
+++ b/internal/policy/route/policy_test.go
@@ -99,7 +99,7 @@
 			d := s.Decide(start, q, cell, random)
 			sent[d.Server]++
 			x := &cell.Candidates[d.Server]
-			x.InFlight, x.Since = x.InFlight.With(0, 1, 3000), x.Since.With(0, 1, 3000)
+			x.InFlight, x.SentSinceReport = x.InFlight.With(0, 1, 3000), x.SentSinceReport.With(0, 1, 3000)
 		}
 		return max(sent[0], sent[1], sent[2], sent[3])
 	}
@@ -141,8 +141,8 @@
 	if d := s.Decide(start, q, c, random); d.Server != 0 || d.Reason != PrefixInMemory {
 		t.Errorf("idle holder: got %+v", d)
 	}
-	c.Candidates[0].Since = c.Candidates[0].Since.With(0, 10, 30000)
-	c.Candidates[0].InFlight = c.Candidates[0].Since
+	c.Candidates[0].SentSinceReport = c.Candidates[0].SentSinceReport.With(0, 10, 30000)
+	c.Candidates[0].InFlight = c.Candidates[0].SentSinceReport
 	if d := s.Decide(start, q, c, random); d.Server == 0 {
 		t.Errorf("busy holder: got %+v", d)
 	}
@@ -154,7 +154,7 @@
 	c := idle(2, 0)
 	c.Candidates[1].Reserve = true
 	c.Candidates[0].InFlight = Work{}.With(1, 3, 90000)
-	c.Candidates[0].Since = c.Candidates[0].InFlight
+	c.Candidates[0].SentSinceReport = c.Candidates[0].InFlight
 	random := rand.New(rand.NewPCG(5, 5))
 	s := New(Config{})
 	read := &Request{Tokens: 300, Rules: rules.Rules{Priority: 7, FirstTokenPrice: 10}}
@@ -162,7 +162,7 @@
 	if d.Server != 1 || d.Estimates[0].TTFT > 0.3 {
 		t.Errorf("status read: got %+v", d)
 	}
-	c.Candidates[0].InFlight, c.Candidates[0].Since = Work{}, Work{}
+	c.Candidates[0].InFlight, c.Candidates[0].SentSinceReport = Work{}, Work{}
 	draft := &Request{Tokens: 30000, Rules: rules.Rules{Priority: 1, FirstTokenPrice: 1}}
 	if d := s.Decide(start, draft, c, random); d.Server != 0 {
 		t.Errorf("draft: got %+v", d)
--- a/internal/policy/suspicion/judge.go
+++ b/internal/policy/suspicion/classify.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// Case is one fingerprint and the server losses attributed to it.
-type Case struct {
+// FingerprintLosses is one fingerprint and the server losses attributed to it.
+type FingerprintLosses struct {
 	// Losses are the losses, oldest first.
 	Losses []Loss
 	// Standing is set by Judge.
 	Standing Standing
 }
 
-// Judge sets the standing of each fingerprint in cases.
+// Classify sets the standing of each fingerprint in cases.
 //
 // A fingerprint is quarantined if at least limit different servers were lost while they ran it.
 // Repeated losses of one server count once, because that server may be faulty itself. A loss is
@@ -24,12 +24,12 @@
 // next to two faulty ones looks like the only faulty one until further losses of the other two are
 // known, and must then be released. A fingerprint whose losses are all explained by others stays a
 // suspect, because the quarantined one may be the innocent one; its next complete answer clears it.
-func Judge(cases []*Case, limit int) {
+func Classify(cases []*FingerprintLosses, limit int) {
 	limit = max(limit, 1)
 	quarantined := quarantineCandidates(cases, limit)
 	for _, c := range slices.Clone(quarantined) {
 		if countServers(unexplainedLosses(c, quarantined)) < limit {
-			quarantined = slices.DeleteFunc(quarantined, func(d *Case) bool { return d == c })
+			quarantined = slices.DeleteFunc(quarantined, func(d *FingerprintLosses) bool { return d == c })
 		}
 	}
 	for _, c := range cases {
@@ -39,20 +39,20 @@
 
 // quarantineCandidates returns the cases whose fingerprints can be quarantined, those with the
 // least evidence first: fewer servers before more, older latest losses before newer ones.
-func quarantineCandidates(cases []*Case, limit int) []*Case {
-	var list []*Case
+func quarantineCandidates(cases []*FingerprintLosses, limit int) []*FingerprintLosses {
+	var list []*FingerprintLosses
 	for _, c := range cases {
 		if countServers(c.Losses) >= limit {
 			list = append(list, c)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b *Case) int {
+	slices.SortStableFunc(list, func(a, b *FingerprintLosses) int {
 		return cmp.Or(cmp.Compare(countServers(a.Losses), countServers(b.Losses)), cmp.Compare(latestLoss(a), latestLoss(b)))
 	})
 	return list
 }
 
-func standingOf(c *Case, quarantined []*Case) Standing {
+func standingOf(c *FingerprintLosses, quarantined []*FingerprintLosses) Standing {
 	switch {
 	case slices.Contains(quarantined, c):
 		return Quarantined
@@ -65,10 +65,12 @@
 
 // unexplainedLosses returns the losses of c that are not shared with another quarantined
 // fingerprint that has a further loss.
-func unexplainedLosses(c *Case, quarantined []*Case) []Loss {
+func unexplainedLosses(c *FingerprintLosses, quarantined []*FingerprintLosses) []Loss {
 	var rest []Loss
 	for _, l := range c.Losses {
-		shared := func(d *Case) bool { return d != c && Has(d.Losses, l) && hasFurtherLoss(d.Losses, c.Losses) }
+		shared := func(d *FingerprintLosses) bool {
+			return d != c && Has(d.Losses, l) && hasFurtherLoss(d.Losses, c.Losses)
+		}
 		if !slices.ContainsFunc(quarantined, shared) {
 			rest = append(rest, l)
 		}
@@ -92,7 +94,7 @@
 	return n
 }
 
-func latestLoss(c *Case) int64 {
+func latestLoss(c *FingerprintLosses) int64 {
 	var at int64
 	for _, l := range c.Losses {
 		at = max(at, l.At)
--- a/internal/policy/suspicion/judge_test.go
+++ b/internal/policy/suspicion/classify_test.go
@@ -22,15 +22,15 @@
 // judge returns the standings of cases, each given by the letters of its lost servers; the losses
 // happened in alphabetical order.
 func judge(limit int, cases ...string) []Standing {
-	var list []*Case
+	var list []*FingerprintLosses
 	for _, servers := range cases {
-		c := &Case{}
+		c := &FingerprintLosses{}
 		for _, n := range servers {
 			c.Losses = append(c.Losses, Loss{Server: string(n), At: int64(n)})
 		}
 		list = append(list, c)
 	}
-	Judge(list, limit)
+	Classify(list, limit)
 	var got []Standing
 	for _, c := range list {
 		got = append(got, c.Standing)
@@ -62,8 +62,8 @@
 }
 
 func TestJudgeCountsDifferentServers(t *testing.T) {
-	again := &Case{Losses: []Loss{{Server: "a", Incarnation: 1}, {Server: "a", Incarnation: 2}}}
-	if Judge([]*Case{again}, 2); again.Standing != Suspect {
+	again := &FingerprintLosses{Losses: []Loss{{Server: "a", Incarnation: 1}, {Server: "a", Incarnation: 2}}}
+	if Classify([]*FingerprintLosses{again}, 2); again.Standing != Suspect {
 		t.Errorf("one server twice: %s", again.Standing)
 	}
 	at := time.Unix(1000, 0)
--- a/internal/process/control/control.go
+++ b/internal/process/control/control.go
@@ -65,7 +65,7 @@
 	transport quic.Transport
 	replica   replica.Replica
 	reaper    reaper.Reaper
-	members   members.Keeper
+	members   members.Reconciler
 	metrics   *metrics.Set
 	loops     sync.WaitGroup
 }
@@ -103,7 +103,7 @@
 		Ledger: localLedger{machine: m, leader: leader},
 		Logger: c.Logger,
 	})
-	p.members = members.NewKeeper(members.Config{
+	p.members = members.NewReconciler(members.Config{
 		Replica:  p.replica,
 		Prober:   p.transport,
 		Seeds:    replicaConfig(c, p.transport, m).Seeds,
--- a/internal/process/entry/budget.go
+++ b/internal/process/entry/budget.go
@@ -16,13 +16,13 @@
 // budget lets idempotent calls of plain services be retried within the same retry budgets as completions.
 type budget struct {
 	policy   retry.Policy
-	settings settings.Keeper
+	settings settings.LeasedSettings
 
 	mu     sync.Mutex
 	random *rand.Rand
 }
 
-func newBudget(p retry.Policy, s settings.Keeper) *budget {
+func newBudget(p retry.Policy, s settings.LeasedSettings) *budget {
 	return &budget{policy: p, settings: s, random: newRandom()}
 }
 
@@ -47,7 +47,7 @@
 type calls struct {
 	client   service.Client
 	retries  retry.Policy
-	settings settings.Keeper
+	settings settings.LeasedSettings
 	region   string
 }
 
@@ -62,6 +62,6 @@
 		return service.Answer{}, verdict.New(verdict.MayHaveRun, http.StatusMisdirectedRequest, "other-region",
 			"calls of this workspace are claimed in region %s; this send dispatched nothing", home)
 	}
-	c.retries.First(r.Workspace, r.Rules.RetryShare, s.Fleet.RetryShare)
+	c.retries.CountFirstAttempt(r.Workspace, r.Rules.RetryShare, s.Fleet.RetryShare)
 	return c.client.Call(ctx, r)
 }
--- a/internal/process/entry/build.go
+++ b/internal/process/entry/build.go
@@ -47,7 +47,7 @@
 	var x components
 	name, logger := p.config.File.Name, p.config.Logger
 	x.control = control.New(control.Config{Node: p.node, Replicas: p.replicas()})
-	x.settings = settings.NewKeeper(settings.Config{
+	x.settings = settings.NewLeasedSettings(settings.Config{
 		Log:      x.control,
 		Holder:   lease.Holder{Name: name, Incarnation: p.incarnation},
 		Follower: follower.New(),
@@ -117,11 +117,11 @@
 	suspects := fleetquic.NewSuspects(fleetquic.SuspectsConfig{
 		Node:      p.node,
 		Addresses: p.peers(),
-		Take:      func(f [32]byte) { x.guard.Suspect(completion.Fingerprint(f)) },
+		OnReport:  func(f [32]byte) { x.guard.MarkSuspect(completion.Fingerprint(f)) },
 	})
 	x.guard = quarantine.New(quarantine.Config{
-		Log:  x.control,
-		Tell: func(ctx context.Context, f completion.Fingerprint) { suspects.Tell(ctx, f) },
+		Log:           x.control,
+		ReportSuspect: func(ctx context.Context, f completion.Fingerprint) { suspects.Report(ctx, f) },
 		Limits: func() quarantine.Limits {
 			f := x.settings.View().Rules.Fleet
 			return quarantine.Limits{Servers: f.QuarantineServers, Window: f.QuarantineWindow}
@@ -130,7 +130,7 @@
 		Interval:    quarantineInterval,
 		Logger:      p.config.Logger,
 	})
-	g, err := backend.NewGiver(backend.GiverConfig{
+	g, err := backend.NewOrderIssuer(backend.OrderIssuerConfig{
 		Holder:     fmt.Sprintf("%s-%d", p.config.File.Name, p.incarnation),
 		Controller: orders.New(orders.Config{}),
 		Log:        x.control,
@@ -149,7 +149,7 @@
 	return service.New(service.Config{
 		Log: x.control,
 		Picker: picker.New(picker.Config{
-			Servers: x.table, Work: x.work, Age: age, Zone: p.config.File.Zone,
+			Servers: x.table, Work: x.work, MaxAnnouncementAge: age, Zone: p.config.File.Zone,
 			Now: time.Now, Random: newRandom(), Logger: p.config.Logger,
 		}),
 		Budget:      newBudget(retries, x.settings),
@@ -161,23 +161,23 @@
 
 func (p *process) buildRouter(x *components, retries retry.Policy) completion.Router {
 	return completion.New(completion.Config{
-		Servers:    x.table,
-		Work:       x.work,
-		Cache:      x.cache,
-		Engines:    x.engines,
-		Exports:    x.exports,
-		Heads:      x.stores,
-		Strategy:   route.New(route.Config{}),
-		Admission:  admission.New(admission.Config{}),
-		Retry:      retries,
-		Returns:    placement.NewReturns(returnPrior),
-		Guard:      x.guard,
-		Entries:    max(1, len(p.config.File.Entries)),
-		Metrics:    p.metrics,
-		Logger:     p.config.Logger,
-		Now:        time.Now,
-		NewAttempt: newAttemptID,
-		Random:     newRandom(),
+		Servers:        x.table,
+		Work:           x.work,
+		Cache:          x.cache,
+		Engines:        x.engines,
+		Exports:        x.exports,
+		Heads:          x.stores,
+		Strategy:       route.New(route.Config{}),
+		Admission:      admission.New(admission.Config{}),
+		Retry:          retries,
+		ReuseEstimator: placement.NewReuseEstimator(returnPrior),
+		Guard:          x.guard,
+		Entries:        max(1, len(p.config.File.Entries)),
+		Metrics:        p.metrics,
+		Logger:         p.config.Logger,
+		Now:            time.Now,
+		NewAttempt:     newAttemptID,
+		Random:         newRandom(),
 	})
 }
 
@@ -189,7 +189,7 @@
 		Log:                p.components.control,
 		Settings:           p.components.settings,
 		Lease:              p.components.settings,
-		Force:              p.components.settings,
+		InForce:            p.components.settings,
 		Actions:            p.actions(),
 		BootstrapKeyDigest: p.config.File.BootstrapOperatorKeyDigest,
 		Logger:             p.config.Logger,
@@ -198,12 +198,12 @@
 		mux.Handle(r, o)
 	}
 	b, err := backend.NewHandler(backend.HandlerConfig{
-		Table:        p.components.table,
-		Leavers:      p.components.leavers,
-		CacheReports: p.components.cache,
-		KeyDigests:   func() [][32]byte { return p.components.settings.View().Rules.Fleet.AnnounceKeyDigests },
-		Now:          time.Now,
-		Log:          p.config.Logger,
+		Table:         p.components.table,
+		LeaveNotifier: p.components.leavers,
+		CacheReports:  p.components.cache,
+		KeyDigests:    func() [][32]byte { return p.components.settings.View().Rules.Fleet.AnnounceKeyDigests },
+		Now:           time.Now,
+		Log:           p.config.Logger,
 	})
 	if err == nil {
 		mux.Handle("/fleet/", b)
--- a/internal/process/entry/calls_test.go
+++ b/internal/process/entry/calls_test.go
@@ -23,7 +23,7 @@
 }
 
 type fakeKeeper struct {
-	settings.Keeper
+	settings.LeasedSettings
 	rules *rules.Snapshot
 }
 
--- a/internal/process/entry/components.go
+++ b/internal/process/entry/components.go
@@ -32,7 +32,7 @@
 // components are the components of an entry.
 type components struct {
 	control  control.Client
-	settings settings.Keeper
+	settings settings.LeasedSettings
 	table    membership.Table
 	work     membership.Work
 	gossip   fleetquic.Carrier
@@ -43,11 +43,11 @@
 	services service.Client
 	router   completion.Router
 	caller   caller.Handler
-	leavers  backend.Leavers
+	leavers  backend.LeaveNotifier
 	// directory is this entry's share of the cache directory.
 	directory   directory.Directory
 	guard       quarantine.Guard
-	orderIssuer backend.Giver
+	orderIssuer backend.OrderIssuer
 	exports     completion.Exports
 }
 
--- a/internal/process/sitecontrol/control.go
+++ b/internal/process/sitecontrol/control.go
@@ -71,7 +71,7 @@
 	table         rowtable.Table
 	follower      watch.Follower
 	servers       *announcements
-	admission     admission.Keeper
+	admission     admission.Reconciler
 	metrics       *metrics.Set
 	loops         sync.WaitGroup
 	peers         atomic.Pointer[[]string]
@@ -112,7 +112,7 @@
 	p.leader = quic.Register(quic.Config{Node: p.node, Replica: p.replica, Machine: m, Leases: quic.NewLeases(lease.NewHolders(nil), noTerms{}, time.Now)})
 	p.setUpOrders(m)
 	p.setUpWatch()
-	p.admission = admission.NewKeeper(admission.Config{Replica: p.replica, Peers: peers{p.node, p.transport}, Addresses: p.addresses, Logger: c.Logger})
+	p.admission = admission.NewReconciler(admission.Config{Replica: p.replica, Peers: peers{p.node, p.transport}, Addresses: p.addresses, Logger: c.Logger})
 	p.registerMetrics()
 	p.showState()
 	return p, nil
@@ -129,7 +129,7 @@
 	c := replica.Config{
 		Name: h.Internal, Address: h.Internal, Folder: h.DataFolder,
 		Transport: p.transport, Machine: m, Logger: p.config.Logger,
-		Join: !h.FirstStart, Peers: func() []string { return *p.peers.Load() },
+		JoinOnly: !h.FirstStart, Peers: func() []string { return *p.peers.Load() },
 	}
 	for _, s := range h.Seeds {
 		c.Seeds = append(c.Seeds, replica.Seed{Name: s, Address: s})
--- a/internal/settings/lease/entry_lease.go
+++ b/internal/settings/lease/entry_lease.go
@@ -11,8 +11,8 @@
 // retryAfter is the Retry-After time of requests that are refused for lack of a lease.
 const retryAfter = time.Second
 
-// Keeper holds the settings lease of an entry, which allows it to accept new work.
-type Keeper interface {
+// EntryLease holds the settings lease of an entry, which allows it to accept new work.
+type EntryLease interface {
 	// Check returns nil if the entry may accept new work at now, else a verdict.Error with NotRun. serveWithoutQuorum is the value of that setting in the entry's newest copy.
 	Check(now time.Time, serveWithoutQuorum bool) error
 	// Confirm applies a proof and reports whether it starts or extends the lease.
@@ -23,8 +23,8 @@
 	proof atomic.Pointer[Proof]
 }
 
-// NewKeeper returns a Keeper without a lease.
-func NewKeeper() Keeper {
+// NewEntryLease returns a Keeper without a lease.
+func NewEntryLease() EntryLease {
 	return &entryLease{}
 }
 
--- a/internal/settings/lease/holders.go
+++ b/internal/settings/lease/holders.go
@@ -11,7 +11,7 @@
 	// Renew records a renewal in the given term. It must be called before a quorum confirms the leader for the answer.
 	Renew(now time.Time, term uint64, r Renewal, t Terms)
 	// InForce returns whether no entry can accept new work under a revision older than the given one. It must be called after a quorum has confirmed the leader of the term.
-	InForce(now time.Time, term, revision uint64, t Terms) Force
+	InForce(now time.Time, term, revision uint64, t Terms) InForceStatus
 	// Applied returns the revision that each holder of an unexpired lease has applied.
 	Applied(now time.Time) map[Holder]uint64
 }
@@ -94,24 +94,24 @@
 }
 
 // InForce implements Holders.
-func (h *holders) InForce(now time.Time, term, revision uint64, t Terms) Force {
+func (h *holders) InForce(now time.Time, term, revision uint64, t Terms) InForceStatus {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.beginTerm(now, term, t)
 	if term < h.term || revision > t.Revision {
-		return Force{}
+		return InForceStatus{}
 	}
-	f := Force{After: max(0, h.earlierLeasesEnd().Sub(now))}
+	f := InForceStatus{MaxWait: max(0, h.earlierLeasesEnd().Sub(now))}
 	for k, g := range h.grants {
 		if g.applied < revision && g.active(now, t.LeaseRequiredFrom) {
 			f.Waiting = append(f.Waiting, k.Name)
-			f.After = max(f.After, g.expires.Sub(now))
+			f.MaxWait = max(f.MaxWait, g.expires.Sub(now))
 		}
 	}
 	leaseless := h.leaselessEntries(revision, t.LeaseRequiredFrom)
 	if len(leaseless) > 0 {
 		f.Waiting = append(f.Waiting, leaseless...)
-		f.After = 0
+		f.MaxWait = 0
 	}
 	slices.Sort(f.Waiting)
 	f.Waiting = slices.Compact(f.Waiting)
--- a/internal/settings/lease/lease_test.go
+++ b/internal/settings/lease/lease_test.go
@@ -20,7 +20,7 @@
 // before it sent the report of its last proof. Refusals must have the verdict
 // NotRun and a retry time, and the entry must recover with the next proof.
 func TestLeaseExpiresAndRecovers(t *testing.T) {
-	k := NewKeeper()
+	k := NewEntryLease()
 	if k.Check(at(0), false) == nil || k.Check(at(0), true) == nil {
 		t.Fatal("an entry without any proof accepts new work")
 	}
@@ -45,7 +45,7 @@
 // the lease, and one for an older revision must not apply to newer settings. A
 // report that the leader answered with a newer revision proves nothing.
 func TestAnswersOutOfOrderAreIgnored(t *testing.T) {
-	k := NewKeeper()
+	k := NewEntryLease()
 	k.Confirm(Proof{SentAt: at(5 * second), Applied: 7, Confirmed: 7, Lease: 4 * second})
 	for name, p := range map[string]Proof{
 		"earlier report":  {SentAt: at(2 * second), Applied: 7, Confirmed: 7, Lease: 4 * second},
@@ -66,7 +66,7 @@
 // the suspension.
 func TestLeaseAfterSuspensionOfTheVM(t *testing.T) {
 	sent := time.Now()
-	k := NewKeeper()
+	k := NewEntryLease()
 	k.Confirm(Proof{SentAt: sent, Applied: 1, Confirmed: 1, Lease: 4 * second})
 	// Round(0) removes the monotonic reading, so that only the wall clock shows the suspension.
 	if k.Check(sent.Round(0).Add(time.Minute), false) == nil {
@@ -89,7 +89,7 @@
 // while any entry still serves under the older settings.
 func TestInForceWaitsForHoldersOrTheirLeases(t *testing.T) {
 	h := NewHolders([]string{"a", "b"})
-	if f := h.InForce(at(second), 1, 1, terms(1)); f.InForce || f.After == 0 {
+	if f := h.InForce(at(second), 1, 1, terms(1)); f.InForce || f.MaxWait == 0 {
 		t.Errorf("a new leader answered before the leases of earlier leaders expired: %+v", f)
 	}
 	h.Renew(at(10*second), 1, renewal("a", 1), terms(1))
@@ -177,7 +177,7 @@
 	h.Renew(at(0), 2, renewal("a", 1), terms(1))
 	longer := Terms{Revision: 2, Lease: 15 * second, Longest: 15 * second}
 	h.Renew(at(3*second), 2, renewal("a", 2), longer)
-	if f := h.InForce(at(6*second), 2, 2, longer); f.InForce || f.After == 0 {
+	if f := h.InForce(at(6*second), 2, 2, longer); f.InForce || f.MaxWait == 0 {
 		t.Errorf("an entry may hold a lease of 15 s from before: %+v", f)
 	}
 	if f := h.InForce(at(16*second), 2, 2, longer); !f.InForce {
@@ -216,7 +216,7 @@
 	for _, entry := range []float64{1 - limit, 1, 1 + limit} {
 		for _, leader := range []float64{1 - limit, 1, 1 + limit} {
 			slow, fast := clock{rate: entry}, clock{rate: leader}
-			k, h := NewKeeper(), NewHolders(nil)
+			k, h := NewEntryLease(), NewHolders(nil)
 			h.InForce(fast.at(-time.Minute), 1, 1, terms(1))
 			h.Renew(fast.at(delay/2), 1, renewal("a", 1), terms(1))
 			k.Confirm(Proof{SentAt: slow.at(0), Applied: 1, Confirmed: 1, Lease: leaseLength})
--- a/internal/settings/lease/schedule_test.go
+++ b/internal/settings/lease/schedule_test.go
@@ -53,7 +53,7 @@
 	term     uint64
 	replicas []*replica
 	clocks   []clock
-	keepers  []Keeper
+	keepers  []EntryLease
 	applied  []uint64
 	reports  []*report
 	declared uint64
@@ -70,7 +70,7 @@
 	}
 	for range 4 {
 		s.clocks = append(s.clocks, randomClock(r))
-		s.keepers = append(s.keepers, NewKeeper())
+		s.keepers = append(s.keepers, NewEntryLease())
 		s.applied = append(s.applied, 1)
 	}
 	return s
--- a/internal/settings/section/outcome.go
+++ b/internal/settings/section/outcome.go
@@ -42,8 +42,8 @@
 	Operator string `cbor:"operator,omitempty" json:"operator,omitempty"`
 	// At is the time at which it was accepted, in nanoseconds since 1970.
 	At int64 `cbor:"at,omitempty" json:"at,omitempty"`
-	// What describes its first few differences, one line each.
-	What []string `cbor:"what,omitempty" json:"what,omitempty"`
+	// Summary describes its first few differences, one line each.
+	Summary []string `cbor:"what,omitempty" json:"what,omitempty"`
 }
 
 func refused(revision uint64, key, format string, args ...any) Outcome {
--- a/internal/settings/section/record.go
+++ b/internal/settings/section/record.go
@@ -39,10 +39,10 @@
 	w := &Winner{Revision: r.Revision, Operator: r.Operator, At: r.At}
 	for i, e := range r.Effects {
 		if i == maxSummaryLines {
-			w.What = append(w.What, fmt.Sprintf("and %d more", len(r.Effects)-i))
+			w.Summary = append(w.Summary, fmt.Sprintf("and %d more", len(r.Effects)-i))
 			break
 		}
-		w.What = append(w.What, e.String())
+		w.Summary = append(w.Summary, e.String())
 	}
 	return w
 }
--- a/internal/settings/section/section_test.go
+++ b/internal/settings/section/section_test.go
@@ -24,7 +24,7 @@
 		t.Fatalf("second: %+v", o)
 	}
 	w := *o.Winner
-	if w.Revision != 2 || w.Operator != "ana" || !slices.Equal(w.What, []string{"set / priority to 5"}) {
+	if w.Revision != 2 || w.Operator != "ana" || !slices.Equal(w.Summary, []string{"set / priority to 5"}) {
 		t.Errorf("the conflict shows %+v", w)
 	}
 	if got := rootPriority(t, s); got != 5 {
