--- a/internal/policy/admission/policy.go
+++ b/internal/policy/admission/policy.go
@@ -10,12 +10,12 @@
 	// Decide returns whether the request is admitted; random spreads the RetryAfter of refused
 	// callers.
 	Decide(in Input, random *rand.Rand) Decision
-	// Observe records the actual time to a first token that was expected after expected, or the
-	// time until its caller disconnected.
+	// Observe records the actual time to first token of a request whose expected time was expected.
+	// If the caller disconnected before, actual is the time until it did.
 	Observe(priority int, expected, actual time.Duration)
 	// Refuse returns the refusal for reason to a caller that should resend its request after about
 	// wait.
-	Refuse(why Reason, wait time.Duration, random *rand.Rand) Decision
+	Refuse(reason Reason, wait time.Duration, random *rand.Rand) Decision
 }
 
 type policy struct {
@@ -59,11 +59,11 @@
 // Refuse returns a refusal whose wait is at least wait, spread at random and rounded up to seconds.
 // Callers that were refused at the same time and resend at the same time would all be refused
 // again; the spread separates them.
-func (p policy) Refuse(why Reason, wait time.Duration, random *rand.Rand) Decision {
+func (p policy) Refuse(reason Reason, wait time.Duration, random *rand.Rand) Decision {
 	wait = max(wait, p.config.MinRetryAfter)
 	wait += time.Duration(float64(wait) * p.config.Spread * random.Float64())
 	wait = min(wait, p.config.MaxRetryAfter)
-	return Decision{Reason: why, RetryAfter: roundUp(wait)}
+	return Decision{Reason: reason, RetryAfter: roundUp(wait)}
 }
 
 // roundUp rounds d up to whole seconds, because the header Retry-After has no fractions.
--- a/internal/policy/fairness/backlog.go
+++ b/internal/policy/fairness/backlog.go
@@ -8,9 +8,9 @@
 const BacklogThreshold = 10 * time.Second
 
 // Hold returns whether a request waits at its entry. ahead is the backlog at the chosen server, and
-// others reports whether another request of its band is already waiting.
-func Hold(ahead time.Duration, others bool) bool {
-	return others || ahead > BacklogThreshold
+// othersWaiting reports whether another request of its band is already waiting.
+func Hold(ahead time.Duration, othersWaiting bool) bool {
+	return othersWaiting || ahead > BacklogThreshold
 }
 
 // Wait returns how long a request is expected to wait behind cost seconds of work queued at its
--- a/internal/policy/placement/decision.go
+++ b/internal/policy/placement/decision.go
@@ -4,6 +4,6 @@
 type Decision struct {
 	// Exports are the pieces to write, in prompt order.
 	Exports []Export
-	// Reason is the reason why there are exports or none.
+	// Reason is the reason why pieces are exported or not.
 	Reason Reason
 }
--- a/internal/policy/placement/input.go
+++ b/internal/policy/placement/input.go
@@ -6,8 +6,8 @@
 type Input struct {
 	// Rules are the effective rules of the request.
 	Rules rules.Rules
-	// ReuseProbability is the probability, from 0 to 1, that the prompt is sent again after its pieces were
-	// evicted from engine memory.
+	// ReuseProbability is the probability, from 0 to 1, that the prompt is sent again after its
+	// pieces were evicted from engine memory.
 	ReuseProbability float64
 	// PrefillRate is the engine's prefill rate in tokens per second.
 	PrefillRate float64
--- a/internal/policy/placement/reuse.go
+++ b/internal/policy/placement/reuse.go
@@ -2,7 +2,8 @@
 
 import "sync"
 
-// ReuseEstimator estimates from observations how often the prompts of each workspace are sent again.
+// ReuseEstimator estimates from observations how often the prompts of each workspace are sent
+// again.
 type ReuseEstimator interface {
 	// Seen counts a prompt at its given visit; visit 1 is the first time that it is sent.
 	Seen(workspace string, visit int)
@@ -41,35 +42,35 @@
 func (r *reuseEstimator) Seen(workspace string, visit int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	h, ok := r.counts[workspace]
+	c, ok := r.counts[workspace]
 	if !ok {
-		h = &visitCounts{}
-		r.counts[workspace] = h
+		c = &visitCounts{}
+		r.counts[workspace] = c
 	}
-	h[visitIndex(visit)]++
-	if h[0]+h[1] >= halveAt {
-		h.halve()
+	c[visitIndex(visit)]++
+	if c[0]+c[1] >= halveAt {
+		c.halve()
 	}
 }
 
 func (r *reuseEstimator) Probability(workspace string, visit int) float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	h, ok := r.counts[workspace]
+	c, ok := r.counts[workspace]
 	if !ok {
 		return r.prior
 	}
-	seen, reused := h.reuse(visitIndex(visit))
+	seen, reused := c.reuse(visitIndex(visit))
 	return min((reused+r.prior*priorWeight)/(seen+priorWeight), 1)
 }
 
 // reuse returns how many prompts were at visit v and how many of them were sent again. The last two
 // visits are counted together, because the last one includes all later visits.
-func (h *visitCounts) reuse(v int) (seen, reused float64) {
+func (c *visitCounts) reuse(v int) (seen, reused float64) {
 	if v < maxVisits-2 {
-		return h[v], h[v+1]
+		return c[v], c[v+1]
 	}
-	return h[maxVisits-2] + h[maxVisits-1], h[maxVisits-1]
+	return c[maxVisits-2] + c[maxVisits-1], c[maxVisits-1]
 }
 
 func (r *reuseEstimator) Forget(workspace string) {
@@ -82,8 +83,8 @@
 	return min(max(visit, 1), maxVisits) - 1
 }
 
-func (h *visitCounts) halve() {
-	for i := range h {
-		h[i] /= 2
+func (c *visitCounts) halve() {
+	for i := range c {
+		c[i] /= 2
 	}
 }
--- a/internal/policy/retry/policy.go
+++ b/internal/policy/retry/policy.go
@@ -14,8 +14,8 @@
 // budgets from its own first attempts, so that the sum over all entries stays within the configured
 // share of the requests.
 type Policy interface {
-	// CountFirstAttempt counts a first attempt of a workspace. The rules allow share of the requests of the
-	// workspace, and fleetShare of all requests, to be retried.
+	// CountFirstAttempt counts a first attempt of a workspace. The rules allow share of the requests
+	// of the workspace, and fleetShare of all requests, to be retried.
 	CountFirstAttempt(workspace string, share, fleetShare float64)
 	// Decide returns whether the failed attempt is followed by another and, if so, takes it from
 	// the budgets.
--- a/internal/policy/route/piece_mix.go
+++ b/internal/policy/route/piece_mix.go
@@ -46,29 +46,29 @@
 }
 
 // add imports a piece instead of computing it.
-func (m *importPlan) add(i *importable, perToken, arrived float64) {
-	m.recomputed -= i.tokens
-	m.compute -= i.tokens * perToken
-	m.linkSeconds += i.link
-	m.linkDelay += i.delay
-	m.split = i.piece + 1
-	m.arrived = max(m.arrived, arrived)
+func (p *importPlan) add(i *importable, perToken, arrived float64) {
+	p.recomputed -= i.tokens
+	p.compute -= i.tokens * perToken
+	p.linkSeconds += i.link
+	p.linkDelay += i.delay
+	p.split = i.piece + 1
+	p.arrived = max(p.arrived, arrived)
 }
 
-// importPlanCost returns the part of the cost that depends on m.
-func (q *Query) importPlanCost(e *Estimate, m *importPlan) float64 {
-	return q.price.firstToken*(max(e.Wait, m.arrived)+m.compute) +
-		q.price.token*m.recomputed +
-		q.price.link*m.linkSeconds +
-		e.BacklogPrice*m.linkDelay
+// importPlanCost returns the part of the cost that depends on p.
+func (q *Query) importPlanCost(e *Estimate, p *importPlan) float64 {
+	return q.price.firstToken*(max(e.Wait, p.arrived)+p.compute) +
+		q.price.token*p.recomputed +
+		q.price.link*p.linkSeconds +
+		e.BacklogPrice*p.linkDelay
 }
 
-func (m *importPlan) applyTo(q *Query, e *Estimate) {
-	e.Compute = m.compute
-	e.Import = m.arrived
-	e.LinkSeconds = m.linkSeconds
-	e.LinkDelay = m.linkDelay
-	e.Recomputed = int(m.recomputed)
-	e.Split = m.split
+func (p *importPlan) applyTo(q *Query, e *Estimate) {
+	e.Compute = p.compute
+	e.Import = p.arrived
+	e.LinkSeconds = p.linkSeconds
+	e.LinkDelay = p.linkDelay
+	e.Recomputed = int(p.recomputed)
+	e.Split = p.split
 	e.price(q)
 }
--- a/internal/policy/route/price.go
+++ b/internal/policy/route/price.go
@@ -12,8 +12,8 @@
 	link       float64 // per second of a store's link
 }
 
-func pricesOf(u *rules.Rules) prices {
-	return prices{firstToken: u.FirstTokenPrice, token: u.RecomputePrice / tokensPerPrice, link: u.LinkPrice}
+func pricesOf(r *rules.Rules) prices {
+	return prices{firstToken: r.FirstTokenPrice, token: r.RecomputePrice / tokensPerPrice, link: r.LinkPrice}
 }
 
 // price sets the time to first token and the cost of e from the prices of the request.
--- a/internal/policy/suspicion/classify.go
+++ b/internal/policy/suspicion/classify.go
@@ -9,7 +9,7 @@
 type FingerprintLosses struct {
 	// Losses are the losses, oldest first.
 	Losses []Loss
-	// Standing is set by Judge.
+	// Standing is set by Classify.
 	Standing Standing
 }
 
--- a/internal/policy/suspicion/classify_test.go
+++ b/internal/policy/suspicion/classify_test.go
@@ -19,9 +19,9 @@
 	}
 }
 
-// judge returns the standings of cases, each given by the letters of its lost servers; the losses
+// classify returns the standings of cases, each given by the letters of its lost servers; the losses
 // happened in alphabetical order.
-func judge(limit int, cases ...string) []Standing {
+func classify(limit int, cases ...string) []Standing {
 	var list []*FingerprintLosses
 	for _, servers := range cases {
 		c := &FingerprintLosses{}
@@ -40,7 +40,7 @@
 
 // A loss is attributed to every request that was running on the lost server. Each case lists the
 // servers lost under each request and the expected standings.
-func TestJudge(t *testing.T) {
+func TestClassify(t *testing.T) {
 	cases := []struct {
 		name   string
 		losses []string
@@ -55,13 +55,13 @@
 		{"no loss", []string{""}, []Standing{Clear}},
 	}
 	for _, c := range cases {
-		if got := judge(2, c.losses...); !slices.Equal(got, c.want) {
+		if got := classify(2, c.losses...); !slices.Equal(got, c.want) {
 			t.Errorf("%s: got %v instead of %v", c.name, got, c.want)
 		}
 	}
 }
 
-func TestJudgeCountsDifferentServers(t *testing.T) {
+func TestClassifyCountsDifferentServers(t *testing.T) {
 	again := &FingerprintLosses{Losses: []Loss{{Server: "a", Incarnation: 1}, {Server: "a", Incarnation: 2}}}
 	if Classify([]*FingerprintLosses{again}, 2); again.Standing != Suspect {
 		t.Errorf("one server twice: %s", again.Standing)
