--- a/internal/fleet/announcement/announcement.go
+++ b/internal/fleet/announcement/announcement.go
@@ -16,7 +16,7 @@
 	Address string `json:"address" cbor:"address"`
 	// Kind is the kind of the server.
 	Kind Kind `json:"kind" cbor:"kind"`
-	// State tells whether the server accepts new requests.
+	// State is the state of the server: whether it accepts new requests.
 	State State `json:"state" cbor:"state"`
 	// Holdings are the models with weight versions and adapters that an engine holds.
 	Holdings []Holding `json:"holdings,omitempty" cbor:"holdings,omitempty"`
--- a/internal/fleet/announcement/state.go
+++ b/internal/fleet/announcement/state.go
@@ -1,6 +1,6 @@
 package announcement
 
-// State tells whether a backend server accepts new requests.
+// State is the state of a backend server: whether it accepts new requests.
 type State string
 
 const (
--- a/internal/fleet/cell/digest.go
+++ b/internal/fleet/cell/digest.go
@@ -35,7 +35,7 @@
 	FreeSlots int
 }
 
-// Wait returns how long an average engine takes to work off its queue.
+// Wait returns how long an average engine takes to compute its queued prompt tokens.
 func (m ModelDigest) Wait() time.Duration {
 	if m.PrefillRate <= 0 {
 		return 0
--- a/internal/fleet/membership/check.go
+++ b/internal/fleet/membership/check.go
@@ -32,8 +32,8 @@
 		func() error { return checkNumber("sequence", a.Sequence) },
 		func() error { return checkName("zone", a.Zone) },
 		func() error { return checkAddress(a.Address) },
-		func() error { return checkWord("kind", a.Kind, kinds) },
-		func() error { return checkWord("state", a.State, states) },
+		func() error { return checkOneOf("kind", a.Kind, kinds) },
+		func() error { return checkOneOf("state", a.State, states) },
 		func() error { return checkOptional("role", a.Role) },
 		func() error { return checkOptional("last-order", a.LastOrder) },
 		func() error { return checkBetween("uptime-millis", a.UptimeMillis, maxMillis) },
@@ -99,7 +99,7 @@
 	return nil
 }
 
-func checkWord[T ~string](field string, s T, all []T) error {
+func checkOneOf[T ~string](field string, s T, all []T) error {
 	if !slices.Contains(all, s) {
 		return fmt.Errorf("%s must be one of %v", field, all)
 	}
--- a/internal/fleet/membership/delay_estimator.go
+++ b/internal/fleet/membership/delay_estimator.go
@@ -21,28 +21,28 @@
 }
 
 // observe records a direct announcement and returns its estimated delay.
-func (t *delayEstimator) observe(now time.Time, uptime time.Duration) time.Duration {
-	if now.Sub(t.since) > directWindow {
-		t.since = now
-		t.direct = [2]time.Time{{}, t.direct[0]}
+func (e *delayEstimator) observe(now time.Time, uptime time.Duration) time.Duration {
+	if now.Sub(e.since) > directWindow {
+		e.since = now
+		e.direct = [2]time.Time{{}, e.direct[0]}
 	}
 	start := now.Add(-uptime)
-	if t.direct[0].IsZero() || start.Before(t.direct[0]) {
-		t.direct[0] = start
+	if e.direct[0].IsZero() || start.Before(e.direct[0]) {
+		e.direct[0] = start
 	}
-	if steady, ok := t.streak.add(now, start); ok {
+	if steady, ok := e.streak.add(now, start); ok {
 		return start.Sub(steady)
 	}
-	return max(0, start.Sub(t.start(now)))
+	return max(0, start.Sub(e.start(now)))
 }
 
 // start returns the estimated start time of the server.
-func (t *delayEstimator) start(now time.Time) time.Time {
-	least := t.direct[0]
-	if !t.direct[1].IsZero() && t.direct[1].Before(least) {
-		least = t.direct[1]
+func (e *delayEstimator) start(now time.Time) time.Time {
+	least := e.direct[0]
+	if !e.direct[1].IsZero() && e.direct[1].Before(least) {
+		least = e.direct[1]
 	}
-	bound, ok := t.bound.start(now)
+	bound, ok := e.bound.start(now)
 	if !ok || least.Before(bound) {
 		return least
 	}
--- a/internal/fleet/membership/delay_estimator_test.go
+++ b/internal/fleet/membership/delay_estimator_test.go
@@ -54,18 +54,18 @@
 // requests to the server again.
 func TestPausedServerComesBackEverywhere(t *testing.T) {
 	for seed := range uint64(4) {
-		w := newSimulation(seed)
-		w.faultless = true
-		w.run(20 * time.Second)
-		for _, s := range w.servers {
+		sim := newSimulation(seed)
+		sim.faultless = true
+		sim.run(20 * time.Second)
+		for _, s := range sim.servers {
 			s.started += 10 * time.Second
-			s.next = w.now + 10*time.Second
+			s.next = sim.now + 10*time.Second
 		}
-		w.run(90 * time.Second)
-		w.refused = 0
-		w.run(110 * time.Second)
-		if w.refused > 0 {
-			t.Errorf("seed %d: %d checks refused a server a minute after its pause", seed, w.refused)
+		sim.run(90 * time.Second)
+		sim.refused = 0
+		sim.run(110 * time.Second)
+		if sim.refused > 0 {
+			t.Errorf("seed %d: %d checks refused a server a minute after its pause", seed, sim.refused)
 		}
 	}
 }
--- a/internal/fleet/membership/gossip_config.go
+++ b/internal/fleet/membership/gossip_config.go
@@ -15,7 +15,7 @@
 // pushPerPeer is the minimum push interval for each peer in the cell. It limits an entry to 40 push messages per second regardless of the size of its cell.
 const pushPerPeer = 25 * time.Millisecond
 
-// GossipConfig holds what a Gossip needs.
+// GossipConfig configures a Gossip.
 type GossipConfig struct {
 	// Self is this entry's identity.
 	Self string
--- a/internal/fleet/membership/leaving_test.go
+++ b/internal/fleet/membership/leaving_test.go
@@ -31,10 +31,10 @@
 	all := gopter.NewProperties(p)
 	naive := 0
 	all.Property("no dispatch after the limit", prop.ForAllNoShrink(func(seed uint64) string {
-		w := newSimulation(seed)
-		w.run(40 * time.Second)
-		naive += w.naiveLate
-		return w.fault
+		sim := newSimulation(seed)
+		sim.run(40 * time.Second)
+		naive += sim.naiveLate
+		return sim.fault
 	}, gen.UInt64()))
 	all.TestingRun(t)
 	if naive == 0 {
@@ -47,11 +47,11 @@
 // check that is too strict would leave servers idle and refuse requests.
 func TestReadyServersStayEligible(t *testing.T) {
 	for seed := range uint64(20) {
-		w := newSimulation(seed)
-		w.faultless = true
-		w.run(30 * time.Second)
-		if w.fault != "" || w.refused > 0 {
-			t.Errorf("seed %d: %s, %d of %d checks refused a ready server", seed, w.fault, w.refused, w.checks)
+		sim := newSimulation(seed)
+		sim.faultless = true
+		sim.run(30 * time.Second)
+		if sim.fault != "" || sim.refused > 0 {
+			t.Errorf("seed %d: %s, %d of %d checks refused a ready server", seed, sim.fault, sim.refused, sim.checks)
 		}
 	}
 }
@@ -115,16 +115,16 @@
 }
 
 func newSimulation(seed uint64) *simulation {
-	w := &simulation{r: rand.New(rand.NewPCG(seed, 7)), left: map[string]time.Duration{}}
+	sim := &simulation{r: rand.New(rand.NewPCG(seed, 7)), left: map[string]time.Duration{}}
 	var names []string
-	for i := range 3 + w.r.IntN(4) {
+	for i := range 3 + sim.r.IntN(4) {
 		names = append(names, fmt.Sprintf("entry-%d", i))
 	}
 	for _, n := range names {
-		w.nodes = append(w.nodes, w.newNode(n, names))
+		sim.nodes = append(sim.nodes, sim.newNode(n, names))
 	}
 	for i := range 4 {
-		s := &server{clock: newClock(w.r), leaves: w.later(5, 25)}
+		s := &server{clock: newClock(sim.r), leaves: sim.later(5, 25)}
 		s.a = announcement.Announcement{
 			Identity:    fmt.Sprintf("engine-%d", i),
 			Incarnation: 1,
@@ -134,19 +134,19 @@
 			State:       announcement.Ready,
 			Holdings:    []announcement.Holding{{Model: "m", WeightVersion: "v"}},
 		}
-		w.servers = append(w.servers, s)
+		sim.servers = append(sim.servers, s)
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) newNode(name string, names []string) *node {
-	n := &node{name: name, clock: newClock(w.r), table: New(Config{}), naive: naiveTable{}}
+func (sim *simulation) newNode(name string, names []string) *node {
+	n := &node{name: name, clock: newClock(sim.r), table: New(Config{}), naive: naiveTable{}}
 	g, err := NewGossip(GossipConfig{
 		Self:        name,
 		Start:       n.clock.at(0),
 		Incarnation: 1,
 		Table:       n.table,
-		Random:      rand.New(rand.NewPCG(w.r.Uint64(), 1)),
+		Random:      rand.New(rand.NewPCG(sim.r.Uint64(), 1)),
 	})
 	if err != nil {
 		panic(err)
@@ -156,59 +156,59 @@
 	return n
 }
 
-func (w *simulation) later(least, most int) time.Duration {
-	return w.now + time.Duration(least*1000+w.r.IntN((most-least)*1000))*time.Millisecond
+func (sim *simulation) later(least, most int) time.Duration {
+	return sim.now + time.Duration(least*1000+sim.r.IntN((most-least)*1000))*time.Millisecond
 }
 
-func (w *simulation) run(length time.Duration) {
+func (sim *simulation) run(length time.Duration) {
 	const step = 25 * time.Millisecond
-	for ; w.now < length && w.fault == ""; w.now += step {
-		w.injectFaults()
-		for _, s := range w.servers {
-			w.announce(s)
+	for ; sim.now < length && sim.fault == ""; sim.now += step {
+		sim.injectFaults()
+		for _, s := range sim.servers {
+			sim.announce(s)
 		}
-		w.deliver()
-		for _, n := range w.nodes {
-			w.tick(n)
+		sim.deliver()
+		for _, n := range sim.nodes {
+			sim.tick(n)
 		}
 	}
 }
 
 // injectFaults suspends entries and partitions them from their peers.
-func (w *simulation) injectFaults() {
-	if w.faultless || w.r.IntN(60) > 0 {
+func (sim *simulation) injectFaults() {
+	if sim.faultless || sim.r.IntN(60) > 0 {
 		return
 	}
-	n := w.nodes[w.r.IntN(len(w.nodes))]
-	if w.r.IntN(2) == 0 {
-		n.suspendedUntil = w.later(0, 12)
+	n := sim.nodes[sim.r.IntN(len(sim.nodes))]
+	if sim.r.IntN(2) == 0 {
+		n.suspendedUntil = sim.later(0, 12)
 	} else {
-		n.partitionedUntil = w.later(0, 12)
+		n.partitionedUntil = sim.later(0, 12)
 	}
 }
 
 // announce sends the server's announcement when it is due; from time to time the server leaves and returns.
-func (w *simulation) announce(s *server) {
-	if s.returns > 0 && w.now >= s.returns {
+func (sim *simulation) announce(s *server) {
+	if s.returns > 0 && sim.now >= s.returns {
 		s.a.Incarnation++
 		s.a.Sequence = 0
 		s.a.State = announcement.Ready
-		s.started, s.returns, s.leaves = w.now, 0, w.later(5, 25)
+		s.started, s.returns, s.leaves = sim.now, 0, sim.later(5, 25)
 	}
-	if !w.faultless && s.returns == 0 && w.now >= s.leaves {
+	if !sim.faultless && s.returns == 0 && sim.now >= s.leaves {
 		s.a.State = announcement.Leaving
-		s.returns, s.next = w.later(4, 9), w.now
-		w.left[incarnationKey(s.a.Identity, s.a.Incarnation)] = w.now
+		s.returns, s.next = sim.later(4, 9), sim.now
+		sim.left[incarnationKey(s.a.Identity, s.a.Incarnation)] = sim.now
 	}
-	if w.now < s.next {
+	if sim.now < s.next {
 		return
 	}
-	s.next = w.now + time.Second
+	s.next = sim.now + time.Second
 	s.a.Sequence++
 	a := s.a
-	a.UptimeMillis = 1 + s.clock.at(w.now).Sub(s.clock.at(s.started)).Milliseconds()
-	n := w.nodes[w.r.IntN(len(w.nodes))]
-	w.send(delivery{from: a.Identity, to: n, a: &a})
+	a.UptimeMillis = 1 + s.clock.at(sim.now).Sub(s.clock.at(s.started)).Milliseconds()
+	n := sim.nodes[sim.r.IntN(len(sim.nodes))]
+	sim.send(delivery{from: a.Identity, to: n, a: &a})
 }
 
 func incarnationKey(identity string, incarnation uint64) string {
@@ -216,19 +216,19 @@
 }
 
 // send queues a message for delivery; some messages are delayed, duplicated or dropped.
-func (w *simulation) send(d delivery) {
-	delay := w.r.IntN(60)
-	if !w.faultless {
-		switch w.r.IntN(10) {
+func (sim *simulation) send(d delivery) {
+	delay := sim.r.IntN(60)
+	if !sim.faultless {
+		switch sim.r.IntN(10) {
 		case 0:
 			return
 		case 1:
-			w.inFlight = append(w.inFlight, d.after(w.now, w.r.IntN(15000)))
+			sim.inFlight = append(sim.inFlight, d.after(sim.now, sim.r.IntN(15000)))
 		case 2:
-			delay = w.r.IntN(15000)
+			delay = sim.r.IntN(15000)
 		}
 	}
-	w.inFlight = append(w.inFlight, d.after(w.now, delay))
+	sim.inFlight = append(sim.inFlight, d.after(sim.now, delay))
 }
 
 func (d delivery) after(now time.Duration, millis int) delivery {
@@ -237,29 +237,29 @@
 	return d
 }
 
-func (w *simulation) deliver() {
-	due := w.inFlight
-	w.inFlight = nil
+func (sim *simulation) deliver() {
+	due := sim.inFlight
+	sim.inFlight = nil
 	for _, d := range due {
-		blocked := d.to.suspendedUntil > w.now || (d.a == nil && d.to.partitionedUntil > w.now)
-		if d.at > w.now || blocked {
-			w.inFlight = append(w.inFlight, d)
+		blocked := d.to.suspendedUntil > sim.now || (d.a == nil && d.to.partitionedUntil > sim.now)
+		if d.at > sim.now || blocked {
+			sim.inFlight = append(sim.inFlight, d)
 			continue
 		}
-		w.receive(d)
+		sim.receive(d)
 	}
 }
 
-func (w *simulation) receive(d delivery) {
-	n, now := d.to, d.to.clock.at(w.now)
+func (sim *simulation) receive(d delivery) {
+	n, now := d.to, d.to.clock.at(sim.now)
 	if d.a == nil {
 		for _, e := range n.gossip.Receive(now, d.from, d.m) {
-			w.send(delivery{from: n.name, to: w.node(e.To), m: e.Message})
+			sim.send(delivery{from: n.name, to: sim.node(e.To), m: e.Message})
 		}
-		w.gossipNaive(n, now, d.m)
+		sim.gossipNaive(n, now, d.m)
 		return
 	}
-	if w.withoutGuarantee(n, d) {
+	if sim.withoutGuarantee(n, d) {
 		return
 	}
 	n.naive.merge(now, *d.a)
@@ -269,15 +269,15 @@
 }
 
 // withoutGuarantee reports whether the announcement is the first one of an incarnation at the entry and was delayed for long, the one case without a guarantee.
-func (w *simulation) withoutGuarantee(n *node, d delivery) bool {
+func (sim *simulation) withoutGuarantee(n *node, d delivery) bool {
 	v := n.table.View()
 	if s, ok := v.Server(d.a.Identity); ok && s.announcement.Incarnation >= d.a.Incarnation {
 		return false
 	}
-	return w.now-d.sent > 100*time.Millisecond
+	return sim.now-d.sent > 100*time.Millisecond
 }
 
-func (w *simulation) gossipNaive(n *node, now time.Time, m Message) {
+func (sim *simulation) gossipNaive(n *node, now time.Time, m Message) {
 	var rows []Row
 	if m.Answer != nil {
 		rows = m.Answer.Rows
@@ -292,8 +292,8 @@
 	}
 }
 
-func (w *simulation) node(name string) *node {
-	for _, n := range w.nodes {
+func (sim *simulation) node(name string) *node {
+	for _, n := range sim.nodes {
 		if n.name == name {
 			return n
 		}
@@ -302,36 +302,36 @@
 }
 
 // tick sends the entry's due messages and checks which servers are eligible at it.
-func (w *simulation) tick(n *node) {
-	if n.suspendedUntil > w.now {
+func (sim *simulation) tick(n *node) {
+	if n.suspendedUntil > sim.now {
 		return
 	}
-	now := n.clock.at(w.now)
+	now := n.clock.at(sim.now)
 	for _, e := range n.gossip.Outgoing(now) {
-		w.send(delivery{from: n.name, to: w.node(e.To), m: e.Message})
+		sim.send(delivery{from: n.name, to: sim.node(e.To), m: e.Message})
 	}
 	v := n.table.View()
-	for _, s := range w.servers {
+	for _, s := range sim.servers {
 		id := s.a.Identity
-		if i, ok := n.naive.eligible(now, id); ok && w.late(id, i) {
-			w.naiveLate++
+		if i, ok := n.naive.eligible(now, id); ok && sim.late(id, i) {
+			sim.naiveLate++
 		}
 		known, ok := v.Server(id)
 		reason := IsSilent
 		if ok {
 			reason = known.Eligible(now, Need{Kind: announcement.Engine, Model: "m", WeightVersion: "v", Age: MaxAge})
 		}
-		w.checks++
-		if reason != Eligible && w.now > 3*time.Second {
-			w.refused++
+		sim.checks++
+		if reason != Eligible && sim.now > 3*time.Second {
+			sim.refused++
 		}
-		if reason == Eligible && w.late(id, known.announcement.Incarnation) {
-			w.fault = fmt.Sprintf("at %v %s sends requests to %s, which left at %v", w.now, n.name, id, w.left[incarnationKey(id, known.announcement.Incarnation)])
+		if reason == Eligible && sim.late(id, known.announcement.Incarnation) {
+			sim.fault = fmt.Sprintf("at %v %s sends requests to %s, which left at %v", sim.now, n.name, id, sim.left[incarnationKey(id, known.announcement.Incarnation)])
 		}
 	}
 }
 
-func (w *simulation) late(identity string, incarnation uint64) bool {
-	left, ok := w.left[incarnationKey(identity, incarnation)]
-	return ok && w.now > left+leaveLimit
+func (sim *simulation) late(identity string, incarnation uint64) bool {
+	left, ok := sim.left[incarnationKey(identity, incarnation)]
+	return ok && sim.now > left+leaveLimit
 }
--- a/internal/fleet/membership/peer_clock.go
+++ b/internal/fleet/membership/peer_clock.go
@@ -12,7 +12,7 @@
 	return !c.bound.since.IsZero()
 }
 
-// add records that the peer's clock had the reading at made or later.
+// add records that the peer's clock had the reading at the time made or later.
 func (c *peerClock) add(now, made time.Time, s Stamp) {
 	if s.Incarnation < c.incarnation {
 		return
--- a/internal/fleet/membership/shard.go
+++ b/internal/fleet/membership/shard.go
@@ -8,8 +8,8 @@
 	"hornbeamwood/internal/fleet/announcement"
 )
 
-// entry is the mutable state of one server.
-type entry struct {
+// serverState is the mutable state of one server.
+type serverState struct {
 	server *Server
 	delay  delayEstimator
 }
@@ -17,19 +17,19 @@
 // shard holds some of the servers; its view is copied on write, so that readers take no lock.
 type shard struct {
 	mu      sync.Mutex
-	entries map[string]*entry
+	servers map[string]*serverState
 	view    atomic.Pointer[[]*Server]
 }
 
 func newShard() *shard {
-	s := &shard{entries: map[string]*entry{}}
+	s := &shard{servers: map[string]*serverState{}}
 	s.view.Store(&[]*Server{})
 	return s
 }
 
 func (s *shard) publish() {
-	all := make([]*Server, 0, len(s.entries))
-	for _, e := range s.entries {
+	all := make([]*Server, 0, len(s.servers))
+	for _, e := range s.servers {
 		all = append(all, e.server)
 	}
 	s.view.Store(&all)
--- a/internal/fleet/membership/source.go
+++ b/internal/fleet/membership/source.go
@@ -15,7 +15,7 @@
 }
 
 // madeAt returns the earliest time at which the announcement may have been made.
-func (e *entry) madeAt(now time.Time, a announcement.Announcement, src source) time.Time {
+func (e *serverState) madeAt(now time.Time, a announcement.Announcement, src source) time.Time {
 	uptime := time.Duration(a.UptimeMillis) * time.Millisecond
 	if src.direct && uptime == 0 {
 		return now
--- a/internal/fleet/membership/start_bound.go
+++ b/internal/fleet/membership/start_bound.go
@@ -19,25 +19,25 @@
 	starts [2]time.Time
 }
 
-// add records that the other clock had the reading at made or later.
-func (p *startBound) add(now, made time.Time, reading time.Duration) {
-	if now.Sub(p.since) > boundWindow {
-		p.since = now
-		p.starts = [2]time.Time{{}, p.starts[0]}
+// add records that the other clock had the reading at the time made or later.
+func (b *startBound) add(now, made time.Time, reading time.Duration) {
+	if now.Sub(b.since) > boundWindow {
+		b.since = now
+		b.starts = [2]time.Time{{}, b.starts[0]}
 	}
-	if start := made.Add(-reading); start.After(p.starts[0]) {
-		p.starts[0] = start
+	if start := made.Add(-reading); start.After(b.starts[0]) {
+		b.starts[0] = start
 	}
 }
 
 // start returns the bound, reduced by the drift since the reading, and false if there is none.
-func (p *startBound) start(now time.Time) (time.Time, bool) {
-	best := p.starts[0]
-	if p.starts[1].After(best) {
-		best = p.starts[1]
+func (b *startBound) start(now time.Time) (time.Time, bool) {
+	best := b.starts[0]
+	if b.starts[1].After(best) {
+		best = b.starts[1]
 	}
 	if best.IsZero() {
 		return time.Time{}, false
 	}
-	return best.Add(-(now.Sub(p.since) + boundWindow) / driftDivisor), true
+	return best.Add(-(now.Sub(b.since) + boundWindow) / driftDivisor), true
 }
--- a/internal/fleet/membership/table.go
+++ b/internal/fleet/membership/table.go
@@ -71,7 +71,7 @@
 	s := t.shard(a.Identity)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.entries[a.Identity]
+	e := s.servers[a.Identity]
 	if e == nil {
 		return t.add(s, now, a, src)
 	}
@@ -97,9 +97,9 @@
 		return refuse(AddressConflict, fmt.Sprintf("%s is in use by %s", a.Address, user))
 	}
 	t.count.Add(1)
-	e := &entry{}
+	e := &serverState{}
 	e.server = updatedServer(nil, a, e.madeAt(now, a, src), src.direct)
-	s.entries[a.Identity] = e
+	s.servers[a.Identity] = e
 	s.publish()
 	return MergeResult{
 		Outcome: Accepted,
@@ -110,7 +110,7 @@
 }
 
 // restart replaces the record of an older incarnation, whatever its state.
-func (t *table) restart(s *shard, e *entry, now time.Time, a announcement.Announcement, src source) MergeResult {
+func (t *table) restart(s *shard, e *serverState, now time.Time, a announcement.Announcement, src source) MergeResult {
 	old := e.server.announcement
 	if user, ok := t.addresses.claim(now, a.Address, a.Identity, t.usedBy(now, a.Address)); !ok {
 		return refuse(AddressConflict, fmt.Sprintf("%s is in use by %s", a.Address, user))
@@ -130,7 +130,7 @@
 }
 
 // mergeSameIncarnation merges an announcement of the current incarnation.
-func (s *shard) mergeSameIncarnation(e *entry, a announcement.Announcement, madeAt time.Time, direct bool) MergeResult {
+func (s *shard) mergeSameIncarnation(e *serverState, a announcement.Announcement, madeAt time.Time, direct bool) MergeResult {
 	old := e.server
 	wasReady := old.announcement.State == announcement.Ready
 	leaves := wasReady && a.State == announcement.Leaving
@@ -171,18 +171,18 @@
 
 // Sweep implements Table.
 func (t *table) Sweep(now time.Time) []string {
-	var gone []string
+	var removed []string
 	for _, s := range t.shards {
-		gone = append(gone, t.sweep(s, now)...)
+		removed = append(removed, t.sweep(s, now)...)
 	}
-	return gone
+	return removed
 }
 
 func (t *table) sweep(s *shard, now time.Time) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var gone []string
-	for i, e := range s.entries {
+	var removed []string
+	for i, e := range s.servers {
 		keep := t.config.Forget
 		if e.server.announcement.State == announcement.Leaving {
 			keep = t.config.ForgetLeaver
@@ -190,13 +190,13 @@
 		if e.server.Age(now) < keep {
 			continue
 		}
-		delete(s.entries, i)
+		delete(s.servers, i)
 		t.addresses.release(e.server.announcement.Address, i)
 		t.count.Add(-1)
-		gone = append(gone, i)
+		removed = append(removed, i)
 	}
-	if len(gone) > 0 {
+	if len(removed) > 0 {
 		s.publish()
 	}
-	return gone
+	return removed
 }
--- a/internal/fleet/membership/table_test.go
+++ b/internal/fleet/membership/table_test.go
@@ -52,15 +52,15 @@
 	if m := table.Announce(now, benchAnnouncement(2)); m.Cause != TooManyServers {
 		t.Errorf("got %+v", m)
 	}
-	if gone := table.Sweep(now.Add(DefaultForget)); len(gone) != 1 || gone[0] != benchAnnouncement(1).Identity {
-		t.Errorf("removed: %v", gone)
+	if removed := table.Sweep(now.Add(DefaultForget)); len(removed) != 1 || removed[0] != benchAnnouncement(1).Identity {
+		t.Errorf("removed: %v", removed)
 	}
 	if m := table.Announce(now.Add(DefaultForget), benchAnnouncement(0)); m.Outcome == Accepted {
 		t.Errorf("a leaving server came back: %+v", m)
 	}
 	later := now.Add(DefaultForget + DefaultForgetLeaver)
-	if gone := table.Sweep(later); len(gone) != 1 {
-		t.Errorf("removed: %v", gone)
+	if removed := table.Sweep(later); len(removed) != 1 {
+		t.Errorf("removed: %v", removed)
 	}
 	if m := table.Announce(later, benchAnnouncement(2)); m.Outcome != Accepted {
 		t.Errorf("got %+v", m)
--- a/internal/fleet/membership/work.go
+++ b/internal/fleet/membership/work.go
@@ -54,12 +54,12 @@
 
 // counts returns the counts of a server. It creates them if there are none, and returns nil if there are too many.
 func (s *workShard) counts(server uint32) *workCounts {
-	t := s.servers[server]
-	if t == nil && len(s.servers) < maxWorkServers {
-		t = &workCounts{unreported: WorkRow{Server: server}}
-		s.servers[server] = t
+	c := s.servers[server]
+	if c == nil && len(s.servers) < maxWorkServers {
+		c = &workCounts{unreported: WorkRow{Server: server}}
+		s.servers[server] = c
 	}
-	return t
+	return c
 }
 
 // Sent implements Work.
@@ -67,13 +67,13 @@
 	s := w.shard(server.prefix())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.counts(server.prefix())
-	if t == nil {
+	c := s.counts(server.prefix())
+	if c == nil {
 		return
 	}
-	t.own.add(w.step(now), 1, tokens)
-	t.unreported.Requests++
-	t.unreported.Tokens += tokens
+	c.own.add(w.step(now), 1, tokens)
+	c.unreported.Requests++
+	c.unreported.Tokens += tokens
 }
 
 // Pending implements Work.
@@ -81,14 +81,14 @@
 	s := w.shard(server.prefix())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.servers[server.prefix()]
-	if t == nil {
+	c := s.servers[server.prefix()]
+	if c == nil {
 		return Pending{}
 	}
 	var p Pending
 	from, to := w.step(measured), w.step(now)
-	p.Requests, p.Tokens = t.own.since(from, to)
-	p.PeerRequests, p.PeerTokens = t.peers.since(from, to)
+	p.Requests, p.Tokens = c.own.since(from, to)
+	p.PeerRequests, p.PeerTokens = c.peers.since(from, to)
 	return p
 }
 
@@ -97,10 +97,10 @@
 	var all []WorkRow
 	for _, s := range w.shards {
 		s.mu.Lock()
-		for k, t := range s.servers {
-			if t.unreported.Requests > 0 {
-				all = append(all, t.unreported)
-				t.unreported = WorkRow{Server: k}
+		for k, c := range s.servers {
+			if c.unreported.Requests > 0 {
+				all = append(all, c.unreported)
+				c.unreported = WorkRow{Server: k}
 			}
 		}
 		s.mu.Unlock()
@@ -117,8 +117,8 @@
 		}
 		s := w.shard(r.Server)
 		s.mu.Lock()
-		if t := s.counts(r.Server); t != nil {
-			t.peers.add(w.step(made), r.Requests, r.Tokens)
+		if c := s.counts(r.Server); c != nil {
+			c.peers.add(w.step(made), r.Requests, r.Tokens)
 		}
 		s.mu.Unlock()
 	}
--- a/internal/fleet/membership/work_test.go
+++ b/internal/fleet/membership/work_test.go
@@ -12,10 +12,10 @@
 	tokens int64
 }
 
-// naivePending recounts all requests that were sent in or after the step of taken.
-func naivePending(w *work, all []dispatch, taken time.Time) (requests int, tokens int64) {
+// naivePending recounts all requests that were sent in or after the step of measured.
+func naivePending(w *work, all []dispatch, measured time.Time) (requests int, tokens int64) {
 	for _, d := range all {
-		if w.step(d.at) >= w.step(taken) {
+		if w.step(d.at) >= w.step(measured) {
 			requests++
 			tokens += d.tokens
 		}
@@ -43,11 +43,11 @@
 				w.addPeerWork(made, []WorkRow{{Server: server.prefix(), Requests: 1, Tokens: tokens}})
 				peers = append(peers, dispatch{at: made, tokens: tokens})
 			}
-			taken := now.Add(-time.Duration(r.IntN(3000)) * time.Millisecond)
+			measured := now.Add(-time.Duration(r.IntN(3000)) * time.Millisecond)
 			var want Pending
-			want.Requests, want.Tokens = naivePending(w, own, taken)
-			want.PeerRequests, want.PeerTokens = naivePending(w, peers, taken)
-			if got := w.Pending(now, server, taken); got != want {
+			want.Requests, want.Tokens = naivePending(w, own, measured)
+			want.PeerRequests, want.PeerTokens = naivePending(w, peers, measured)
+			if got := w.Pending(now, server, measured); got != want {
 				t.Fatalf("seed %d: got %+v, want %+v", seed, got, want)
 			}
 		}
@@ -56,7 +56,7 @@
 
 // Each request must be reported to the peers exactly once. A second report would
 // count it twice; without a report, both entries would send to the same server.
-func TestWorkIsToldOnce(t *testing.T) {
+func TestWorkIsReportedOnce(t *testing.T) {
 	w := newWork(time.Unix(1000, 0))
 	w.Sent(time.Unix(1001, 0), KeyOf("a"), 10)
 	w.Sent(time.Unix(1001, 0), KeyOf("a"), 5)
--- a/internal/fleet/orders/candidate.go
+++ b/internal/fleet/orders/candidate.go
@@ -158,21 +158,21 @@
 
 func (c *controller) planLoad(now time.Time, x candidate, version string) {
 	t := loadTarget(x.server, x.model, version)
-	c.version++
+	c.noteVersion++
 	c.jobs[x.engine] = &job{
 		Outstanding: Outstanding{
 			Engine:      t.engine,
 			Incarnation: t.incarnation,
 			Order: Order{
 				ID:            t.id(c.retries[t].attempt),
-				Fencing:       c.term.Fencing,
+				Fencing:       c.held.Fencing,
 				Kind:          LoadWeights,
 				Model:         x.model,
 				WeightVersion: version,
 			},
 		},
-		reason:  x.reason,
-		note:    c.version,
-		contact: now,
+		reason:      x.reason,
+		noteVersion: c.noteVersion,
+		contact:     now,
 	}
 }
--- a/internal/fleet/orders/controller.go
+++ b/internal/fleet/orders/controller.go
@@ -18,11 +18,11 @@
 // exceeds the limit of concurrent loads nor sends an engine a second order
 // while the first one runs.
 type Controller interface {
-	// Begin starts a term of the lease with the orders from the previous holder's note.
-	Begin(now time.Time, t lease.HeldLease, inherited []Outstanding)
+	// Begin starts sending under a newly acquired lease, with the orders from the previous holder's note.
+	Begin(now time.Time, l lease.HeldLease, inherited []Outstanding)
 	// Renewed records a renewal that committed the note of the given version.
-	Renewed(t lease.HeldLease, noteVersion uint64)
-	// End ends the term.
+	Renewed(l lease.HeldLease, noteVersion uint64)
+	// End stops sending and drops all orders, because the lease has ended.
 	End()
 	// Plan returns the actions that are due now.
 	Plan(now time.Time, in Input) Plan
@@ -47,34 +47,34 @@
 
 type controller struct {
 	config        Config
-	term          lease.HeldLease
+	held          lease.HeldLease
 	sendFrom      time.Time
 	jobs          map[string]*job
 	retries       map[target]retry
-	version       uint64
+	noteVersion   uint64
 	committedNote uint64
 	fenced        bool
 }
 
-// New returns a Controller without a term.
+// New returns a Controller without a lease.
 func New(c Config) Controller {
 	return &controller{config: c.withDefaults(), jobs: map[string]*job{}, retries: map[target]retry{}}
 }
 
 // Begin implements Controller.
 //
-// The previous holder may consider its lease valid until Quiet, and an order
+// The previous holder may consider its lease valid until ActiveFrom, and an order
 // that it sent right before that may be in flight for up to Flight. Engines
 // that check fencing numbers would refuse that order; the others would carry
 // out both orders.
-func (c *controller) Begin(now time.Time, t lease.HeldLease, inherited []Outstanding) {
+func (c *controller) Begin(now time.Time, l lease.HeldLease, inherited []Outstanding) {
 	c.End()
-	c.term = t
+	c.held = l
 	c.sendFrom = now
-	if t.ActiveFrom.After(now) {
-		c.sendFrom = t.ActiveFrom
+	if l.ActiveFrom.After(now) {
+		c.sendFrom = l.ActiveFrom
 	}
-	if t.ActiveFrom.After(now) || len(inherited) > 0 {
+	if l.ActiveFrom.After(now) || len(inherited) > 0 {
 		c.sendFrom = c.sendFrom.Add(c.config.Flight)
 	}
 	for _, o := range inherited {
@@ -90,39 +90,39 @@
 }
 
 // Renewed implements Controller.
-func (c *controller) Renewed(t lease.HeldLease, noteVersion uint64) {
-	if t.Fencing != c.term.Fencing {
+func (c *controller) Renewed(l lease.HeldLease, noteVersion uint64) {
+	if l.Fencing != c.held.Fencing {
 		return
 	}
-	c.term = t
+	c.held = l
 	c.committedNote = max(c.committedNote, noteVersion)
 }
 
 // End implements Controller.
 func (c *controller) End() {
-	c.term = lease.HeldLease{}
+	c.held = lease.HeldLease{}
 	c.jobs = map[string]*job{}
 	c.fenced = false
-	c.version++
+	c.noteVersion++
 	c.committedNote = 0
 }
 
 // MaySend implements Controller.
 func (c *controller) MaySend(now time.Time, o Order) bool {
-	return c.term.Valid(now) && !c.fenced && o.Fencing == c.term.Fencing && !now.Before(c.sendFrom)
+	return c.held.Valid(now) && !c.fenced && o.Fencing == c.held.Fencing && !now.Before(c.sendFrom)
 }
 
 // Plan implements Controller.
 func (c *controller) Plan(now time.Time, in Input) Plan {
-	if !c.term.Valid(now) || c.fenced || in.Settings == nil {
-		return Plan{NoteVersion: c.version}
+	if !c.held.Valid(now) || c.fenced || in.Settings == nil {
+		return Plan{NoteVersion: c.noteVersion}
 	}
 	servers := byIdentity(in.Servers)
 	c.removeEnded(now, in, servers)
 	if !now.Before(c.sendFrom) {
 		c.planLoads(now, in, servers)
 	}
-	p := Plan{NoteVersion: c.version}
+	p := Plan{NoteVersion: c.noteVersion}
 	for _, k := range slices.Sorted(maps.Keys(c.jobs)) {
 		c.addActions(&p, now, c.jobs[k], servers[k])
 	}
@@ -152,11 +152,11 @@
 		Reason:  j.reason,
 	}
 	switch {
-	case j.step == planned && c.committedNote >= j.note && !now.Before(c.sendFrom):
+	case j.step == planned && c.committedNote >= j.noteVersion && !now.Before(c.sendFrom):
 		j.step, j.contact, j.sent, j.answerMissing = sending, now, now, false
 		p.Send = append(p.Send, i)
-	case (j.step == lost || j.step == running) && !j.reading && now.Sub(j.asked) >= c.config.Recheck:
-		j.asked, j.reading = now, true
+	case (j.step == lost || j.step == running) && !j.readPending && now.Sub(j.asked) >= c.config.Recheck:
+		j.asked, j.readPending = now, true
 		p.Read = append(p.Read, i)
 	}
 }
@@ -201,7 +201,7 @@
 		c.drop(engine)
 		return
 	}
-	c.version++
+	c.noteVersion++
 	j.Incarnation = incarnation
 	j.step = lost
 	j.reason = AnswerLost
@@ -209,7 +209,7 @@
 
 func (c *controller) drop(engine string) {
 	delete(c.jobs, engine)
-	c.version++
+	c.noteVersion++
 }
 
 // finish ends a completed job. A later order for the same target needs another ID, or the engine would report it as done.
@@ -234,7 +234,7 @@
 	if j == nil || j.Order.ID != o.ID {
 		return
 	}
-	j.reading = false
+	j.readPending = false
 	switch o.Result {
 	case Answered:
 		c.progress(now, j, o.State)
@@ -257,7 +257,7 @@
 		j.reason = InProgress
 	case Done:
 		j.step = done
-		c.version++
+		c.noteVersion++
 	case Failed:
 		c.fail(now, j.Engine, j)
 	}
@@ -291,11 +291,11 @@
 	if j.step == sending || j.step == planned || j.asked.Sub(j.sent) < c.config.Flight {
 		return
 	}
-	c.version++
+	c.noteVersion++
 	j.step = planned
-	j.note = c.version
+	j.noteVersion = c.noteVersion
 	j.contact = now
-	j.Order.Fencing = c.term.Fencing
+	j.Order.Fencing = c.held.Fencing
 }
 
 func compareCandidates(a, b candidate) int {
--- a/internal/fleet/orders/fencing_test.go
+++ b/internal/fleet/orders/fencing_test.go
@@ -26,16 +26,16 @@
 	all := gopter.NewProperties(p)
 	var sum counts
 	all.Property("at most two loads, none twice, and all end", prop.ForAllNoShrink(func(seed uint64) string {
-		w := newSimulation(seed)
-		w.run(3 * time.Minute)
-		w.faultless = true
-		w.run(3 * time.Minute)
-		sum.add(w.counts)
-		return w.result()
+		sim := newSimulation(seed)
+		sim.run(3 * time.Minute)
+		sim.faultless = true
+		sim.run(3 * time.Minute)
+		sum.add(sim.counts)
+		return sim.result()
 	}, gen.UInt64()))
 	all.TestingRun(t)
 	t.Logf("%+v", sum)
-	if sum.refused == 0 || sum.repeated == 0 || sum.suspensions == 0 {
+	if sum.refused == 0 || sum.duplicates == 0 || sum.suspensions == 0 {
 		t.Error("the rollouts do not cover all cases")
 	}
 }
@@ -44,33 +44,33 @@
 // an engine after its restart, an engine that answered before it announced its
 // restart, and a load that was ordered again although it was done. Callers would
 // have waited for a third load, or twice for the same load.
-func TestSchedulesThatShowedFaults(t *testing.T) {
+func TestSchedulesThatFailedBefore(t *testing.T) {
 	for _, seed := range []uint64{17015883438274135316, 11246781351371728458, 7769551323292682336, 13417245846495852597, 2624953689283725064} {
-		w := newSimulation(seed)
-		w.run(3 * time.Minute)
-		w.faultless = true
-		w.run(3 * time.Minute)
-		if fault := w.result(); fault != "" {
+		sim := newSimulation(seed)
+		sim.run(3 * time.Minute)
+		sim.faultless = true
+		sim.run(3 * time.Minute)
+		if fault := sim.result(); fault != "" {
 			t.Errorf("seed %d: %s", seed, fault)
 		}
 	}
 }
 
-func (t *counts) add(o counts) {
-	t.loads += o.loads
-	t.refused += o.refused
-	t.repeated += o.repeated
-	t.terms += o.terms
-	t.suspensions += o.suspensions
+func (c *counts) add(o counts) {
+	c.loads += o.loads
+	c.refused += o.refused
+	c.duplicates += o.duplicates
+	c.acquisitions += o.acquisitions
+	c.suspensions += o.suspensions
 }
 
 // result returns the fault of the run, or names an engine that does not hold the wanted version after the period without faults.
-func (w *simulation) result() string {
-	if w.fault != "" {
-		return w.fault
+func (sim *simulation) result() string {
+	if sim.fault != "" {
+		return sim.fault
 	}
-	for _, e := range w.engines {
-		if _, ok := versions(e.a, "m", w.settings.Models["m"].WeightVersion); !ok {
+	for _, e := range sim.engines {
+		if _, ok := versions(e.a, "m", sim.settings.Models["m"].WeightVersion); !ok {
 			return e.a.Identity + " does not hold the wanted version after three minutes without faults"
 		}
 	}
@@ -78,110 +78,110 @@
 }
 
 // tick lets the host acquire or renew the lease, plan and send.
-func (w *simulation) tick(g *host) {
-	if g.suspendedUntil > w.now {
+func (sim *simulation) tick(h *host) {
+	if h.suspendedUntil > sim.now {
 		return
 	}
-	w.sendUnsent(g)
-	now := w.clock(g)
-	if !g.term.Valid(now) {
-		g.c.End()
-		g.plan = Plan{}
-		g.term = lease.HeldLease{}
+	sim.sendUnsent(h)
+	now := sim.clock(h)
+	if !h.held.Valid(now) {
+		h.c.End()
+		h.plan = Plan{}
+		h.held = lease.HeldLease{}
 	}
-	if w.now >= g.due {
-		g.due = w.now + 2*time.Second
-		w.requestLease(g)
+	if sim.now >= h.due {
+		h.due = sim.now + 2*time.Second
+		sim.requestLease(h)
 	}
-	if !g.term.Valid(now) {
+	if !h.held.Valid(now) {
 		return
 	}
-	all := serversOf(g)
-	g.plan = g.c.Plan(now, Input{Settings: w.settings, Servers: all})
-	if g.plan.NoteVersion != g.renewed {
-		g.due = w.now
+	all := serversOf(h)
+	h.plan = h.c.Plan(now, Input{Settings: sim.settings, Servers: all})
+	if h.plan.NoteVersion != h.renewed {
+		h.due = sim.now
 	}
-	g.unsent = append(g.unsent, g.plan.Send...)
-	for _, i := range g.plan.Read {
-		w.exchange(g, i, func(e *engine) Outcome { return e.read(i.Order.ID) })
+	h.unsent = append(h.unsent, h.plan.Send...)
+	for _, i := range h.plan.Read {
+		sim.exchange(h, i, func(e *engine) Outcome { return e.read(i.Order.ID) })
 	}
-	if w.r.IntN(8) > 0 || w.faultless {
-		w.sendUnsent(g)
+	if sim.r.IntN(8) > 0 || sim.faultless {
+		sim.sendUnsent(h)
 	}
 }
 
 // sendUnsent sends the planned orders, including those delayed by a suspension.
-func (w *simulation) sendUnsent(g *host) {
-	for _, i := range g.unsent {
-		if !g.c.MaySend(w.clock(g), i.Order) {
-			g.c.Answered(w.clock(g), Outcome{Engine: i.Engine, ID: i.Order.ID, Result: NotSent})
+func (sim *simulation) sendUnsent(h *host) {
+	for _, i := range h.unsent {
+		if !h.c.MaySend(sim.clock(h), i.Order) {
+			h.c.Answered(sim.clock(h), Outcome{Engine: i.Engine, ID: i.Order.ID, Result: NotSent})
 			continue
 		}
-		w.exchange(g, i, func(e *engine) Outcome { return w.order(e, i.Order) })
-		w.suspendAfterOrder(g)
+		sim.exchange(h, i, func(e *engine) Outcome { return sim.order(e, i.Order) })
+		sim.suspendAfterOrder(h)
 	}
-	g.unsent = nil
+	h.unsent = nil
 }
 
 // suspendAfterOrder sometimes suspends the host right after an order and makes the log's clock expire its lease at once.
-func (w *simulation) suspendAfterOrder(g *host) {
-	if w.faultless || w.r.IntN(12) > 0 {
+func (sim *simulation) suspendAfterOrder(h *host) {
+	if sim.faultless || sim.r.IntN(12) > 0 {
 		return
 	}
-	g.suspendedUntil = w.now + time.Duration(w.r.IntN(40000))*time.Millisecond
-	w.counts.suspensions++
-	if w.r.IntN(2) == 0 {
-		w.logAhead += leaseTime
+	h.suspendedUntil = sim.now + time.Duration(sim.r.IntN(40000))*time.Millisecond
+	sim.counts.suspensions++
+	if sim.r.IntN(2) == 0 {
+		sim.logAhead += leaseTime
 	}
 }
 
 // exchange delivers a request to the engine and its answer to the host, with delays, losses and duplicates.
-func (w *simulation) exchange(g *host, i Instruction, do func(e *engine) Outcome) {
+func (sim *simulation) exchange(h *host, i Instruction, do func(e *engine) Outcome) {
 	lost := Outcome{Engine: i.Engine, ID: i.Order.ID, Result: Lost}
 	out := make([]Outcome, 0, 1)
 	request := func() {
-		for _, e := range w.engines {
+		for _, e := range sim.engines {
 			if e.a.Identity == i.Engine {
 				out = append(out, do(e))
 			}
 		}
 	}
-	delay := w.r.IntN(40)
-	fault := w.r.IntN(12)
-	if w.faultless {
+	delay := sim.r.IntN(40)
+	fault := sim.r.IntN(12)
+	if sim.faultless {
 		fault = 11
 	}
 	switch fault {
 	case 0:
-		w.after(g, 2000, func() { g.c.Answered(w.clock(g), lost) })
+		sim.after(h, 2000, func() { h.c.Answered(sim.clock(h), lost) })
 		return
 	case 1:
-		w.after(nil, w.r.IntN(4500), request)
-		w.after(g, 2000, func() { g.c.Answered(w.clock(g), lost) })
+		sim.after(nil, sim.r.IntN(4500), request)
+		sim.after(h, 2000, func() { h.c.Answered(sim.clock(h), lost) })
 		return
 	case 2:
-		w.duplicate(i, request)
+		sim.duplicate(i, request)
 	}
-	if !w.faultless && w.r.IntN(4) == 0 {
-		w.lateDuplicate(i, request)
+	if !sim.faultless && sim.r.IntN(4) == 0 {
+		sim.lateDuplicate(i, request)
 	}
-	w.after(nil, delay, request)
-	w.after(g, delay+60, func() {
+	sim.after(nil, delay, request)
+	sim.after(h, delay+60, func() {
 		if len(out) == 0 {
 			out = append(out, lost)
 		}
-		g.c.Answered(w.clock(g), out[0])
+		h.c.Answered(sim.clock(h), out[0])
 	})
 }
 
 // duplicate delivers the request a second time. A connection ends with its engine's incarnation, and so does the copy.
-func (w *simulation) duplicate(i Instruction, request func()) {
-	for _, e := range w.engines {
+func (sim *simulation) duplicate(i Instruction, request func()) {
+	for _, e := range sim.engines {
 		if e.a.Identity != i.Engine {
 			continue
 		}
 		incarnation := e.a.Incarnation
-		w.after(nil, w.r.IntN(4500), func() {
+		sim.after(nil, sim.r.IntN(4500), func() {
 			if e.a.Incarnation == incarnation {
 				request()
 			}
@@ -190,12 +190,12 @@
 }
 
 // lateDuplicate delivers a copy much later than Flight to an engine that checks fencing numbers and has seen a higher one by then.
-func (w *simulation) lateDuplicate(i Instruction, request func()) {
-	for _, e := range w.engines {
+func (sim *simulation) lateDuplicate(i Instruction, request func()) {
+	for _, e := range sim.engines {
 		if e.a.Identity != i.Engine || !e.checks {
 			continue
 		}
-		w.after(nil, 20000+w.r.IntN(60000), func() {
+		sim.after(nil, 20000+sim.r.IntN(60000), func() {
 			if e.fencing > i.Order.Fencing {
 				request()
 			}
@@ -204,54 +204,54 @@
 }
 
 // requestLease acquires or renews the lease; the answer is delayed and sometimes lost.
-func (w *simulation) requestLease(g *host) {
-	sent := w.clock(g)
-	if !g.term.Valid(sent) {
-		w.acquire(g, sent)
+func (sim *simulation) requestLease(h *host) {
+	sent := sim.clock(h)
+	if !h.held.Valid(sent) {
+		sim.acquire(h, sent)
 		return
 	}
-	note, err := EncodeNote(g.plan.Note)
+	note, err := EncodeNote(h.plan.Note)
 	if err != nil {
-		w.fault = err.Error()
+		sim.fault = err.Error()
 	}
-	version := g.plan.NoteVersion
-	r := lease.Renew{Name: "orders", Holder: g.name, Fencing: g.term.Fencing, Duration: leaseTime, Note: note, NoteVersion: version}
-	w.after(nil, w.r.IntN(50), func() {
-		x := w.command(lease.Command{Renew: &r})
-		w.answer(g, func() {
-			if x.Granted && x.Fencing == g.term.Fencing {
-				g.term = g.term.Renewed(sent, leaseTime)
-				g.renewed = max(g.renewed, version)
-				g.c.Renewed(g.term, version)
+	version := h.plan.NoteVersion
+	r := lease.Renew{Name: "orders", Holder: h.name, Fencing: h.held.Fencing, Duration: leaseTime, Note: note, NoteVersion: version}
+	sim.after(nil, sim.r.IntN(50), func() {
+		x := sim.command(lease.Command{Renew: &r})
+		sim.answer(h, func() {
+			if x.Granted && x.Fencing == h.held.Fencing {
+				h.held = h.held.Renewed(sent, leaseTime)
+				h.renewed = max(h.renewed, version)
+				h.c.Renewed(h.held, version)
 			}
 		})
 	})
 }
 
-func (w *simulation) acquire(g *host, sent time.Time) {
-	c := lease.Command{Acquire: &lease.Acquire{Name: "orders", Holder: g.name, Duration: leaseTime}}
-	w.after(nil, w.r.IntN(50), func() {
-		x := w.command(c)
-		w.answer(g, func() {
-			received := w.clock(g)
-			if !x.Granted || g.term.Valid(received) {
+func (sim *simulation) acquire(h *host, sent time.Time) {
+	c := lease.Command{Acquire: &lease.Acquire{Name: "orders", Holder: h.name, Duration: leaseTime}}
+	sim.after(nil, sim.r.IntN(50), func() {
+		x := sim.command(c)
+		sim.answer(h, func() {
+			received := sim.clock(h)
+			if !x.Granted || h.held.Valid(received) {
 				return
 			}
 			inherited, err := DecodeNote(x.Note)
 			if err != nil {
-				w.fault = err.Error()
+				sim.fault = err.Error()
 			}
-			w.counts.terms++
-			g.term = lease.NewHeldLease(x, sent, received, leaseTime)
-			g.renewed = 0
-			g.c.Begin(received, g.term, inherited)
+			sim.counts.acquisitions++
+			h.held = lease.NewHeldLease(x, sent, received, leaseTime)
+			h.renewed = 0
+			h.c.Begin(received, h.held, inherited)
 		})
 	})
 }
 
-func (w *simulation) answer(g *host, do func()) {
-	if !w.faultless && w.r.IntN(10) == 0 {
+func (sim *simulation) answer(h *host, do func()) {
+	if !sim.faultless && sim.r.IntN(10) == 0 {
 		return
 	}
-	w.after(g, w.r.IntN(50), do)
+	sim.after(h, sim.r.IntN(50), do)
 }
--- a/internal/fleet/orders/job.go
+++ b/internal/fleet/orders/job.go
@@ -12,7 +12,7 @@
 const (
 	// planned means that the order waits until the lease's note includes it.
 	planned step = iota
-	// sending means that the order was handed to the adapter and its outcome is outstanding.
+	// sending means that the order was handed to the caller of Plan for sending and its outcome is outstanding.
 	sending
 	// lost means that the order's state must be read from the engine.
 	lost
@@ -25,9 +25,9 @@
 // job tracks one order from its planning to its end.
 type job struct {
 	Outstanding
-	step   step
-	reason Reason
-	note   uint64
+	step        step
+	reason      Reason
+	noteVersion uint64
 	// contact is when the engine last answered about the order, or when it was sent.
 	contact time.Time
 	// sent is when the order was last sent.
@@ -36,8 +36,8 @@
 	answerMissing bool
 	// asked is when the order's state was last requested.
 	asked time.Time
-	// reading is true until that request has its outcome.
-	reading bool
+	// readPending is true until that request has its outcome.
+	readPending bool
 }
 
 // loading reports whether the engine may be loading weights for the order now or soon.
--- a/internal/fleet/orders/plan.go
+++ b/internal/fleet/orders/plan.go
@@ -6,7 +6,7 @@
 	Note []Outstanding
 	// NoteVersion increases with each change of Note.
 	NoteVersion uint64
-	// Send are the orders to send; the adapter calls MaySend right before it writes each.
+	// Send are the orders to send; the sender calls MaySend right before it writes each.
 	Send []Instruction
 	// Read are the orders whose state is to be read from the engine.
 	Read []Instruction
--- a/internal/fleet/orders/servers_test.go
+++ b/internal/fleet/orders/servers_test.go
@@ -2,8 +2,8 @@
 
 import "hornbeamwood/internal/fleet/membership"
 
-func serversOf(g *host) []*membership.Server {
-	v := g.table.View()
+func serversOf(h *host) []*membership.Server {
+	v := h.table.View()
 	var all []*membership.Server
 	for s := range v.All() {
 		all = append(all, s)
--- a/internal/fleet/orders/simulation_test.go
+++ b/internal/fleet/orders/simulation_test.go
@@ -28,12 +28,12 @@
 	left    map[string]time.Duration
 }
 
-// host is a controller with its adapter: it acquires the lease and sends the planned orders.
+// host is a process with a controller: it acquires the lease and sends the planned orders.
 type host struct {
 	name           string
 	c              Controller
 	table          membership.Table
-	term           lease.HeldLease
+	held           lease.HeldLease
 	suspendedUntil time.Duration
 	due            time.Duration
 	unsent         []Instruction
@@ -67,20 +67,20 @@
 
 // counts counts the events that occurred.
 type counts struct {
-	loads, refused, repeated, terms, suspensions int
+	loads, refused, duplicates, acquisitions, suspensions int
 }
 
 func newSimulation(seed uint64) *simulation {
-	w := &simulation{r: rand.New(rand.NewPCG(seed, 9)), leases: lease.New()}
-	w.set("v1")
+	sim := &simulation{r: rand.New(rand.NewPCG(seed, 9)), leases: lease.New()}
+	sim.set("v1")
 	for i := range 6 {
-		w.engines = append(w.engines, newEngine(i))
+		sim.engines = append(sim.engines, newEngine(i))
 	}
 	for i := range 2 {
-		g := &host{name: fmt.Sprintf("entry-%d", i), c: New(Config{}), table: membership.New(membership.Config{}), rate: 1 + (w.r.Float64()-0.5)*0.02}
-		w.hosts = append(w.hosts, g)
+		h := &host{name: fmt.Sprintf("entry-%d", i), c: New(Config{}), table: membership.New(membership.Config{}), rate: 1 + (sim.r.Float64()-0.5)*0.02}
+		sim.hosts = append(sim.hosts, h)
 	}
-	return w
+	return sim
 }
 
 func newEngine(i int) *engine {
@@ -107,26 +107,26 @@
 }
 
 // order handles an order as specified in docs/interfaces/backend.md.
-func (w *simulation) order(e *engine, o Order) Outcome {
+func (sim *simulation) order(e *engine, o Order) Outcome {
 	out := Outcome{Engine: e.a.Identity, ID: o.ID, Result: Answered}
 	if e.checks && o.Fencing < e.fencing {
-		w.counts.refused++
+		sim.counts.refused++
 		out.Result = Fenced
 		return out
 	}
 	e.fencing = max(e.fencing, o.Fencing)
 	if p, ok := e.states[o.ID]; ok {
-		w.counts.repeated++
+		sim.counts.duplicates++
 		out.State = p
 		return out
 	}
 	if len(e.loading) > 0 {
-		w.fault = fmt.Sprintf("at %v %s got a second order while it loads", w.now, e.a.Identity)
+		sim.fault = fmt.Sprintf("at %v %s got a second order while it loads", sim.now, e.a.Identity)
 	}
 	if _, has := versions(e.a, o.Model, o.WeightVersion); has {
-		w.fault = fmt.Sprintf("at %v %s loads %s again", w.now, e.a.Identity, o.WeightVersion)
+		sim.fault = fmt.Sprintf("at %v %s loads %s again", sim.now, e.a.Identity, o.WeightVersion)
 	}
-	w.counts.loads++
+	sim.counts.loads++
 	e.states[o.ID] = Running
 	e.loading[o.ID] = o
 	e.left[o.ID] = loadTime
@@ -143,14 +143,14 @@
 }
 
 // work advances the engine's loads by one step; some loads fail.
-func (w *simulation) work(e *engine, step time.Duration, all int) {
+func (sim *simulation) work(e *engine, step time.Duration, all int) {
 	for id, o := range e.loading {
 		e.left[id] -= step * 2 / time.Duration(max(2, all))
 		if e.left[id] > 0 {
 			continue
 		}
 		delete(e.loading, id)
-		if !w.faultless && w.r.IntN(12) == 0 {
+		if !sim.faultless && sim.r.IntN(12) == 0 {
 			e.states[id] = Failed
 			continue
 		}
@@ -161,59 +161,59 @@
 }
 
 // set changes the settings.
-func (w *simulation) set(version string) {
-	w.settings = &rules.Snapshot{
+func (sim *simulation) set(version string) {
+	sim.settings = &rules.Snapshot{
 		Fleet:  rules.Fleet{WeightLoads: 2},
 		Models: map[string]rules.Model{"m": {Name: "m", WeightVersion: version}},
 	}
 }
 
-func (w *simulation) run(length time.Duration) {
+func (sim *simulation) run(length time.Duration) {
 	const step = 50 * time.Millisecond
-	for end := w.now + length; w.now < end && w.fault == ""; w.now += step {
-		w.runEvents()
-		w.injectFault()
-		for _, g := range w.hosts {
-			w.tick(g)
+	for end := sim.now + length; sim.now < end && sim.fault == ""; sim.now += step {
+		sim.runEvents()
+		sim.injectFault()
+		for _, h := range sim.hosts {
+			sim.tick(h)
 		}
 		loads := 0
-		for _, e := range w.engines {
+		for _, e := range sim.engines {
 			loads += len(e.loading)
 		}
 		if loads > 2 {
-			w.fault = fmt.Sprintf("at %v %d weight loads run at once", w.now, loads)
+			sim.fault = fmt.Sprintf("at %v %d weight loads run at once", sim.now, loads)
 		}
-		for i, e := range w.engines {
-			w.work(e, step, loads)
-			if (w.now/step)%20 == time.Duration(i) {
-				w.announce(e)
+		for i, e := range sim.engines {
+			sim.work(e, step, loads)
+			if (sim.now/step)%20 == time.Duration(i) {
+				sim.announce(e)
 			}
 		}
 	}
 }
 
-func (w *simulation) announce(e *engine) {
+func (sim *simulation) announce(e *engine) {
 	e.a.Sequence++
 	a := e.a
-	for _, g := range w.hosts {
-		w.after(g, w.r.IntN(100), func() { g.table.Announce(w.clock(g), a) })
+	for _, h := range sim.hosts {
+		sim.after(h, sim.r.IntN(100), func() { h.table.Announce(sim.clock(h), a) })
 	}
 }
 
-func (w *simulation) clock(g *host) time.Time {
-	return time.Unix(1000, 0).Add(time.Duration(float64(w.now) * g.rate))
+func (sim *simulation) clock(h *host) time.Time {
+	return time.Unix(1000, 0).Add(time.Duration(float64(sim.now) * h.rate))
 }
 
-func (w *simulation) after(on *host, millis int, do func()) {
-	w.events = append(w.events, event{at: w.now + time.Duration(millis)*time.Millisecond, on: on, do: do})
+func (sim *simulation) after(on *host, millis int, do func()) {
+	sim.events = append(sim.events, event{at: sim.now + time.Duration(millis)*time.Millisecond, on: on, do: do})
 }
 
-func (w *simulation) runEvents() {
-	due := w.events
-	w.events = nil
+func (sim *simulation) runEvents() {
+	due := sim.events
+	sim.events = nil
 	for _, e := range due {
-		if e.at > w.now || (e.on != nil && e.on.suspendedUntil > w.now) {
-			w.events = append(w.events, e)
+		if e.at > sim.now || (e.on != nil && e.on.suspendedUntil > sim.now) {
+			sim.events = append(sim.events, e)
 			continue
 		}
 		e.do()
@@ -221,31 +221,31 @@
 }
 
 // injectFault suspends a host, restarts an engine, advances the log's clock or changes the settings.
-func (w *simulation) injectFault() {
-	if w.faultless {
+func (sim *simulation) injectFault() {
+	if sim.faultless {
 		return
 	}
-	switch w.r.IntN(600) {
+	switch sim.r.IntN(600) {
 	case 0, 1:
-		g := w.hosts[w.r.IntN(2)]
-		g.suspendedUntil = w.now + time.Duration(w.r.IntN(40000))*time.Millisecond
-		w.counts.suspensions++
+		h := sim.hosts[sim.r.IntN(2)]
+		h.suspendedUntil = sim.now + time.Duration(sim.r.IntN(40000))*time.Millisecond
+		sim.counts.suspensions++
 	case 2:
-		e := w.engines[w.r.IntN(len(w.engines))]
+		e := sim.engines[sim.r.IntN(len(sim.engines))]
 		e.a.Incarnation++
 		e.a.Sequence = 0
 		e.a.LastOrder = ""
 		e.forget()
 	case 3:
-		w.logAhead += time.Duration(w.r.IntN(12000)) * time.Millisecond
+		sim.logAhead += time.Duration(sim.r.IntN(12000)) * time.Millisecond
 	case 4, 5:
-		w.set(fmt.Sprintf("v%d", w.r.IntN(4)))
+		sim.set(fmt.Sprintf("v%d", sim.r.IntN(4)))
 	}
 }
 
-func (w *simulation) command(c lease.Command) lease.Result {
+func (sim *simulation) command(c lease.Command) lease.Result {
 	b, _ := codec.Marshal(c)
-	at := time.Unix(5000, 0).Add(w.now + w.logAhead)
-	r, _ := codec.Unmarshal[lease.Result](w.leases.Apply(at, b))
+	at := time.Unix(5000, 0).Add(sim.now + sim.logAhead)
+	r, _ := codec.Unmarshal[lease.Result](sim.leases.Apply(at, b))
 	return r
 }
--- a/internal/fleet/quic/suspects.go
+++ b/internal/fleet/quic/suspects.go
@@ -9,7 +9,7 @@
 	"hornbeamwood/internal/node/rpc"
 )
 
-// reportTimeout limits how long Tell waits for an entry that does not answer.
+// reportTimeout limits how long Report waits for an entry that does not answer.
 const reportTimeout = 300 * time.Millisecond
 
 // suspectReport is the message with which an entry reports that a server was lost while it ran a request.
