--- a/internal/cache/directory/content_test.go
+++ b/internal/cache/directory/content_test.go
@@ -31,14 +31,14 @@
 	all := gopter.NewProperties(p)
 	var sum counts
 	all.Property("pieces read are whole, sealed, and of the request's version", prop.ForAllNoShrink(func(seed uint64) string {
-		w := newCacheSimulation(seed)
+		sim := newCacheSimulation(seed)
 		for range 600 {
-			w.step()
-			if w.fault != "" {
-				return w.fault
+			sim.step()
+			if sim.fault != "" {
+				return sim.fault
 			}
 		}
-		sum.add(w.counts)
+		sum.add(sim.counts)
 		return ""
 	}, gen.UInt64()))
 	all.TestingRun(t)
@@ -53,13 +53,13 @@
 	pieces, fromEngine, imported, missed, recomputed, uncheckedWrong int
 }
 
-func (t *counts) add(o counts) {
-	t.pieces += o.pieces
-	t.fromEngine += o.fromEngine
-	t.imported += o.imported
-	t.missed += o.missed
-	t.recomputed += o.recomputed
-	t.uncheckedWrong += o.uncheckedWrong
+func (c *counts) add(o counts) {
+	c.pieces += o.pieces
+	c.fromEngine += o.fromEngine
+	c.imported += o.imported
+	c.missed += o.missed
+	c.recomputed += o.recomputed
+	c.uncheckedWrong += o.uncheckedWrong
 }
 
 // run is one running request.
@@ -103,7 +103,7 @@
 }
 
 func newCacheSimulation(seed uint64) *cacheSimulation {
-	w := &cacheSimulation{
+	sim := &cacheSimulation{
 		r:       rand.New(rand.NewPCG(seed, 6)),
 		now:     time.Unix(5000, 0),
 		ring:    NewRing([]string{"0", "1"}),
@@ -112,10 +112,10 @@
 		wanted:  map[string]bool{},
 	}
 	for range 2 {
-		w.holders = append(w.holders, New(Config{Start: w.now, Tombstone: time.Hour}))
-		w.reportedFreed = append(w.reportedFreed, map[string]uint64{})
+		sim.holders = append(sim.holders, New(Config{Start: sim.now, Tombstone: time.Hour}))
+		sim.reportedFreed = append(sim.reportedFreed, map[string]uint64{})
 	}
-	return w
+	return sim
 }
 
 // content returns the expected bytes of a piece; it does not use the code that computes keys.
@@ -124,122 +124,122 @@
 	return bytes.Repeat(d[:], 4)
 }
 
-func (w *cacheSimulation) step() {
-	w.now = w.now.Add(time.Duration(w.r.IntN(200)) * time.Millisecond)
-	w.deliver()
+func (sim *cacheSimulation) step() {
+	sim.now = sim.now.Add(time.Duration(sim.r.IntN(200)) * time.Millisecond)
+	sim.deliver()
 	actions := []func(){
-		w.begin, w.begin, w.advance, w.advance, w.advance, w.advance, w.export, w.export, w.export, w.export, w.export, w.export,
-		w.sendReport, w.sendReport, w.sendListings, w.free, w.deleteFreed, w.injectFault,
+		sim.begin, sim.begin, sim.advance, sim.advance, sim.advance, sim.advance, sim.export, sim.export, sim.export, sim.export, sim.export, sim.export,
+		sim.sendReport, sim.sendReport, sim.sendListings, sim.free, sim.deleteFreed, sim.injectFault,
 	}
-	actions[w.r.IntN(len(actions))]()
-	w.check()
+	actions[sim.r.IntN(len(actions))]()
+	sim.check()
 }
 
-func (w *cacheSimulation) begin() {
-	if len(w.runs) > 4 {
+func (sim *cacheSimulation) begin() {
+	if len(sim.runs) > 4 {
 		return
 	}
 	s := block.Scope{
-		Workspace:     []string{"a", "b"}[w.r.IntN(2)],
+		Workspace:     []string{"a", "b"}[sim.r.IntN(2)],
 		Model:         "m",
-		WeightVersion: fmt.Sprintf("v%d", w.version),
+		WeightVersion: fmt.Sprintf("v%d", sim.version),
 		PieceTokens:   2,
 	}
-	prompt := []uint32{uint32(w.r.IntN(2)), 1, uint32(w.r.IntN(2)), 2, 3, 3}
-	w.runs = append(w.runs, &run{scope: s, prompt: prompt, keys: s.Tokens(prompt), engine: w.engines[w.r.IntN(2)]})
+	prompt := []uint32{uint32(sim.r.IntN(2)), 1, uint32(sim.r.IntN(2)), 2, 3, 3}
+	sim.runs = append(sim.runs, &run{scope: s, prompt: prompt, keys: s.Tokens(prompt), engine: sim.engines[sim.r.IntN(2)]})
 }
 
 // advance gets the next piece of one run from memory, by an import, or by computing it.
-func (w *cacheSimulation) advance() {
-	if len(w.runs) == 0 {
+func (sim *cacheSimulation) advance() {
+	if len(sim.runs) == 0 {
 		return
 	}
-	i := w.r.IntN(len(w.runs))
-	q := w.runs[i]
-	if q.reading != nil {
-		w.endImport(q)
+	i := sim.r.IntN(len(sim.runs))
+	r := sim.runs[i]
+	if r.reading != nil {
+		sim.endImport(r)
 	} else {
-		w.getPiece(q)
+		sim.getPiece(r)
 	}
-	if q.at == len(q.keys) {
-		w.runs = append(w.runs[:i], w.runs[i+1:]...)
+	if r.at == len(r.keys) {
+		sim.runs = append(sim.runs[:i], sim.runs[i+1:]...)
 	}
 }
 
-func (w *cacheSimulation) getPiece(q *run) {
-	k := q.keys[q.at]
-	h := w.r.IntN(2)
-	found := w.holders[h].Lookup([]block.Key{k})[0]
-	w.checkLookup(h, k, found)
-	for _, s := range w.stores {
-		if got := s.readUnchecked(k); got != nil && !bytes.Equal(got, w.want(q)) {
-			w.counts.uncheckedWrong++
+func (sim *cacheSimulation) getPiece(r *run) {
+	k := r.keys[r.at]
+	h := sim.r.IntN(2)
+	found := sim.holders[h].Lookup([]block.Key{k})[0]
+	sim.checkLookup(h, k, found)
+	for _, s := range sim.stores {
+		if got := s.readUnchecked(k); got != nil && !bytes.Equal(got, sim.want(r)) {
+			sim.counts.uncheckedWrong++
 		}
 	}
-	if found.heldBy(q.engine.identity) {
-		if data, ok := q.engine.memory[k]; ok {
-			w.counts.fromEngine++
-			w.use(q, data)
+	if found.heldBy(r.engine.identity) {
+		if data, ok := r.engine.memory[k]; ok {
+			sim.counts.fromEngine++
+			sim.use(r, data)
 			return
 		}
-		w.counts.missed++
+		sim.counts.missed++
 	}
 	for _, at := range found.Stores {
-		if w.beginImport(q, h, k, at) {
+		if sim.beginImport(r, h, k, at) {
 			return
 		}
 	}
-	w.counts.recomputed++
-	w.use(q, w.want(q))
+	sim.counts.recomputed++
+	sim.use(r, sim.want(r))
 }
 
-func (w *cacheSimulation) beginImport(q *run, h int, k block.Key, at Stored) bool {
-	w.reader++
-	pin := Pin{Store: at.Store, Key: k, Generation: at.Generation, Reader: w.reader, DeadlineMillis: 5000}
-	if w.holders[h].Pin(w.now, pin).Outcome != Applied {
+func (sim *cacheSimulation) beginImport(r *run, h int, k block.Key, at Stored) bool {
+	sim.reader++
+	pin := Pin{Store: at.Store, Key: k, Generation: at.Generation, Reader: sim.reader, DeadlineMillis: 5000}
+	if sim.holders[h].Pin(sim.now, pin).Outcome != Applied {
 		return false
 	}
-	d, ok := w.store(at.Store).read(k, at.Generation)
+	d, ok := sim.store(at.Store).read(k, at.Generation)
 	if !ok {
-		w.counts.missed++
-		w.holders[h].Unpin(w.now, pin)
-		w.post(k, Message{Store: w.change(at.Store, k, Freed, at.Generation)})
+		sim.counts.missed++
+		sim.holders[h].Unpin(sim.now, pin)
+		sim.post(k, Message{Store: sim.change(at.Store, k, Freed, at.Generation)})
 		return false
 	}
-	q.reading, q.pin = d, pin
-	q.holder, q.until = h, w.now.Add(5*time.Second)
+	r.reading, r.pin = d, pin
+	r.holder, r.until = h, sim.now.Add(5*time.Second)
 	return true
 }
 
-func (w *cacheSimulation) endImport(q *run) {
-	data, whole := q.reading.end(w.r)
-	pin := q.pin
-	w.post(pin.Key, Message{Unpin: &pin})
-	q.reading = nil
+func (sim *cacheSimulation) endImport(r *run) {
+	data, whole := r.reading.end(sim.r)
+	pin := r.pin
+	sim.post(pin.Key, Message{Unpin: &pin})
+	r.reading = nil
 	if !whole {
-		w.counts.recomputed++
-		data = w.want(q)
+		sim.counts.recomputed++
+		data = sim.want(r)
 	} else {
-		w.counts.imported++
+		sim.counts.imported++
 	}
-	w.use(q, data)
+	sim.use(r, data)
 }
 
-func (w *cacheSimulation) want(q *run) []byte {
-	return content(q.scope, q.prompt[:(q.at+1)*q.scope.PieceTokens])
+func (sim *cacheSimulation) want(r *run) []byte {
+	return content(r.scope, r.prompt[:(r.at+1)*r.scope.PieceTokens])
 }
 
-func (w *cacheSimulation) use(q *run, data []byte) {
-	w.counts.pieces++
-	if !bytes.Equal(data, w.want(q)) {
-		w.fault = fmt.Sprintf("piece %d of %v in %+v got other bytes", q.at, q.prompt, q.scope)
+func (sim *cacheSimulation) use(r *run, data []byte) {
+	sim.counts.pieces++
+	if !bytes.Equal(data, sim.want(r)) {
+		sim.fault = fmt.Sprintf("piece %d of %v in %+v got other bytes", r.at, r.prompt, r.scope)
 	}
-	q.engine.insert(q.keys[q.at], data)
-	q.at++
+	r.engine.insert(r.keys[r.at], data)
+	r.at++
 }
 
-func (w *cacheSimulation) store(identity string) *fakeStore {
-	for _, s := range w.stores {
+func (sim *cacheSimulation) store(identity string) *fakeStore {
+	for _, s := range sim.stores {
 		if s.identity == identity {
 			return s
 		}
@@ -247,10 +247,10 @@
 	return nil
 }
 
-func (w *cacheSimulation) change(store string, k block.Key, to State, generation uint64) *StoreChange {
+func (sim *cacheSimulation) change(store string, k block.Key, to State, generation uint64) *StoreChange {
 	return &StoreChange{
 		Store:       store,
-		Incarnation: w.store(store).incarnation,
+		Incarnation: sim.store(store).incarnation,
 		Key:         k,
 		To:          to,
 		Generation:  generation,
--- a/internal/cache/directory/deletions.go
+++ b/internal/cache/directory/deletions.go
@@ -14,25 +14,25 @@
 	pending map[pinKey]Deletion
 }
 
-func (f *deletions) add(k pinKey, n Deletion) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.pending[k] = n
+func (d *deletions) add(k pinKey, n Deletion) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.pending[k] = n
 }
 
-func (f *deletions) remove(k pinKey, generation uint64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if n, ok := f.pending[k]; ok && n.Generation <= generation {
-		delete(f.pending, k)
+func (d *deletions) remove(k pinKey, generation uint64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if n, ok := d.pending[k]; ok && n.Generation <= generation {
+		delete(d.pending, k)
 	}
 }
 
 // forget drops the deletions of the peer with the given index.
-func (f *deletions) forget(index uint16) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	maps.DeleteFunc(f.pending, func(k pinKey, _ Deletion) bool { return k.peer == index })
+func (d *deletions) forget(index uint16) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	maps.DeleteFunc(d.pending, func(k pinKey, _ Deletion) bool { return k.peer == index })
 }
 
 // Deletable implements Directory.
--- a/internal/cache/directory/effect.go
+++ b/internal/cache/directory/effect.go
@@ -6,8 +6,8 @@
 const (
 	// Applied means that the message was applied.
 	Applied Outcome = "applied"
-	// Held means that the message is buffered until missing events or parts arrive.
-	Held Outcome = "held"
+	// Buffered means that the message is buffered until missing events or parts arrive.
+	Buffered Outcome = "held"
 	// Known means that the message had no new information.
 	Known Outcome = "known"
 	// Outdated means that the directory has newer information.
--- a/internal/cache/directory/engine.go
+++ b/internal/cache/directory/engine.go
@@ -13,7 +13,7 @@
 // insertion would restore a piece whose eviction arrived first, and requests
 // would be sent to an engine that has to recompute it.
 func (d *directory) Update(now time.Time, u Update) Effect {
-	p := d.peers.add(u.Engine, d.millis(now))
+	p := d.peers.getOrCreate(u.Engine, d.millis(now))
 	if p == nil {
 		return Effect{Outcome: Refused}
 	}
@@ -48,7 +48,7 @@
 func (d *directory) applyOrBuffer(p *peer, u Update) Outcome {
 	if u.First > p.applied+1 {
 		p.buffer(u)
-		return Held
+		return Buffered
 	}
 	if u.Count > 0 && u.next() <= p.applied+1 {
 		return Known
@@ -143,7 +143,7 @@
 
 // Listing implements Directory.
 func (d *directory) Listing(now time.Time, l ListingPart) Effect {
-	p := d.peers.add(l.Engine, d.millis(now))
+	p := d.peers.getOrCreate(l.Engine, d.millis(now))
 	if p == nil {
 		return Effect{Outcome: Refused}
 	}
@@ -180,7 +180,7 @@
 	a.parts[l.Part] = l.Keys
 	a.keys += len(l.Keys)
 	if len(a.parts) < l.Parts {
-		return Held
+		return Buffered
 	}
 	d.replace(p)
 	return Applied
--- a/internal/cache/directory/events_test.go
+++ b/internal/cache/directory/events_test.go
@@ -126,7 +126,7 @@
 		t.Errorf("got %+v", e)
 	}
 	part := ListingPart{Engine: "e", Incarnation: 1, Sequence: 3, Part: 1, Parts: 2, Keys: testKeys[1:2]}
-	if e := d.Listing(now, part); e.Outcome != Held || !e.Gap {
+	if e := d.Listing(now, part); e.Outcome != Buffered || !e.Gap {
 		t.Errorf("got %+v", e)
 	}
 	part.Part, part.Keys = 2, testKeys[4:6]
--- a/internal/cache/directory/listing_requests.go
+++ b/internal/cache/directory/listing_requests.go
@@ -21,19 +21,19 @@
 }
 
 // Add implements ListingRequests.
-func (w *listingRequests) Add(engine string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(w.engines) < DefaultServers {
-		w.engines[engine] = true
+func (l *listingRequests) Add(engine string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.engines) < DefaultServers {
+		l.engines[engine] = true
 	}
 }
 
 // Take implements ListingRequests.
-func (w *listingRequests) Take(engine string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	wanted := w.engines[engine]
-	delete(w.engines, engine)
+func (l *listingRequests) Take(engine string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	wanted := l.engines[engine]
+	delete(l.engines, engine)
 	return wanted
 }
--- a/internal/cache/directory/peers.go
+++ b/internal/cache/directory/peers.go
@@ -31,8 +31,9 @@
 	return p.byIdentity[identity]
 }
 
-// add returns the peer with the given identity. It creates an unknown peer, and returns nil if there are too many.
-func (p *peers) add(identity string, millis uint64) *peer {
+// getOrCreate returns the peer with the given identity and sets its last contact to millis. It
+// creates the peer if it is unknown, and returns nil if there are too many.
+func (p *peers) getOrCreate(identity string, millis uint64) *peer {
 	known := p.get(identity)
 	if known == nil {
 		known = p.create(identity)
@@ -73,7 +74,7 @@
 func (p *peers) forget(before uint64) []uint16 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var gone []uint16
+	var removed []uint16
 	for identity, n := range p.byIdentity {
 		if n.lastSeen.Load() >= before {
 			continue
@@ -81,7 +82,7 @@
 		n.epoch.Add(1)
 		delete(p.byIdentity, identity)
 		p.free = append(p.free, n.index)
-		gone = append(gone, n.index)
+		removed = append(removed, n.index)
 	}
-	return gone
+	return removed
 }
--- a/internal/cache/directory/store.go
+++ b/internal/cache/directory/store.go
@@ -15,7 +15,7 @@
 // every order of the same messages ends in the same state. A seal that arrives
 // after the deletion finds the generation freed.
 func (d *directory) Store(now time.Time, c StoreChange) Effect {
-	p := d.peers.add(c.Store, d.millis(now))
+	p := d.peers.getOrCreate(c.Store, d.millis(now))
 	if p == nil {
 		return Effect{Outcome: Refused}
 	}
--- a/internal/cache/engine/exports.go
+++ b/internal/cache/engine/exports.go
@@ -44,15 +44,15 @@
 func (x *exports) Export(ctx context.Context, address string, e completion.Export) ([]completion.ExportResult, error) {
 	all := make([]completion.ExportResult, 0, len(e.Pieces))
 	for from := 0; from < len(e.Pieces); from += maxPieces {
-		part := e.Pieces[from:min(from+maxPieces, len(e.Pieces))]
-		all = append(all, x.exportPart(ctx, address, e, part)...)
+		batch := e.Pieces[from:min(from+maxPieces, len(e.Pieces))]
+		all = append(all, x.exportBatch(ctx, address, e, batch)...)
 	}
 	return all, nil
 }
 
-// exportPart exports up to maxPieces pieces. If the answer is lost, it is unknown which
+// exportBatch exports up to maxPieces pieces. If the answer is lost, it is unknown which
 // of them were written, so it queries each store.
-func (x *exports) exportPart(ctx context.Context, address string, e completion.Export, pieces []completion.ExportPiece) []completion.ExportResult {
+func (x *exports) exportBatch(ctx context.Context, address string, e completion.Export, pieces []completion.ExportPiece) []completion.ExportResult {
 	wire := backend.Export{WeightVersion: e.WeightVersion, DeadlineMillis: e.Deadline.Milliseconds()}
 	for _, p := range pieces {
 		wire.Pieces = append(wire.Pieces, backend.ExportPiece{Key: p.Key, Store: p.Address, Tier: p.Tier.String()})
--- a/internal/cache/store/client_test.go
+++ b/internal/cache/store/client_test.go
@@ -76,7 +76,7 @@
 
 // A store behind a broken proxy returns invalid pages and tags. If they were
 // accepted, they would cause reads of generation zero.
-func TestAnswersThatMakeNoSense(t *testing.T) {
+func TestInvalidAnswersAreRefused(t *testing.T) {
 	for _, body := range []string{
 		`[]`, `{"pieces":[{"key":"00"}]}`,
 		`{"pieces":[{"key":"` + key.String() + `","generation":0,"bytes":1,"tier":"disk"}]}`,
