--- a/internal/load/comparison/baseline_comparison.go
+++ b/internal/load/comparison/baseline_comparison.go
@@ -38,13 +38,13 @@
 }
 
 func (c column) compareBaselines(policy *Row, baselines []*Row) BaselineComparison {
-	v := BaselineComparison{Column: c.name, Policy: c.value(policy), Best: math.NaN()}
+	b := BaselineComparison{Column: c.name, Policy: c.value(policy), Best: math.NaN()}
 	for _, r := range baselines {
-		if math.IsNaN(v.Best) || c.better(c.value(r), v.Best) {
-			v.Best, v.Baseline = c.value(r), r.Cell.Variant.Name
+		if math.IsNaN(b.Best) || c.better(c.value(r), b.Best) {
+			b.Best, b.Baseline = c.value(r), r.Case.Variant.Name
 		}
 	}
-	return v
+	return b
 }
 
 // meetsAnsweredShare reports whether a row answers at least 99 of 100 requests in time.
@@ -56,19 +56,19 @@
 func anyRow(*Row) bool { return true }
 
 // String returns the comparison as a table row.
-func (v BaselineComparison) String() string {
-	return line([]string{
-		v.Column, fmt.Sprintf("%.3f", v.Policy), fmt.Sprintf("%.3f", v.Best), v.Baseline, v.ratio(),
+func (b BaselineComparison) String() string {
+	return markdownRow([]string{
+		b.Column, fmt.Sprintf("%.3f", b.Policy), fmt.Sprintf("%.3f", b.Best), b.Baseline, b.ratio(),
 	})
 }
 
 // ratio returns the policy's value divided by the best baseline's.
-func (v BaselineComparison) ratio() string {
-	if v.Policy == v.Best {
+func (b BaselineComparison) ratio() string {
+	if b.Policy == b.Best {
 		return "1.00"
 	}
-	if v.Best == 0 {
+	if b.Best == 0 {
 		return "best is 0"
 	}
-	return fmt.Sprintf("%.2f", v.Policy/v.Best)
+	return fmt.Sprintf("%.2f", b.Policy/b.Best)
 }
--- a/internal/load/comparison/capacity.go
+++ b/internal/load/comparison/capacity.go
@@ -31,6 +31,6 @@
 		Name:     "least-loaded",
 		Strategy: func() route.Strategy { return baseline.NewLeastLoaded(baseline.Config{}) },
 	}
-	r := Measure(c, []Cell{{Deployment: d, Variant: leastLoaded, Rate: rate}})[0].Result
+	r := Measure(c, []Case{{Deployment: d, Variant: leastLoaded, Rate: rate}})[0].Result
 	return float64(r.Answered) >= answeredShare*float64(r.Arrived)
 }
--- a/internal/load/comparison/cell.go
+++ b/internal/load/comparison/case.go
@@ -5,8 +5,8 @@
 	"hornbeamwood/internal/load/workload"
 )
 
-// Cell is one row to measure: a variant under a load and a scenario.
-type Cell struct {
+// Case is one combination to measure: a variant under a load and a scenario.
+type Case struct {
 	// Deployment defines sizes and classes.
 	Deployment workload.Deployment
 	// Variant is the routing strategy with its options that is measured.
--- a/internal/load/comparison/column.go
+++ b/internal/load/comparison/column.go
@@ -10,7 +10,7 @@
 // columns returns the columns of a deployment.
 func columns(r *Row) []column {
 	var all []column
-	for i, c := range r.Cell.Deployment.Classes {
+	for i, c := range r.Case.Deployment.Classes {
 		if c.Service != "" {
 			continue
 		}
--- a/internal/load/comparison/direction_test.go
+++ b/internal/load/comparison/direction_test.go
@@ -40,7 +40,7 @@
 // A truck waits at the gate while drafts occupy the engines. This detects a change of
 // the policy that queues status reads behind drafts.
 func TestStatusReadsStayAheadOfDrafts(t *testing.T) {
-	rows := Measure(Short(), variantCells(workload.Certilote(), certiloteRate, 1, testVariants()))
+	rows := Measure(Short(), variantCases(workload.Certilote(), certiloteRate, 1, testVariants()))
 	best, policy := bestBaseline(rows, func(r *Row) float64 {
 		c, _ := r.Class(workload.StatusRead)
 		return c.P95.Seconds()
@@ -48,23 +48,23 @@
 	if policy > best/2 {
 		t.Errorf("status reads p95: %.3f s, best baseline %.3f s", policy, best)
 	}
-	late, own := bestBaseline(rows, notAnswered)
-	if own > late {
-		t.Errorf("not answered: %.4f, best baseline %.4f", own, late)
+	bestShare, policyShare := bestBaseline(rows, notAnswered)
+	if policyShare > bestShare {
+		t.Errorf("not answered: %.4f, best baseline %.4f", policyShare, bestShare)
 	}
 }
 
 // Logbooks return after they have been evicted from engine memory. This detects a
 // change that no longer exports or finds their pieces, so that engines recompute them.
 func TestLogbooksAreSeldomRecomputed(t *testing.T) {
-	rows := Measure(Short(), variantCells(workload.Association(), associationRate, 1, testVariants()))
+	rows := Measure(Short(), variantCases(workload.Association(), associationRate, 1, testVariants()))
 	best, policy := bestBaseline(rows, func(r *Row) float64 { return r.Result.Recomputed })
 	if policy > best/2 {
 		t.Errorf("recomputed: %.3f, best baseline %.3f", policy, best)
 	}
-	worst, own := bestBaseline(rows, func(r *Row) float64 { return -r.Result.WorthShare })
-	if own > worst+0.005 {
-		t.Errorf("worth served: %.3f, best baseline %.3f", -own, -worst)
+	bestNegated, policyNegated := bestBaseline(rows, func(r *Row) float64 { return -r.Result.WorthShare })
+	if policyNegated > bestNegated+0.005 {
+		t.Errorf("worth served: %.3f, best baseline %.3f", -policyNegated, -bestNegated)
 	}
 }
 
@@ -72,15 +72,15 @@
 // time displaces other work, fewer requests are answered than at full load.
 func TestOverloadDoesNotLowerGoodput(t *testing.T) {
 	own := []model.Variant{Policy(PolicyName)}
-	var cells []Cell
+	var cases []Case
 	for _, load := range []float64{1, 1.5} {
-		cells = append(cells, variantCells(workload.Certilote(), certiloteRate*load, 1, own)...)
-		cells = append(cells, variantCells(workload.Association(), associationRate*load, 1, own)...)
+		cases = append(cases, variantCases(workload.Certilote(), certiloteRate*load, 1, own)...)
+		cases = append(cases, variantCases(workload.Association(), associationRate*load, 1, own)...)
 	}
-	rows := Measure(Short(), cells)
+	rows := Measure(Short(), cases)
 	for i := range 2 {
 		full, over := &rows[i], &rows[i+2]
-		name := full.Cell.Deployment.Name
+		name := full.Case.Deployment.Name
 		if over.Result.Goodput < full.Result.Goodput {
 			t.Errorf("%s: %.2f answered a second at full load, %.2f at overload", name, full.Result.Goodput, over.Result.Goodput)
 		}
@@ -93,8 +93,8 @@
 // If rows differed between runs, a comparison could not distinguish a change of the
 // policy from noise.
 func TestSameSeedGivesSameRows(t *testing.T) {
-	cells := variantCells(workload.Association(), associationRate, 1, []model.Variant{Policy(PolicyName)})
-	rows := Measure(Short(), append(cells, cells...))
+	cases := variantCases(workload.Association(), associationRate, 1, []model.Variant{Policy(PolicyName)})
+	rows := Measure(Short(), append(cases, cases...))
 	if a, b := rows[0].Result, rows[1].Result; !reflect.DeepEqual(a, b) {
 		t.Errorf("two runs differ:\n%+v\n%+v", a, b)
 	}
--- a/internal/load/comparison/flood.go
+++ b/internal/load/comparison/flood.go
@@ -18,13 +18,13 @@
 	return append(Baselines(), withoutFairQueueing, Policy(PolicyName))
 }
 
-// floodCells returns cells at full load in which a small workspace sends half of the capacity in addition.
-func floodCells(d workload.Deployment, capacity float64, all []model.Variant) []Cell {
+// floodCases returns cases at full load in which a small workspace sends half of the capacity in addition.
+func floodCases(d workload.Deployment, capacity float64, all []model.Variant) []Case {
 	floodingWorkspace := d.Workspaces[len(d.Workspaces)-1].Name
-	cells := variantCells(d.WithFlood(floodingWorkspace, floodFactor), capacity, floodFactor, all)
-	for i := range cells {
-		cells[i].Scenario = FloodName
-		cells[i].Flooder = floodingWorkspace
+	cases := variantCases(d.WithFlood(floodingWorkspace, floodFactor), capacity, floodFactor, all)
+	for i := range cases {
+		cases[i].Scenario = FloodName
+		cases[i].Flooder = floodingWorkspace
 	}
-	return cells
+	return cases
 }
--- a/internal/load/comparison/plot.go
+++ b/internal/load/comparison/plot.go
@@ -22,7 +22,7 @@
 
 // Plots returns the plots of the deployment of rows.
 func Plots(rows []Row) []Plot {
-	d := rows[0].Cell.Deployment
+	d := rows[0].Case.Deployment
 	plots := []Plot{{
 		File: d.Name + "-recomputed.svg", Title: d.Name + ": share of prompt tokens recomputed", Axis: "share",
 		Value: func(r *Row) float64 { return r.Result.Recomputed },
@@ -63,14 +63,14 @@
 	lines := map[string]*chart.ContinuousSeries{}
 	var all []chart.Series
 	for i := range rows {
-		name := rows[i].Cell.Variant.Name
+		name := rows[i].Case.Variant.Name
 		s, ok := lines[name]
 		if !ok {
 			s = &chart.ContinuousSeries{Name: name, Style: style(name, len(all))}
 			lines[name] = s
 			all = append(all, s)
 		}
-		s.XValues = append(s.XValues, rows[i].Cell.Load)
+		s.XValues = append(s.XValues, rows[i].Case.Load)
 		s.YValues = append(s.YValues, p.Value(&rows[i]))
 	}
 	return all
--- a/internal/load/comparison/report.go
+++ b/internal/load/comparison/report.go
@@ -26,7 +26,7 @@
 type Part struct {
 	// Name is the kebab-case name.
 	Name  string
-	cells func(c Config, d workload.Deployment, capacity float64) []Cell
+	cases func(c Config, d workload.Deployment, capacity float64) []Case
 	write func(b *strings.Builder, rows []Row)
 }
 
@@ -36,15 +36,15 @@
 // Parts returns the parts in the order in which they are run.
 func Parts() []Part {
 	return []Part{
-		{Name: LoadsPart, cells: loadCells, write: writeLoads},
-		{Name: "failures", cells: failureCells, write: writeFailures},
-		{Name: "elements", cells: ablationCells, write: writeAblations},
+		{Name: LoadsPart, cases: loadCases, write: writeLoads},
+		{Name: "failures", cases: failureCases, write: writeFailures},
+		{Name: "elements", cases: ablationCases, write: writeAblations},
 	}
 }
 
 // Run measures part p for a deployment with the given capacity and returns its report.
 func (p Part) Run(c Config, d workload.Deployment, capacity float64) Report {
-	rows := Measure(c, p.cells(c, d, capacity))
+	rows := Measure(c, p.cases(c, d, capacity))
 	return Report{Part: p.Name, Deployment: d, Capacity: capacity, Rows: rows, write: p.write}
 }
 
@@ -71,7 +71,7 @@
 
 // rowsAtLoad returns the rows at one load.
 func rowsAtLoad(rows []Row, load float64) []Row {
-	return slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return r.Cell.Load != load })
+	return slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return r.Case.Load != load })
 }
 
 func writeComparisons(b *strings.Builder, what string, rows []Row, keep func(r *Row) bool) {
@@ -81,23 +81,23 @@
 		b.WriteString("There is none.\n")
 		return
 	}
-	b.WriteString(line([]string{"column", "policy", "best", "baseline", "ratio"}) + "\n")
-	b.WriteString(line(dashes(5)) + "\n")
-	for _, v := range all {
-		b.WriteString(v.String() + "\n")
+	b.WriteString(markdownRow([]string{"column", "policy", "best", "baseline", "ratio"}) + "\n")
+	b.WriteString(markdownRow(dashes(5)) + "\n")
+	for _, x := range all {
+		b.WriteString(x.String() + "\n")
 	}
 }
 
 func writeFailures(b *strings.Builder, rows []Row) {
 	var names []string
 	for i := range rows {
-		if !slices.Contains(names, rows[i].Cell.Scenario) {
-			names = append(names, rows[i].Cell.Scenario)
+		if !slices.Contains(names, rows[i].Case.Scenario) {
+			names = append(names, rows[i].Case.Scenario)
 		}
 	}
 	for _, name := range names {
 		fmt.Fprintf(b, "\n## %s\n\n", name)
-		writeTable(b, slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return r.Cell.Scenario != name }))
+		writeTable(b, slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return r.Case.Scenario != name }))
 	}
 }
 
--- a/internal/load/comparison/row.go
+++ b/internal/load/comparison/row.go
@@ -2,10 +2,10 @@
 
 import "hornbeamwood/internal/load/model"
 
-// Row is a Cell with its result, the mean over the seeds.
+// Row is a Case with its result, the mean over the seeds.
 type Row struct {
-	// Cell is the measured cell.
-	Cell Cell
+	// Case is the measured case.
+	Case Case
 	// Result is the mean of its runs.
 	Result model.Result
 }
--- a/internal/load/comparison/table.go
+++ b/internal/load/comparison/table.go
@@ -14,13 +14,13 @@
 		return
 	}
 	header := tableHeader(&rows[0])
-	b.WriteString(line(header) + "\n" + line(dashes(len(header))) + "\n")
+	b.WriteString(markdownRow(header) + "\n" + markdownRow(dashes(len(header))) + "\n")
 	for i := range rows {
-		b.WriteString(line(tableRow(&rows[i])) + "\n")
+		b.WriteString(markdownRow(tableRow(&rows[i])) + "\n")
 	}
 }
 
-func line(cells []string) string {
+func markdownRow(cells []string) string {
 	return "| " + strings.Join(cells, " | ") + " |"
 }
 
@@ -34,7 +34,7 @@
 
 func tableHeader(r *Row) []string {
 	h := []string{"load", "strategy"}
-	for _, c := range r.Cell.Deployment.Classes {
+	for _, c := range r.Case.Deployment.Classes {
 		if c.Service == "" {
 			h = append(h, c.Name+" TTFT p50 / p95 / p99 (s)")
 		}
@@ -45,8 +45,8 @@
 
 func tableRow(r *Row) []string {
 	x := &r.Result
-	row := []string{fmt.Sprintf("%.2f", r.Cell.Load), r.Cell.Variant.Name}
-	for i, c := range r.Cell.Deployment.Classes {
+	row := []string{fmt.Sprintf("%.2f", r.Case.Load), r.Case.Variant.Name}
+	for i, c := range r.Case.Deployment.Classes {
 		if c.Service == "" {
 			row = append(row, latencies(&x.Classes[i]))
 		}
--- a/internal/load/model/engine.go
+++ b/internal/load/model/engine.go
@@ -52,7 +52,7 @@
 
 func (e *engine) preparePiece(j *job, i int, key uint64) {
 	if e.memory.touch(key) {
-		e.hold(j, key)
+		e.pin(j, key)
 		return
 	}
 	if j.plan[i].Source != route.Import {
@@ -63,7 +63,7 @@
 	e.stores[j.plan[i].Copy.Store].read(key, e.profile.PieceBytes, func(ok bool) { e.arrived(j, key, ok) })
 }
 
-func (e *engine) hold(j *job, key uint64) {
+func (e *engine) pin(j *job, key uint64) {
 	e.memory.pin(key)
 	j.pinned = append(j.pinned, key)
 }
@@ -80,7 +80,7 @@
 	}
 	if ok {
 		e.insert(key)
-		e.hold(j, key)
+		e.pin(j, key)
 	} else {
 		e.compute(j, key)
 	}
@@ -186,7 +186,7 @@
 			j.recomputed++
 		}
 		e.insert(key)
-		e.hold(j, key)
+		e.pin(j, key)
 	}
 	e.check(j)
 	e.decoding[j] = true
--- a/internal/load/model/failure.go
+++ b/internal/load/model/failure.go
@@ -35,7 +35,7 @@
 	end   func(r *run, f Failure)
 }
 
-// slowdown is the factor by which LinkSlows divides the rate of a link.
+// slowdown is the factor by which LinkSlowdown divides the rate of a link.
 const slowdown = 10
 
 var failureActions = map[FailureKind]failureAction{
--- a/internal/load/model/fair.go
+++ b/internal/load/model/fair.go
@@ -45,16 +45,16 @@
 func (e *entry) enqueue(q *request, d *route.Decision) {
 	chosen, _ := d.Chosen()
 	q.attempt--
-	l := e.waitQueue(q)
-	ok := l.waiting.Push(fairness.Item[*request]{
+	w := e.waitQueue(q)
+	ok := w.waiting.Push(fairness.Item[*request]{
 		Workspace: q.arrival.Workspace, Share: q.arrival.Rules.Share, Cost: chosen.Compute, Value: q,
 	})
 	if !ok {
 		q.outcome = refused
 		return
 	}
-	if l.head == nil {
-		e.dispatch(l)
+	if w.head == nil {
+		e.dispatch(w)
 	}
 }
 
@@ -66,15 +66,15 @@
 }
 
 // dispatch sends the waiting requests of a queue while the backlog of the best server permits.
-func (e *entry) dispatch(l *waitQueue) {
-	for !e.down && l.next() {
-		q := l.head
+func (e *entry) dispatch(w *waitQueue) {
+	for !e.down && w.next() {
+		q := w.head
 		query, cell, servers := e.routeQuery(q)
 		d := e.strategy.Decide(e.run.clock.time(), query, cell, e.random)
 		if d.Server == route.None || fairness.Hold(ahead(&d), false) {
 			return
 		}
-		l.head = nil
+		w.head = nil
 		q.attempt++
 		q.server = servers[d.Server]
 		e.send(q, query, d)
@@ -84,10 +84,10 @@
 // resendWaiting makes the callers of the waiting requests of a crashed entry resend them.
 func (e *entry) resendWaiting() {
 	for b := range e.waitQueues {
-		l := &e.waitQueues[b]
-		for l.next() {
-			q := l.head
-			l.head = nil
+		w := &e.waitQueues[b]
+		for w.next() {
+			q := w.head
+			w.head = nil
 			e.run.clock.after(resendDelay, func() { e.run.deliver(q) })
 		}
 	}
--- a/internal/load/model/result.go
+++ b/internal/load/model/result.go
@@ -68,18 +68,18 @@
 func (r *run) links() Result {
 	var x Result
 	for i, s := range r.stores {
-		x.LinkBytes = append(x.LinkBytes, s.link.moved-r.linkBaselines[i].moved)
+		x.LinkBytes = append(x.LinkBytes, s.link.transferred-r.linkBaselines[i].transferred)
 		x.LinkBusy = append(x.LinkBusy, (s.link.busy-r.linkBaselines[i].busy).Seconds()/r.config.Measured.Seconds())
 	}
 	return x
 }
 
-// quantile returns the given quantile of the sorted values, from 0 to 1.
-func quantile(sorted []time.Duration, part float64) time.Duration {
+// quantile returns the value at a quantile, from 0 to 1, of the sorted values.
+func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
 	}
-	i := int(part * float64(len(sorted)))
+	i := int(q * float64(len(sorted)))
 	return sorted[min(i, len(sorted)-1)]
 }
 
--- a/internal/load/model/run.go
+++ b/internal/load/model/run.go
@@ -30,8 +30,8 @@
 
 // linkCounters are the counters of a link at the start of the measured time.
 type linkCounters struct {
-	moved int64
-	busy  time.Duration
+	transferred int64
+	busy        time.Duration
 }
 
 // Run simulates one run and returns its result.
@@ -257,6 +257,6 @@
 
 func (r *run) recordLinkBaselines() {
 	for _, s := range r.stores {
-		r.linkBaselines = append(r.linkBaselines, linkCounters{moved: s.link.moved, busy: s.link.busy})
+		r.linkBaselines = append(r.linkBaselines, linkCounters{transferred: s.link.transferred, busy: s.link.busy})
 	}
 }
--- a/internal/load/model/summary.go
+++ b/internal/load/model/summary.go
@@ -28,15 +28,15 @@
 	c.Arrived++
 	s.result.Arrived++
 	s.offeredWorth += q.arrival.Rules.Worth
-	t := s.countsOf(q)
-	t.arrived++
+	counts := s.countsOf(q)
+	counts.arrived++
 	s.prompt += q.prompt
 	s.recomputed += q.recomputed
 	switch q.outcome {
 	case answered:
 		c.Answered++
 		s.result.Answered++
-		t.answered++
+		counts.answered++
 		s.answeredWorth += q.arrival.Rules.Worth
 		s.times[q.arrival.Class] = append(s.times[q.arrival.Class], q.ttft)
 	case refused:
@@ -66,12 +66,12 @@
 
 func (s *summary) countsOf(q *request) *groupCounts {
 	g := requestGroup{workspace: q.arrival.Workspace, class: q.arrival.Class}
-	t, ok := s.groups[g]
+	counts, ok := s.groups[g]
 	if !ok {
-		t = &groupCounts{}
-		s.groups[g] = t
+		counts = &groupCounts{}
+		s.groups[g] = counts
 	}
-	return t
+	return counts
 }
 
 func (s *summary) done() Result {
@@ -84,9 +84,9 @@
 	length := s.run.config.Measured.Seconds()
 	x.Goodput = float64(x.Answered) / length
 	x.LeastServed = 1
-	for g, t := range s.groups {
-		if g.workspace != s.run.config.Flooder && t.arrived >= minGroupSize {
-			x.LeastServed = min(x.LeastServed, ratio(float64(t.answered), float64(t.arrived)))
+	for g, counts := range s.groups {
+		if g.workspace != s.run.config.Flooder && counts.arrived >= minGroupSize {
+			x.LeastServed = min(x.LeastServed, ratio(float64(counts.answered), float64(counts.arrived)))
 		}
 	}
 	x.Worth = s.answeredWorth / length
--- a/internal/load/model/transfer_queue.go
+++ b/internal/load/model/transfer_queue.go
@@ -4,13 +4,13 @@
 
 // transferQueue is a link or disk that performs transfers one after the other.
 type transferQueue struct {
-	clock  *clock
-	rate   float64 // bytes per second
-	queue  []transfer
-	active bool
-	queued int64
-	moved  int64
-	busy   time.Duration
+	clock       *clock
+	rate        float64 // bytes per second
+	queue       []transfer
+	active      bool
+	queued      int64
+	transferred int64
+	busy        time.Duration
 }
 
 type transfer struct {
@@ -19,28 +19,28 @@
 }
 
 // send queues a transfer; done runs when it is complete.
-func (p *transferQueue) send(bytes int64, done func()) {
-	p.queue = append(p.queue, transfer{bytes: bytes, done: done})
-	p.queued += bytes
-	if !p.active {
-		p.next()
+func (q *transferQueue) send(bytes int64, done func()) {
+	q.queue = append(q.queue, transfer{bytes: bytes, done: done})
+	q.queued += bytes
+	if !q.active {
+		q.next()
 	}
 }
 
-func (p *transferQueue) next() {
-	if len(p.queue) == 0 {
-		p.active = false
+func (q *transferQueue) next() {
+	if len(q.queue) == 0 {
+		q.active = false
 		return
 	}
-	p.active = true
-	t := p.queue[0]
-	p.queue = p.queue[1:]
-	d := fromSeconds(float64(t.bytes) / p.rate)
-	p.clock.after(d, func() {
-		p.busy += d
-		p.moved += t.bytes
-		p.queued -= t.bytes
+	q.active = true
+	t := q.queue[0]
+	q.queue = q.queue[1:]
+	d := fromSeconds(float64(t.bytes) / q.rate)
+	q.clock.after(d, func() {
+		q.busy += d
+		q.transferred += t.bytes
+		q.queued -= t.bytes
 		t.done()
-		p.next()
+		q.next()
 	})
 }
--- a/internal/load/model/variant.go
+++ b/internal/load/model/variant.go
@@ -14,8 +14,8 @@
 	Admission bool
 	// IgnoreWorth reports that admission does not compare requests by worth.
 	IgnoreWorth bool
-	// FairQueueing reports whether requests that are not urgent wait in a fair queue at the entry while the
-	// backlog of each server exceeds fairness.BacklogThreshold.
+	// FairQueueing reports whether requests that are not urgent wait in a fair queue at the entry
+	// while the backlog of each server exceeds fairness.BacklogThreshold.
 	FairQueueing bool
 }
 
--- a/internal/load/model/wait_queue.go
+++ b/internal/load/model/wait_queue.go
@@ -10,14 +10,14 @@
 
 // next sets head to the next request whose caller is still waiting and returns whether there is
 // one.
-func (l *waitQueue) next() bool {
-	for l.head == nil || l.head.outcome != open {
-		i, ok := l.waiting.Pop()
+func (w *waitQueue) next() bool {
+	for w.head == nil || w.head.outcome != open {
+		i, ok := w.waiting.Pop()
 		if !ok {
-			l.head = nil
+			w.head = nil
 			return false
 		}
-		l.head = i.Value
+		w.head = i.Value
 	}
 	return true
 }
