--- a/internal/cache/directory/sweep.go
+++ b/internal/cache/directory/sweep.go
@@ -17,7 +17,8 @@
 	d.pins.expire(now)
 }
 
-// forget removes engines and stores that are gone; identities that never return would otherwise fill the directory.
+// forget removes engines and stores that were not seen for the time Forget; identities that never
+// return would otherwise fill the directory.
 func (d *directory) forget(now time.Time) {
 	forget := uint64(d.config.Forget.Milliseconds())
 	millis := d.millis(now)
--- a/internal/cache/quic/cache.go
+++ b/internal/cache/quic/cache.go
@@ -150,7 +150,7 @@
 
 // Pin implements Cache.
 //
-// Either holder of a key may delete its piece once its own pins are gone. So a
+// Either holder of a key may delete the piece once it has no pins of its own. So a
 // pin is granted only if at least one holder answers and all that answer grant it.
 func (k *cache) Pin(ctx context.Context, all []directory.Pin) []bool {
 	keyed := make([]directory.KeyedMessage, len(all))
--- a/internal/fleet/cell/layout.go
+++ b/internal/fleet/cell/layout.go
@@ -39,8 +39,8 @@
 	return l, nil
 }
 
-// seed returns a hash of a name. Callers choose the prompts, so the hash is a cryptographic one
-// whose values nobody can choose.
+// seed returns a hash of a name. The hash is cryptographic because callers choose the prompts and
+// must not be able to direct them to one cell.
 func seed(name string) uint64 {
 	d := sha256.Sum256([]byte(name))
 	return binary.BigEndian.Uint64(d[:8])
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -48,7 +48,7 @@
 type Answer struct {
 	// Round is that of the Pull.
 	Round uint64 `cbor:"r"`
-	// Stamp is the sender's clock reading; the clock had it after the Pull was sent.
+	// Stamp is the sender's clock reading, which was taken after the Pull was sent.
 	Stamp Stamp `cbor:"t"`
 	// Rows are the servers with newer announcements.
 	Rows []Row `cbor:"s,omitempty"`
--- a/internal/fleet/membership/start_bound.go
+++ b/internal/fleet/membership/start_bound.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// boundWindow is the minimum time for which a reading is used; the best of two windows is taken.
+	// boundWindow is the minimum time for which a reading is used; the better bound of the current and the previous window is taken.
 	boundWindow = time.Minute
 	// driftDivisor is the inverse of the maximum rate difference between two clocks, 500 ppm.
 	driftDivisor = 2000
--- a/internal/policy/route/rank.go
+++ b/internal/policy/route/rank.go
@@ -9,6 +9,6 @@
 	Preferred Rank = iota
 	// Reserved means that the server is reserved for urgent requests.
 	Reserved
-	// MaybeLost means that the server may be lost.
+	// MaybeLost means that the server may be lost or runs an exclusive request.
 	MaybeLost
 )
