--- a/internal/control/admission/next.go
+++ b/internal/control/admission/next.go
@@ -10,9 +10,9 @@
 const (
 	// SilentAfter is how long a member is silent before it counts as lost: well over the time of an election.
 	SilentAfter = 2500 * time.Millisecond
-	// DropAfter is how long a member is silent before it is removed: longer than
+	// RemoveAfter is how long a member is silent before it is removed: longer than
 	// the suspensions and partitions of a few seconds from which a VM recovers.
-	DropAfter = 10 * time.Second
+	RemoveAfter = 10 * time.Second
 	// minVoters is the number of voters that must remain after a voter is removed.
 	minVoters = 3
 	// maxLag is how many entries a learner may be behind when it becomes a voter.
@@ -25,7 +25,7 @@
 // rules are in order of priority. A replica that has caught up is promoted
 // before a voter is removed, so that a quorum never shrinks to replicas that
 // hold the committed entries only by chance.
-var rules = []rule{promoteLearner, dropReplaced, dropSuperfluousVoter, dropSilentLearner, dropSilentVoter}
+var rules = []rule{promoteLearner, removeReplaced, removeSuperfluousVoter, removeSilentLearner, removeSilentVoter}
 
 // Next returns the membership change to make now, or false if there is none.
 func Next(v View) (protocol.Change, bool) {
@@ -43,24 +43,25 @@
 	})
 }
 
-// dropReplaced removes an identity whose disk is lost, as shown by another identity at its address.
+// removeReplaced removes an identity whose disk is lost, as shown by another identity at its address.
 //
 // The old identity can never vote again. Until it is removed, the group
 // tolerates one failure less.
-func dropReplaced(v View) (protocol.Change, bool) {
+func removeReplaced(v View) (protocol.Change, bool) {
 	return first(v, protocol.Remove, func(m raft.Member) bool {
 		return v.Replaced[m.Identity] && (!m.Voter || v.safeWithout(m))
 	})
 }
 
-// dropSuperfluousVoter removes a silent voter immediately if the number of voters is even.
+// removeSuperfluousVoter removes a silent voter immediately if the number of voters is even.
 //
 // When a machine is lost for good and its replacement at another address has
 // become a voter, three voters have become four, one of them dead. Another loss
-// would leave two of four and stop the control log until the dead voter reaches
-// DropAfter seconds later. An even number of voters tolerates no more losses than
-// one voter less, so removing a voter that may recover costs nothing: it joins again.
-func dropSuperfluousVoter(v View) (protocol.Change, bool) {
+// would leave two of four and stop the control log for seconds, until the dead
+// voter has been silent for RemoveAfter. An even number of voters tolerates no more
+// losses than the odd number below it. Removing a voter that may recover therefore
+// costs nothing: it joins again.
+func removeSuperfluousVoter(v View) (protocol.Change, bool) {
 	if v.voters()%2 != 0 {
 		return protocol.Change{}, false
 	}
@@ -69,24 +70,24 @@
 	})
 }
 
-func dropSilentLearner(v View) (protocol.Change, bool) {
+func removeSilentLearner(v View) (protocol.Change, bool) {
 	return first(v, protocol.Remove, func(m raft.Member) bool {
-		return !m.Voter && v.Silent[m.Identity] >= DropAfter
+		return !m.Voter && v.Silent[m.Identity] >= RemoveAfter
 	})
 }
 
-// dropSilentVoter removes a voter that was lost for good and has no replacement at its address.
-func dropSilentVoter(v View) (protocol.Change, bool) {
+// removeSilentVoter removes a voter that was lost for good and has no replacement at its address.
+func removeSilentVoter(v View) (protocol.Change, bool) {
 	return first(v, protocol.Remove, func(m raft.Member) bool {
-		return m.Voter && v.Silent[m.Identity] >= DropAfter && v.safeWithout(m)
+		return m.Voter && v.Silent[m.Identity] >= RemoveAfter && v.safeWithout(m)
 	})
 }
 
 // safeWithout returns whether, without the given member, enough voters remain and a majority of them is alive.
-func (v View) safeWithout(dropped raft.Member) bool {
+func (v View) safeWithout(removed raft.Member) bool {
 	voters, alive := 0, 0
 	for _, m := range v.Members {
-		if !m.Voter || m.Identity == dropped.Identity {
+		if !m.Voter || m.Identity == removed.Identity {
 			continue
 		}
 		voters++
--- a/internal/control/admission/next_test.go
+++ b/internal/control/admission/next_test.go
@@ -23,7 +23,7 @@
 // Guards against keeping the identity of a machine that restarted with an empty
 // disk. That identity can't vote any more, and while it is among the voters the
 // next loss stops the control log and the operator's changes are rejected.
-func TestReplacedIdentityIsDroppedAfterItsSuccessorVotes(t *testing.T) {
+func TestReplacedIdentityIsRemovedAfterItsSuccessorVotes(t *testing.T) {
 	v := view(voter("a"), voter("b"), voter("c"), learner("c2"))
 	v.Replaced["c"] = true
 	want(t, v, protocol.Promote, "c2")
@@ -43,13 +43,13 @@
 }
 
 // Guards against removing a voter that is silent for a few seconds, because it may
-// be suspended or partitioned and recover. It is removed only after DropAfter, and
+// be suspended or partitioned and recover. It is removed only after RemoveAfter, and
 // never if too few voters would remain.
 func TestSilentVoter(t *testing.T) {
 	v := view(voter("a"), voter("b"), voter("c"), voter("d"), voter("e"))
-	v.Silent["e"] = DropAfter - time.Millisecond
+	v.Silent["e"] = RemoveAfter - time.Millisecond
 	none(t, v)
-	v.Silent["e"] = DropAfter
+	v.Silent["e"] = RemoveAfter
 	want(t, v, protocol.Remove, "e")
 	three := view(voter("a"), voter("b"), voter("c"))
 	three.Silent["c"] = time.Hour
--- a/internal/control/admission/reconciler.go
+++ b/internal/control/admission/reconciler.go
@@ -24,7 +24,7 @@
 	changeTimeout = time.Second
 	// joinAfter is how long a replica must be without a leader before it asks to join.
 	joinAfter = time.Second
-	// maxReported is how many replicas that others report as their leader are queried per reconciliation.
+	// maxReported is the maximum number of reported leaders that are queried per reconciliation.
 	maxReported = 2
 )
 
@@ -47,7 +47,7 @@
 	Join(ctx context.Context, address string, m raft.Member) error
 }
 
-// Config holds the dependencies of a Keeper.
+// Config holds the dependencies of a Reconciler.
 type Config struct {
 	// Replica is this process's replica.
 	Replica Replica
@@ -81,12 +81,12 @@
 	searchFailed bool
 }
 
-// NewReconciler returns a Keeper.
+// NewReconciler returns a Reconciler.
 func NewReconciler(c Config) Reconciler {
 	return &reconciler{Config: c}
 }
 
-// Run implements Keeper.
+// Run implements Reconciler.
 func (r *reconciler) Run(ctx context.Context) {
 	t := time.NewTicker(interval)
 	defer t.Stop()
@@ -100,7 +100,7 @@
 	}
 }
 
-// Reconcile implements Keeper.
+// Reconcile implements Reconciler.
 func (r *reconciler) Reconcile(ctx context.Context) {
 	s := r.Replica.Status()
 	if s.Role == raft.Leader.String() {
--- a/internal/control/admission/reconciler_test.go
+++ b/internal/control/admission/reconciler_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// blankReconciler returns a Keeper of a replica that lost its disk and knows only the given addresses.
+// blankReconciler returns the Reconciler of a replica that lost its disk and knows only the given addresses.
 func blankReconciler(p Peers, known ...string) Reconciler {
 	return NewReconciler(Config{
 		Replica:   fakeReplica{replica.Status{Identity: "9", Address: "blank", Role: replica.RoleBlank}},
@@ -83,7 +83,7 @@
 }
 
 // Guards against a replica that lost its disk and asks a former leader, which a partitioned seed still reports.
-func TestBlankReplicaPassesOverAFormerLeader(t *testing.T) {
+func TestBlankReplicaIgnoresAFormerLeader(t *testing.T) {
 	stale := replica.Status{Role: raft.Follower.String(), Term: 2, LeaderAddress: "former"}
 	fresh := replica.Status{Role: raft.Follower.String(), Term: 3, LeaderAddress: "leader"}
 	former := replica.Status{Role: raft.Follower.String(), Term: 3, Address: "former", LeaderAddress: "leader"}
@@ -100,7 +100,7 @@
 }
 
 // Guards against a replica that lost its disk and queries every leader that others report.
-func TestBlankReplicaAsksFewOfTheNamedLeaders(t *testing.T) {
+func TestBlankReplicaQueriesFewReportedLeaders(t *testing.T) {
 	p := &fakePeers{statuses: map[string]replica.Status{}}
 	var known []string
 	for i := range uint64(20) {
@@ -119,7 +119,7 @@
 }
 
 // Guards against a replica that can't join and logs nothing about it.
-func TestSearchInVainIsToldOnce(t *testing.T) {
+func TestFailedSearchIsLoggedOnce(t *testing.T) {
 	follower := replica.Status{Role: raft.Follower.String(), Term: 2, LeaderAddress: "leader"}
 	p := &fakePeers{statuses: map[string]replica.Status{"seed-1": follower}}
 	handler := memory.New()
--- a/internal/control/lease/held_lease.go
+++ b/internal/control/lease/held_lease.go
@@ -17,25 +17,25 @@
 
 // NewHeldLease returns the HeldLease of a grant that was requested at sent, received at received and lasts for d.
 func NewHeldLease(r Result, sent, received time.Time, d time.Duration) HeldLease {
-	t := HeldLease{Fencing: r.Fencing, ActiveFrom: received}.Renewed(sent, d)
+	l := HeldLease{Fencing: r.Fencing, ActiveFrom: received}.Renewed(sent, d)
 	if r.Wait > 0 {
-		t.ActiveFrom = received.Add(r.Wait + fraction(r.Wait))
+		l.ActiveFrom = received.Add(r.Wait + margin(r.Wait))
 	}
-	return t
+	return l
 }
 
-// Renewed returns t after a renewal that was requested at sent and lasts for d.
-func (t HeldLease) Renewed(sent time.Time, d time.Duration) HeldLease {
-	t.ValidUntil = sent.Add(d - fraction(d))
-	return t
+// Renewed returns l after a renewal that was requested at sent and lasts for d.
+func (l HeldLease) Renewed(sent time.Time, d time.Duration) HeldLease {
+	l.ValidUntil = sent.Add(d - margin(d))
+	return l
 }
 
 // Valid reports whether the lease is valid at now.
-func (t HeldLease) Valid(now time.Time) bool {
-	return t.Fencing > 0 && now.Before(t.ValidUntil)
+func (l HeldLease) Valid(now time.Time) bool {
+	return l.Fencing > 0 && now.Before(l.ValidUntil)
 }
 
-// fraction returns the unused part of a lease of duration d.
-func fraction(d time.Duration) time.Duration {
+// margin returns the unused part of a lease of duration d.
+func margin(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * rateMargin)
 }
--- a/internal/control/lease/section_test.go
+++ b/internal/control/lease/section_test.go
@@ -87,8 +87,8 @@
 	if !first.Granted || first.Wait != 0 {
 		t.Fatalf("got %+v", first)
 	}
-	if again := apply(t, s, at, Command{Acquire: &a}); again.Fencing != first.Fencing {
-		t.Errorf("the resent acquire got another fencing number: %+v", again)
+	if resent := apply(t, s, at, Command{Acquire: &a}); resent.Fencing != first.Fencing {
+		t.Errorf("the resent acquire got another fencing number: %+v", resent)
 	}
 	b := Acquire{Name: "orders", Holder: "b", Duration: 10 * time.Second}
 	if r := apply(t, s, at, Command{Acquire: &b}); r.Granted || r.Reason != Held || r.Holder != "a" {
@@ -111,8 +111,8 @@
 	if !second.Granted || second.Fencing <= first.Fencing || second.Wait != 10*time.Second || string(second.Note) != "x" {
 		t.Errorf("got %+v", second)
 	}
-	if again := apply(t, s, at, Command{Acquire: &b}); again.Wait != second.Wait || string(again.Note) != "x" {
-		t.Errorf("the resent acquire did not return the wait and note: %+v", again)
+	if resent := apply(t, s, at, Command{Acquire: &b}); resent.Wait != second.Wait || string(resent.Note) != "x" {
+		t.Errorf("the resent acquire did not return the wait and note: %+v", resent)
 	}
 	release := Command{Release: &Release{Name: "orders", Holder: "a", Fencing: first.Fencing}}
 	if r := apply(t, s, at, release); r.Granted {
--- a/internal/control/ledger/ledger_test.go
+++ b/internal/control/ledger/ledger_test.go
@@ -123,7 +123,7 @@
 	return mustMarshal(t, i.Shards)
 }
 
-func TestRestoreRefusesForeignBytes(t *testing.T) {
+func TestRestoreRejectsInvalidSnapshots(t *testing.T) {
 	for _, b := range [][]byte{nil, {0xff}, mustMarshal(t, image{}), mustMarshal(t, image{Shards: make([]shardImage, 3)})} {
 		if err := New().Restore(b); err == nil {
 			t.Errorf("%x was accepted", b)
--- a/internal/control/ledger/result.go
+++ b/internal/control/ledger/result.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Kind is the outcome of a command or a lookup.
+// Kind is the kind of a Result.
 type Kind string
 
 const (
--- a/internal/control/members/reconciler.go
+++ b/internal/control/members/reconciler.go
@@ -66,8 +66,8 @@
 	return &reconciler{Config: c}
 }
 
-// Run implements Keeper.
-func (k *reconciler) Run(ctx context.Context) {
+// Run implements Reconciler.
+func (r *reconciler) Run(ctx context.Context) {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
@@ -75,38 +75,38 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			k.Reconcile(ctx)
+			r.Reconcile(ctx)
 		}
 	}
 }
 
-// Reconcile implements Keeper.
-func (k *reconciler) Reconcile(ctx context.Context) {
-	s := k.Replica.Status()
-	admitted := k.Admitted()
+// Reconcile implements Reconciler.
+func (r *reconciler) Reconcile(ctx context.Context) {
+	s := r.Replica.Status()
+	admitted := r.Admitted()
 	if s.Role != raft.Leader.String() || len(admitted) == 0 {
 		return
 	}
-	c, ok := Next(s.Members, k.candidates(ctx), admitted)
+	c, ok := Next(s.Members, r.candidates(ctx), admitted)
 	if !ok {
 		return
 	}
-	err := k.apply(ctx, c)
+	err := r.apply(ctx, c)
 	fields := log.Fields{"change": string(c.Kind), "replica": c.Member.Name, "identity": string(c.Member.Identity)}
 	if err != nil {
 		fields["error"] = err.Error()
-		event.MemberChangeRefused.Write(k.Logger, fields)
+		event.MemberChangeRefused.Write(r.Logger, fields)
 		return
 	}
-	event.MemberChanged.Write(k.Logger, fields)
+	event.MemberChanged.Write(r.Logger, fields)
 }
 
 // candidates probes the seeds and returns those that answer under their name, with their current identities.
-func (k *reconciler) candidates(ctx context.Context) []raft.Member {
+func (r *reconciler) candidates(ctx context.Context) []raft.Member {
 	var all []raft.Member
-	for _, s := range k.Seeds {
+	for _, s := range r.Seeds {
 		ctx, cancel := context.WithTimeout(ctx, probeTimeout)
-		f, err := k.Prober.Probe(ctx, s.Address)
+		f, err := r.Prober.Probe(ctx, s.Address)
 		cancel()
 		if err != nil || f.Name != s.Name {
 			continue
@@ -116,14 +116,14 @@
 	return all
 }
 
-func (k *reconciler) apply(ctx context.Context, c protocol.Change) error {
+func (r *reconciler) apply(ctx context.Context, c protocol.Change) error {
 	ctx, cancel := context.WithTimeout(ctx, checkInterval)
 	defer cancel()
 	switch c.Kind {
 	case protocol.AddLearner:
-		return k.Replica.AddLearner(ctx, c.Member)
+		return r.Replica.AddLearner(ctx, c.Member)
 	case protocol.Promote:
-		return k.Replica.Promote(ctx, c.Member.Identity)
+		return r.Replica.Promote(ctx, c.Member.Identity)
 	}
-	return k.Replica.Remove(ctx, c.Member.Identity)
+	return r.Replica.Remove(ctx, c.Member.Identity)
 }
--- a/internal/control/quarantine/changes.go
+++ b/internal/control/quarantine/changes.go
@@ -13,7 +13,7 @@
 func (q *quarantine) changesSince(version uint64) []suspicion.Change {
 	changes := q.recordsSince(version)
 	for _, r := range q.removals {
-		if _, again := q.records[r.Fingerprint]; r.Version > version && !again {
+		if _, exists := q.records[r.Fingerprint]; r.Version > version && !exists {
 			changes = append(changes, suspicion.Change{Fingerprint: r.Fingerprint, Standing: suspicion.Clear})
 		}
 	}
--- a/internal/control/quarantine/lost.go
+++ b/internal/control/quarantine/lost.go
@@ -44,13 +44,13 @@
 // updateStandings computes the standing of each record.
 func (q *quarantine) updateStandings() {
 	order := q.order()
-	cases := make([]*suspicion.FingerprintLosses, len(order))
+	losses := make([]*suspicion.FingerprintLosses, len(order))
 	for i, f := range order {
-		cases[i] = &suspicion.FingerprintLosses{Losses: q.records[f].Losses}
+		losses[i] = &suspicion.FingerprintLosses{Losses: q.records[f].Losses}
 	}
-	suspicion.Classify(cases, q.limit)
+	suspicion.Classify(losses, q.limit)
 	for i, f := range order {
-		q.setStanding(q.records[f], cases[i].Standing)
+		q.setStanding(q.records[f], losses[i].Standing)
 	}
 }
 
--- a/internal/control/quarantine/result.go
+++ b/internal/control/quarantine/result.go
@@ -16,7 +16,7 @@
 	Standing suspicion.Standing `cbor:"standing,omitempty"`
 	// RetryAfter is set for a suspect's Begin that wasn't granted.
 	RetryAfter time.Duration `cbor:"retry-after,omitempty"`
-	// Avoid are the servers that a suspect's runs already lost; a probe on another server is more conclusive.
+	// Avoid are the servers that were lost while they ran the suspect; a probe on another server is more conclusive.
 	Avoid []string `cbor:"avoid,omitempty"`
 	// Changes are the standings that the command changed.
 	Changes []suspicion.Change `cbor:"changes,omitempty"`
--- a/internal/control/raft/world_test.go
+++ b/internal/control/raft/world_test.go
@@ -203,7 +203,7 @@
 	return nil
 }
 
-// joinAdmitted starts the replicas of blank VMs that are in the committed configuration of a formed VM that they reach.
+// joinAdmitted starts each replica without a group whose identity is in the committed configuration of a running replica that can reach it.
 func (w *world) joinAdmitted() {
 	for _, v := range w.vms {
 		if !v.up || v.core != nil {
--- a/internal/control/reaper/reaper_test.go
+++ b/internal/control/reaper/reaper_test.go
@@ -14,7 +14,7 @@
 type fakeControl struct {
 	term      uint64
 	err       error
-	settled   bool
+	inForce   bool
 	live      []protocol.HolderRevision
 	owners    []ledger.Owner
 	abandoned []ledger.Owner
@@ -22,7 +22,7 @@
 
 func (f *fakeControl) Confirm(context.Context) (uint64, error) { return f.term, f.err }
 func (f *fakeControl) InForce(uint64, uint64) lease.InForceStatus {
-	return lease.InForceStatus{InForce: f.settled}
+	return lease.InForceStatus{InForce: f.inForce}
 }
 func (f *fakeControl) Live() []protocol.HolderRevision                { return f.live }
 func (f *fakeControl) Owners(context.Context) ([]ledger.Owner, error) { return f.owners, nil }
@@ -46,7 +46,7 @@
 	if len(f.abandoned) != 0 {
 		t.Fatal("claims were abandoned before the leases of earlier terms had expired")
 	}
-	f.settled = true
+	f.inForce = true
 	check()
 	if len(f.abandoned) != 0 {
 		t.Fatal("claims were abandoned after one check")
--- a/internal/control/replica/applied_index.go
+++ b/internal/control/replica/applied_index.go
@@ -16,27 +16,27 @@
 	return &appliedIndex{index: index, changed: make(chan struct{})}
 }
 
-func (p *appliedIndex) advance(index uint64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if index <= p.index {
+func (a *appliedIndex) advance(index uint64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if index <= a.index {
 		return
 	}
-	p.index = index
-	close(p.changed)
-	p.changed = make(chan struct{})
+	a.index = index
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-func (p *appliedIndex) get() (uint64, <-chan struct{}) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.index, p.changed
+func (a *appliedIndex) get() (uint64, <-chan struct{}) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.index, a.changed
 }
 
 // wait returns nil once index is applied, or an error once ctx is done or end is closed.
-func (p *appliedIndex) wait(ctx context.Context, index uint64, end <-chan struct{}) error {
+func (a *appliedIndex) wait(ctx context.Context, index uint64, end <-chan struct{}) error {
 	for {
-		at, changed := p.get()
+		at, changed := a.get()
 		if at >= index {
 			return nil
 		}
--- a/internal/control/replica/bootstrapper.go
+++ b/internal/control/replica/bootstrapper.go
@@ -152,11 +152,11 @@
 	members := make([]raft.Member, 0, len(seeds))
 	identities := map[raft.Identity]string{}
 	first := len(seeds) > 0
-	among := false
+	isSeed := false
 	for _, s := range seeds {
 		a, ok := answers[s.Name]
 		if s.Name == own.Name {
-			a, ok, among = own, true, true
+			a, ok, isSeed = own, true, true
 		}
 		if !ok {
 			return disk.Founding{}, nil
@@ -171,7 +171,7 @@
 		first = first && own.Name <= s.Name
 		members = append(members, raft.Member{Name: s.Name, Identity: a.Identity, Address: s.Address, Voter: true})
 	}
-	if !first || !among {
+	if !first || !isSeed {
 		return disk.Founding{}, nil
 	}
 	b := make([]byte, 8)
--- a/internal/control/replica/bootstrapper_test.go
+++ b/internal/control/replica/bootstrapper_test.go
@@ -121,9 +121,9 @@
 // time would stop the control log.
 func TestUnreachableSeedDoesNotDelayJoining(t *testing.T) {
 	reachable := Formation{Name: "control-1", Address: "10.0.0.1:7000", Formed: true, Founding: disk.Founding{ID: "f"}}
-	f := &bootstrapper{replica: &replica{config: Config{Name: "control-4", Address: "10.0.0.4:7000", Seeds: founders, Transport: oneReachableTransport{reachable}}}}
+	b := &bootstrapper{replica: &replica{config: Config{Name: "control-4", Address: "10.0.0.4:7000", Seeds: founders, Transport: oneReachableTransport{reachable}}}}
 	began := time.Now()
-	answers := f.probe()
+	answers := b.probe()
 	if took := time.Since(began); took > probeTimeout/2 {
 		t.Errorf("the probe round took %s although the group had answered", took)
 	}
--- a/internal/control/replica/proposal.go
+++ b/internal/control/replica/proposal.go
@@ -18,7 +18,7 @@
 	command []byte
 	change  raft.Change
 	done    chan outcome
-	// claimed is set by the first of the loop, which appends the proposal, and the caller, which withdraws it after a timeout.
+	// claimed is set by the loop when it appends the proposal, or by the caller when it withdraws it after a timeout, whichever comes first.
 	claimed atomic.Bool
 }
 
@@ -70,7 +70,7 @@
 	w.proposal.finish(outcome{applied: Applied{Index: e.Index, Result: result}})
 }
 
-// failAfter completes the proposals after the index committed with an unknown outcome; the others will be resolved.
+// failAfter completes the proposals at indexes above committed with an unknown outcome; the others are resolved when their entries are applied.
 func (p *pending) failAfter(committed uint64, cause error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
