--- a/internal/settings/lease/entry_lease.go
+++ b/internal/settings/lease/entry_lease.go
@@ -23,12 +23,12 @@
 	proof atomic.Pointer[Proof]
 }
 
-// NewEntryLease returns a Keeper without a lease.
+// NewEntryLease returns an EntryLease that holds no lease yet.
 func NewEntryLease() EntryLease {
 	return &entryLease{}
 }
 
-// Check implements Keeper.
+// Check implements EntryLease.
 //
 // An entry can't detect a silent network partition while its callers still reach
 // it, and would serve them under settings that an operator has replaced. Without
@@ -41,7 +41,7 @@
 	return verdict.New(verdict.NotRun, http.StatusServiceUnavailable, "no-settings-lease", "this entry can't prove that its settings are in force").WithRetryAfter(retryAfter)
 }
 
-// Confirm implements Keeper.
+// Confirm implements EntryLease.
 //
 // Answers may arrive out of order. The answer to an earlier report would shorten
 // the lease, and one for an older revision would not apply to the current
--- a/internal/settings/lease/holders.go
+++ b/internal/settings/lease/holders.go
@@ -101,22 +101,22 @@
 	if term < h.term || revision > t.Revision {
 		return InForceStatus{}
 	}
-	f := InForceStatus{MaxWait: max(0, h.earlierLeasesEnd().Sub(now))}
+	s := InForceStatus{MaxWait: max(0, h.earlierLeasesEnd().Sub(now))}
 	for k, g := range h.grants {
 		if g.applied < revision && g.active(now, t.LeaseRequiredFrom) {
-			f.Waiting = append(f.Waiting, k.Name)
-			f.MaxWait = max(f.MaxWait, g.expires.Sub(now))
+			s.Waiting = append(s.Waiting, k.Name)
+			s.MaxWait = max(s.MaxWait, g.expires.Sub(now))
 		}
 	}
 	leaseless := h.leaselessEntries(revision, t.LeaseRequiredFrom)
 	if len(leaseless) > 0 {
-		f.Waiting = append(f.Waiting, leaseless...)
-		f.MaxWait = 0
+		s.Waiting = append(s.Waiting, leaseless...)
+		s.MaxWait = 0
 	}
-	slices.Sort(f.Waiting)
-	f.Waiting = slices.Compact(f.Waiting)
-	f.InForce = len(f.Waiting) == 0 && !now.Before(h.earlierLeasesEnd())
-	return f
+	slices.Sort(s.Waiting)
+	s.Waiting = slices.Compact(s.Waiting)
+	s.InForce = len(s.Waiting) == 0 && !now.Before(h.earlierLeasesEnd())
+	return s
 }
 
 // leaselessEntries returns the entries that may serve without a lease under a
--- a/internal/settings/lease/lease_test.go
+++ b/internal/settings/lease/lease_test.go
@@ -20,23 +20,23 @@
 // before it sent the report of its last proof. Refusals must have the verdict
 // NotRun and a retry time, and the entry must recover with the next proof.
 func TestLeaseExpiresAndRecovers(t *testing.T) {
-	k := NewEntryLease()
-	if k.Check(at(0), false) == nil || k.Check(at(0), true) == nil {
+	l := NewEntryLease()
+	if l.Check(at(0), false) == nil || l.Check(at(0), true) == nil {
 		t.Fatal("an entry without any proof accepts new work")
 	}
 	proof := Proof{SentAt: at(0), Applied: 3, Confirmed: 3, Lease: 4 * second}
-	if !k.Confirm(proof) {
+	if !l.Confirm(proof) {
 		t.Fatal("the proof was not accepted")
 	}
-	if err := k.Check(at(3*second), false); err != nil {
+	if err := l.Check(at(3*second), false); err != nil {
 		t.Errorf("within the lease: %v", err)
 	}
-	err := k.Check(at(4*second), false)
+	err := l.Check(at(4*second), false)
 	if v, ok := verdict.As(err); !ok || v.Verdict != verdict.NotRun || v.Status != 503 || v.RetryAfter == 0 {
 		t.Errorf("after the lease: %v", err)
 	}
 	proof.SentAt = at(9 * second)
-	if !k.Confirm(proof) || k.Check(at(10*second), false) != nil {
+	if !l.Confirm(proof) || l.Check(at(10*second), false) != nil {
 		t.Error("the entry did not recover")
 	}
 }
@@ -45,18 +45,18 @@
 // the lease, and one for an older revision must not apply to newer settings. A
 // report that the leader answered with a newer revision proves nothing.
 func TestAnswersOutOfOrderAreIgnored(t *testing.T) {
-	k := NewEntryLease()
-	k.Confirm(Proof{SentAt: at(5 * second), Applied: 7, Confirmed: 7, Lease: 4 * second})
+	l := NewEntryLease()
+	l.Confirm(Proof{SentAt: at(5 * second), Applied: 7, Confirmed: 7, Lease: 4 * second})
 	for name, p := range map[string]Proof{
 		"earlier report":  {SentAt: at(2 * second), Applied: 7, Confirmed: 7, Lease: 4 * second},
 		"older revision":  {SentAt: at(6 * second), Applied: 6, Confirmed: 6, Lease: 15 * second},
 		"newer elsewhere": {SentAt: at(6 * second), Applied: 7, Confirmed: 8, Lease: 15 * second},
 	} {
-		if k.Confirm(p) {
+		if l.Confirm(p) {
 			t.Errorf("%s: accepted", name)
 		}
 	}
-	if k.Check(at(8*second), false) != nil || k.Check(at(9*second), false) == nil {
+	if l.Check(at(8*second), false) != nil || l.Check(at(9*second), false) == nil {
 		t.Error("the lease is not that of the newest proof")
 	}
 }
@@ -66,13 +66,13 @@
 // the suspension.
 func TestLeaseAfterSuspensionOfTheVM(t *testing.T) {
 	sent := time.Now()
-	k := NewEntryLease()
-	k.Confirm(Proof{SentAt: sent, Applied: 1, Confirmed: 1, Lease: 4 * second})
+	l := NewEntryLease()
+	l.Confirm(Proof{SentAt: sent, Applied: 1, Confirmed: 1, Lease: 4 * second})
 	// Round(0) removes the monotonic reading, so that only the wall clock shows the suspension.
-	if k.Check(sent.Round(0).Add(time.Minute), false) == nil {
+	if l.Check(sent.Round(0).Add(time.Minute), false) == nil {
 		t.Error("a resumed VM continues under its old lease")
 	}
-	if k.Check(sent.Add(second), false) != nil {
+	if l.Check(sent.Add(second), false) != nil {
 		t.Error("the lease is lost without a suspension")
 	}
 }
@@ -89,28 +89,28 @@
 // while any entry still serves under the older settings.
 func TestInForceWaitsForHoldersOrTheirLeases(t *testing.T) {
 	h := NewHolders([]string{"a", "b"})
-	if f := h.InForce(at(second), 1, 1, terms(1)); f.InForce || f.MaxWait == 0 {
-		t.Errorf("a new leader answered before the leases of earlier leaders expired: %+v", f)
+	if s := h.InForce(at(second), 1, 1, terms(1)); s.InForce || s.MaxWait == 0 {
+		t.Errorf("a new leader answered before the leases of earlier leaders expired: %+v", s)
 	}
 	h.Renew(at(10*second), 1, renewal("a", 1), terms(1))
 	h.Renew(at(10*second), 1, renewal("b", 1), terms(1))
-	if f := h.InForce(at(11*second), 1, 2, terms(2)); f.InForce || len(f.Waiting) != 2 {
-		t.Errorf("no entry has applied revision 2: %+v", f)
+	if s := h.InForce(at(11*second), 1, 2, terms(2)); s.InForce || len(s.Waiting) != 2 {
+		t.Errorf("no entry has applied revision 2: %+v", s)
 	}
 	h.Renew(at(11*second), 1, renewal("a", 2), terms(2))
-	if f := h.InForce(at(12*second), 1, 2, terms(2)); f.InForce || len(f.Waiting) != 1 || f.Waiting[0] != "b" {
-		t.Errorf("b has not applied revision 2: %+v", f)
+	if s := h.InForce(at(12*second), 1, 2, terms(2)); s.InForce || len(s.Waiting) != 1 || s.Waiting[0] != "b" {
+		t.Errorf("b has not applied revision 2: %+v", s)
 	}
-	if f := h.InForce(at(10*second+lengthened(leaseLength)), 1, 2, terms(2)); !f.InForce {
-		t.Errorf("the lease of b has expired: %+v", f)
+	if s := h.InForce(at(10*second+lengthened(leaseLength)), 1, 2, terms(2)); !s.InForce {
+		t.Errorf("the lease of b has expired: %+v", s)
 	}
-	if f := h.InForce(at(20*second), 1, 3, terms(2)); f.InForce {
+	if s := h.InForce(at(20*second), 1, 3, terms(2)); s.InForce {
 		t.Error("a revision that does not exist is in force")
 	}
-	if f := h.InForce(at(21*second), 2, 2, terms(2)); f.InForce {
+	if s := h.InForce(at(21*second), 2, 2, terms(2)); s.InForce {
 		t.Error("the leader of a new term answered at once")
 	}
-	if f := h.InForce(at(99*second), 1, 2, terms(2)); f.InForce {
+	if s := h.InForce(at(99*second), 1, 2, terms(2)); s.InForce {
 		t.Error("the leader of an older term answered")
 	}
 }
@@ -135,8 +135,8 @@
 	h.Renew(at(10*second), 1, r, terms(1))
 	r.Released = true
 	h.Renew(at(11*second), 1, r, terms(1))
-	if f := h.InForce(at(11*second), 1, 2, terms(2)); !f.InForce {
-		t.Errorf("got %+v", f)
+	if s := h.InForce(at(11*second), 1, 2, terms(2)); !s.InForce {
+		t.Errorf("got %+v", s)
 	}
 }
 
@@ -150,22 +150,22 @@
 	leaseless.LeaseRequiredFrom = 3
 	h.InForce(at(0), 1, 2, leaseless)
 	h.Renew(at(10*second), 1, renewal("a", 2), leaseless)
-	if f := h.InForce(at(99*second), 1, 2, leaseless); f.InForce || len(f.Waiting) != 1 || f.Waiting[0] != "b" {
-		t.Errorf("b has never reported: %+v", f)
+	if s := h.InForce(at(99*second), 1, 2, leaseless); s.InForce || len(s.Waiting) != 1 || s.Waiting[0] != "b" {
+		t.Errorf("b has never reported: %+v", s)
 	}
 	leaseRequired := terms(3)
 	leaseRequired.LeaseRequiredFrom = 3
 	h.Renew(at(100*second), 1, renewal("b", 3), leaseRequired)
-	if f := h.InForce(at(199*second), 1, 3, leaseRequired); f.InForce || len(f.Waiting) != 1 || f.Waiting[0] != "a" {
-		t.Errorf("a still serves under revision 2: %+v", f)
+	if s := h.InForce(at(199*second), 1, 3, leaseRequired); s.InForce || len(s.Waiting) != 1 || s.Waiting[0] != "a" {
+		t.Errorf("a still serves under revision 2: %+v", s)
 	}
 	h.Renew(at(200*second), 1, renewal("a", 3), leaseRequired)
-	if f := h.InForce(at(201*second), 1, 3, leaseRequired); !f.InForce {
-		t.Errorf("all have applied revision 3: %+v", f)
+	if s := h.InForce(at(201*second), 1, 3, leaseRequired); !s.InForce {
+		t.Errorf("all have applied revision 3: %+v", s)
 	}
 	leaseRequired.Revision = 4
-	if f := h.InForce(at(299*second), 1, 4, leaseRequired); !f.InForce {
-		t.Errorf("all leases have expired: %+v", f)
+	if s := h.InForce(at(299*second), 1, 4, leaseRequired); !s.InForce {
+		t.Errorf("all leases have expired: %+v", s)
 	}
 }
 
@@ -177,11 +177,11 @@
 	h.Renew(at(0), 2, renewal("a", 1), terms(1))
 	longer := Terms{Revision: 2, Lease: 15 * second, Longest: 15 * second}
 	h.Renew(at(3*second), 2, renewal("a", 2), longer)
-	if f := h.InForce(at(6*second), 2, 2, longer); f.InForce || f.MaxWait == 0 {
-		t.Errorf("an entry may hold a lease of 15 s from before: %+v", f)
+	if s := h.InForce(at(6*second), 2, 2, longer); s.InForce || s.MaxWait == 0 {
+		t.Errorf("an entry may hold a lease of 15 s from before: %+v", s)
 	}
-	if f := h.InForce(at(16*second), 2, 2, longer); !f.InForce {
-		t.Errorf("all leases have expired: %+v", f)
+	if s := h.InForce(at(16*second), 2, 2, longer); !s.InForce {
+		t.Errorf("all leases have expired: %+v", s)
 	}
 }
 
@@ -196,13 +196,13 @@
 	h.Renew(at(0), 1, r, leaseless)
 	r.Released = true
 	h.Renew(at(second), 1, r, leaseless)
-	if f := h.InForce(at(9*second), 1, 2, leaseless); !f.InForce {
-		t.Errorf("a has stopped: %+v", f)
+	if s := h.InForce(at(9*second), 1, 2, leaseless); !s.InForce {
+		t.Errorf("a has stopped: %+v", s)
 	}
 	r = renewal("a", 1)
 	r.Holder.Incarnation = 2
 	h.Renew(at(10*second), 1, r, leaseless)
-	if f := h.InForce(at(99*second), 1, 2, leaseless); f.InForce {
+	if s := h.InForce(at(99*second), 1, 2, leaseless); s.InForce {
 		t.Error("a has started again and not applied revision 2")
 	}
 }
@@ -216,12 +216,12 @@
 	for _, entry := range []float64{1 - limit, 1, 1 + limit} {
 		for _, leader := range []float64{1 - limit, 1, 1 + limit} {
 			slow, fast := clock{rate: entry}, clock{rate: leader}
-			k, h := NewEntryLease(), NewHolders(nil)
+			l, h := NewEntryLease(), NewHolders(nil)
 			h.InForce(fast.at(-time.Minute), 1, 1, terms(1))
 			h.Renew(fast.at(delay/2), 1, renewal("a", 1), terms(1))
-			k.Confirm(Proof{SentAt: slow.at(0), Applied: 1, Confirmed: 1, Lease: leaseLength})
+			l.Confirm(Proof{SentAt: slow.at(0), Applied: 1, Confirmed: 1, Lease: leaseLength})
 			for now := delay; now < 2*leaseLength; now += time.Millisecond {
-				serves := k.Check(slow.at(now), false) == nil
+				serves := l.Check(slow.at(now), false) == nil
 				if serves && h.InForce(fast.at(now), 1, 2, terms(2)).InForce {
 					t.Fatalf("rates %v and %v: revision 2 is in force at %v and the entry serves under revision 1", entry, leader, now)
 				}
--- a/internal/settings/lease/schedule_test.go
+++ b/internal/settings/lease/schedule_test.go
@@ -46,19 +46,19 @@
 
 // schedule is a random schedule of reports, edits, elections, lost messages and suspensions.
 type schedule struct {
-	random   *rand.Rand
-	now      time.Duration
-	revision uint64
-	leader   int
-	term     uint64
-	replicas []*replica
-	clocks   []clock
-	keepers  []EntryLease
-	applied  []uint64
-	reports  []*report
-	declared uint64
-	notYet   int
-	served   int
+	random      *rand.Rand
+	now         time.Duration
+	revision    uint64
+	leader      int
+	term        uint64
+	replicas    []*replica
+	clocks      []clock
+	entryLeases []EntryLease
+	applied     []uint64
+	reports     []*report
+	declared    uint64
+	notYet      int
+	served      int
 }
 
 const leaseLength = 4 * second
@@ -70,7 +70,7 @@
 	}
 	for range 4 {
 		s.clocks = append(s.clocks, randomClock(r))
-		s.keepers = append(s.keepers, NewEntryLease())
+		s.entryLeases = append(s.entryLeases, NewEntryLease())
 		s.applied = append(s.applied, 1)
 	}
 	return s
@@ -99,7 +99,7 @@
 }
 
 func (s *schedule) send() {
-	e := s.random.IntN(len(s.keepers))
+	e := s.random.IntN(len(s.entryLeases))
 	s.reports = append(s.reports, &report{
 		entry:   e,
 		sentAt:  s.clocks[e].at(s.now),
@@ -159,7 +159,7 @@
 		return
 	}
 	s.applied[p.entry] = max(s.applied[p.entry], p.answered)
-	s.keepers[p.entry].Confirm(Proof{SentAt: p.sentAt, Applied: p.applied, Confirmed: p.answered, Lease: leaseLength})
+	s.entryLeases[p.entry].Confirm(Proof{SentAt: p.sentAt, Applied: p.applied, Confirmed: p.answered, Lease: leaseLength})
 }
 
 // askInForce asks the leader, confirmed by a quorum, which revisions are in force.
@@ -176,8 +176,8 @@
 
 // invariantHolds reports whether no entry accepts new work under a revision older than one that was declared in force.
 func (s *schedule) invariantHolds() bool {
-	for e, k := range s.keepers {
-		if k.Check(s.clocks[e].at(s.now), false) != nil {
+	for e, l := range s.entryLeases {
+		if l.Check(s.clocks[e].at(s.now), false) != nil {
 			continue
 		}
 		s.served++
--- a/internal/settings/section/naive_test.go
+++ b/internal/settings/section/naive_test.go
@@ -16,27 +16,27 @@
 	sent       map[string]Edit
 }
 
-func (c *referenceState) revision() uint64 {
-	return uint64(len(c.priorities))
+func (r *referenceState) revision() uint64 {
+	return uint64(len(r.priorities))
 }
 
-func (c *referenceState) apply(e Edit) Outcome {
-	if o, ok := c.outcomes[e.ID]; ok {
+func (r *referenceState) apply(e Edit) Outcome {
+	if o, ok := r.outcomes[e.ID]; ok {
 		return o
 	}
 	n := e.Changes[0].Value.Number
-	o := Outcome{Kind: Accepted, Revision: c.revision() + 1}
+	o := Outcome{Kind: Accepted, Revision: r.revision() + 1}
 	switch {
-	case e.Base < c.revision():
-		o = Outcome{Kind: Conflict, Revision: c.revision()}
-	case e.Base > c.revision() || n > 100:
-		o = Outcome{Kind: Refused, Revision: c.revision()}
+	case e.Base < r.revision():
+		o = Outcome{Kind: Conflict, Revision: r.revision()}
+	case e.Base > r.revision() || n > 100:
+		o = Outcome{Kind: Refused, Revision: r.revision()}
 	}
 	if o.Kind == Accepted {
-		c.priorities = append(c.priorities, n)
+		r.priorities = append(r.priorities, n)
 	}
-	c.outcomes[e.ID] = o
-	c.sent[e.ID] = e
+	r.outcomes[e.ID] = o
+	r.sent[e.ID] = e
 	return o
 }
 
@@ -49,39 +49,39 @@
 	p := gopter.NewProperties(parameters)
 	p.Property("agrees with the reference implementation", prop.ForAll(func(steps []uint32) bool {
 		s := newSection(t)
-		c := &referenceState{priorities: []int64{0}, outcomes: map[string]Outcome{}, sent: map[string]Edit{}}
+		reference := &referenceState{priorities: []int64{0}, outcomes: map[string]Outcome{}, sent: map[string]Edit{}}
 		for i, n := range steps {
 			if n%11 == 0 {
 				s = restoredCopy(t, s)
 				continue
 			}
-			e := randomEdit(c, i, n)
-			want, got := c.apply(e), apply(t, s, e)
+			e := randomEdit(reference, i, n)
+			want, got := reference.apply(e), apply(t, s, e)
 			if got.Kind != want.Kind || got.Revision != want.Revision {
 				t.Logf("step %d, edit %+v: got %+v, want %+v", i, e, got, want)
 				return false
 			}
-			if rootPriority(t, s) != c.priorities[len(c.priorities)-1] {
+			if rootPriority(t, s) != reference.priorities[len(reference.priorities)-1] {
 				return false
 			}
 		}
-		return auditTrailMatches(t, s, c)
+		return auditTrailMatches(t, s, reference)
 	}, gen.SliceOfN(60, gen.UInt32())))
 	p.TestingRun(t)
 }
 
 // randomEdit returns a new edit based on a recent revision, or one that was sent before.
-func randomEdit(c *referenceState, step int, n uint32) Edit {
+func randomEdit(reference *referenceState, step int, n uint32) Edit {
 	id := fmt.Sprintf("e-%d", step)
 	if n%3 == 0 {
 		id = fmt.Sprintf("e-%d", int(n/16)%(step+1))
 	}
-	if e, ok := c.sent[id]; ok {
+	if e, ok := reference.sent[id]; ok {
 		return e
 	}
-	base := c.revision() + 1 - min(uint64(n>>8%4), c.revision())
+	base := reference.revision() + 1 - min(uint64(n>>8%4), reference.revision())
 	if n%5 < 3 {
-		base = c.revision()
+		base = reference.revision()
 	}
 	return priorityEdit(id, []string{"ana", "ben"}[n%2], base, int64(n>>4%110))
 }
@@ -98,12 +98,12 @@
 	return next
 }
 
-func auditTrailMatches(t *testing.T, s Section, c *referenceState) bool {
+func auditTrailMatches(t *testing.T, s Section, reference *referenceState) bool {
 	for _, r := range query[History](t, s, Query{Kind: QueryHistory}).Records {
 		if r.Revision == 1 {
 			continue
 		}
-		if c.outcomes[r.ID].Revision != r.Revision || c.sent[r.ID].Changes[0].Value.Number != c.priorities[r.Revision-1] {
+		if reference.outcomes[r.ID].Revision != r.Revision || reference.sent[r.ID].Changes[0].Value.Number != reference.priorities[r.Revision-1] {
 			return false
 		}
 	}
--- a/internal/settings/section/snapshot.go
+++ b/internal/settings/section/snapshot.go
@@ -17,7 +17,7 @@
 // Snapshot implements state.Section.
 func (s *section) Snapshot() ([]byte, error) {
 	s.mu.RLock()
-	i := snapshotState{
+	state := snapshotState{
 		Revision: s.revision,
 		Records:  s.history.records,
 		Rejected: s.history.rejected,
@@ -25,25 +25,25 @@
 	}
 	t := s.tree
 	s.mu.RUnlock()
-	i.Branches = t.Branches(tree.RootPath)
-	return codec.Marshal(i)
+	state.Branches = t.Branches(tree.RootPath)
+	return codec.Marshal(state)
 }
 
 // Restore implements state.Section.
 func (s *section) Restore(snapshot []byte) error {
-	i, err := codec.Unmarshal[snapshotState](snapshot)
+	state, err := codec.Unmarshal[snapshotState](snapshot)
 	if err != nil {
 		return err
 	}
-	t, err := tree.FromBranches(i.Branches)
+	t, err := tree.FromBranches(state.Branches)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tree = t
-	s.revision = i.Revision
-	s.history = newHistory(i.Records, i.Rejected)
-	s.leases = i.Leases
+	s.revision = state.Revision
+	s.history = newHistory(state.Records, state.Rejected)
+	s.leases = state.Leases
 	return nil
 }
