--- a/internal/settings/digest/digest.go
+++ b/internal/settings/digest/digest.go
@@ -24,7 +24,7 @@
 	var d Digest
 	digits, ok := strings.CutPrefix(text, Prefix)
 	if !ok {
-		return d, fmt.Errorf("a key digest starts with %q", Prefix)
+		return d, fmt.Errorf("a key digest opens with %q", Prefix)
 	}
 	if len(digits) != hex.EncodedLen(len(d)) {
 		return d, fmt.Errorf("a key digest has %d hexadecimal digits after %q, not %d", hex.EncodedLen(len(d)), Prefix, len(digits))
--- a/internal/settings/tree/value.go
+++ b/internal/settings/tree/value.go
@@ -206,7 +206,7 @@
 			return Value{}, err
 		}
 		if slices.Contains(all, d) {
-			return Value{}, fmt.Errorf("the key digest %s is listed twice", d)
+			return Value{}, fmt.Errorf("the key digest %s stands twice", d)
 		}
 		all = append(all, d)
 	}
