--- a/internal/control/admission/view.go
+++ b/internal/control/admission/view.go
@@ -27,7 +27,6 @@
 	return m.Identity == v.Self || !v.Replaced[m.Identity] && v.Silent[m.Identity] < SilentAfter
 }
 
-// voters returns the number of voters.
 func (v View) voters() int {
 	n := 0
 	for _, m := range v.Members {
--- a/internal/control/raft/election.go
+++ b/internal/control/raft/election.go
@@ -79,11 +79,11 @@
 	behind := !r.log.upToDate(m.Index, m.LogTerm)
 	granted := m.Term > r.term && !r.inLeaderLease() && !behind
 	r.neededByCandidate = r.neededByCandidate || behind && !r.inLeaderLease()
-	answer := Message{Kind: MessagePreVoteResponse, To: m.From, Term: m.Term, Reject: !granted}
+	response := Message{Kind: MessagePreVoteResponse, To: m.From, Term: m.Term, Reject: !granted}
 	if !granted {
-		answer.Term = r.term
+		response.Term = r.term
 	}
-	r.reply(m, answer)
+	r.reply(m, response)
 }
 
 // stepVote grants the vote of the term to the first candidate whose log is up to date.
--- a/internal/control/raft/step.go
+++ b/internal/control/raft/step.go
@@ -125,7 +125,7 @@
 }
 
 // reply queues a response to m that is sent once the state it depends on is persisted.
-func (r *core) reply(m, answer Message) {
-	answer.To = m.From
-	r.send(answer)
+func (r *core) reply(m, response Message) {
+	response.To = m.From
+	r.send(response)
 }
--- a/internal/control/replica/cluster_test.go
+++ b/internal/control/replica/cluster_test.go
@@ -117,7 +117,6 @@
 	<-n.replica.Done()
 }
 
-// waitUntil waits for a condition.
 func (c *cluster) waitUntil(what string, condition func() bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(conditionTimeout)
--- a/internal/settings/section/section.go
+++ b/internal/settings/section/section.go
@@ -27,7 +27,6 @@
 	AdmittedReplicas() []string
 }
 
-// section implements Section.
 type section struct {
 	mu       sync.RWMutex
 	tree     tree.Tree
