--- a/internal/entry/backend/engine.go
+++ b/internal/entry/backend/engine.go
@@ -102,7 +102,8 @@
 	return checkOrder(a, id, err)
 }
 
-// checkOrder rejects an answer for another order, which would otherwise mark a load as ended that never began.
+// checkOrder rejects an answer for another order. If it were accepted, a load of weights that
+// never began would count as ended.
 func checkOrder(a orders.Answer, id string, err error) (orders.Answer, error) {
 	if err != nil {
 		return orders.Answer{}, err
--- a/internal/entry/backend/handler_test.go
+++ b/internal/entry/backend/handler_test.go
@@ -22,22 +22,22 @@
 	wanted  bool
 }
 
-func (s *recorder) Leaving(identity string) {
-	s.leaving = append(s.leaving, identity)
+func (rec *recorder) Leaving(identity string) {
+	rec.leaving = append(rec.leaving, identity)
 }
 
-func (s *recorder) Report(_ time.Time, r events.Report) bool {
-	s.reports = append(s.reports, r)
-	return s.wanted
+func (rec *recorder) Report(_ time.Time, r events.Report) bool {
+	rec.reports = append(rec.reports, r)
+	return rec.wanted
 }
 
-func newTestHandler(t testing.TB, s *recorder) (http.Handler, membership.Table) {
+func newTestHandler(t testing.TB, rec *recorder) (http.Handler, membership.Table) {
 	t.Helper()
 	table := membership.New(membership.Config{Servers: 3})
 	h, err := NewHandler(HandlerConfig{
 		Table:         table,
-		LeaveNotifier: s,
-		CacheReports:  s,
+		LeaveNotifier: rec,
+		CacheReports:  rec,
 		KeyDigests:    func() [][32]byte { return [][32]byte{sha256.Sum256([]byte("old")), sha256.Sum256([]byte(validKey))} },
 		Now:           func() time.Time { return time.Unix(1000, 0) },
 	})
@@ -61,8 +61,8 @@
 "holdings":[{"model":"drafter","weight-version":"v1"}],"load":{"sequence":1,"prefill-rate":9000.5}}`
 
 func TestAnnouncements(t *testing.T) {
-	s := &recorder{}
-	h, table := newTestHandler(t, s)
+	rec := &recorder{}
+	h, table := newTestHandler(t, rec)
 	if w := post(h, "/fleet/announcements", validKey, validAnnouncement); w.Code != 200 || !strings.Contains(w.Body.String(), "accepted") {
 		t.Fatalf("got %d %s", w.Code, w.Body)
 	}
@@ -73,8 +73,8 @@
 	if w := post(h, "/fleet/announcements", validKey, leaving); w.Code != 200 {
 		t.Errorf("got %d %s", w.Code, w.Body)
 	}
-	if len(s.leaving) != 1 || s.leaving[0] != "engine-1" {
-		t.Errorf("leaving servers: %v, want engine-1", s.leaving)
+	if len(rec.leaving) != 1 || rec.leaving[0] != "engine-1" {
+		t.Errorf("leaving servers: %v, want engine-1", rec.leaving)
 	}
 	view := table.View()
 	server, ok := view.Server("engine-1")
@@ -153,15 +153,15 @@
 }
 
 func TestCacheEvents(t *testing.T) {
-	s := &recorder{wanted: true}
-	h, _ := newTestHandler(t, s)
+	rec := &recorder{wanted: true}
+	h, _ := newTestHandler(t, rec)
 	key := strings.Repeat("0a", 32)
 	body := `{"identity":"engine-1","incarnation":5,"first":1,"events":[{"kind":"inserted","key":"` + key + `"}]}`
 	if w := post(h, "/fleet/cache-events", validKey, body); w.Code != 200 || !strings.Contains(w.Body.String(), `"listing-wanted":true`) {
 		t.Fatalf("got %d %s", w.Code, w.Body)
 	}
-	if len(s.reports) != 1 || s.reports[0].Events[0].Key.String() != key {
-		t.Errorf("passed on: %v", s.reports)
+	if len(rec.reports) != 1 || rec.reports[0].Events[0].Key.String() != key {
+		t.Errorf("passed on: %v", rec.reports)
 	}
 	bad := map[string]string{
 		"no first":          strings.Replace(body, `"first":1,`, "", 1),
@@ -175,7 +175,7 @@
 			t.Errorf("%s: got %d %s", name, w.Code, w.Body)
 		}
 	}
-	if len(s.reports) != 1 {
-		t.Errorf("%d reports were passed on", len(s.reports))
+	if len(rec.reports) != 1 {
+		t.Errorf("%d reports were passed on", len(rec.reports))
 	}
 }
--- a/internal/entry/backend/order_issuer.go
+++ b/internal/entry/backend/order_issuer.go
@@ -29,7 +29,7 @@
 	outcomes chan orders.Outcome
 
 	// The fields below are used only by the goroutine that executes run.
-	term                 lease.HeldLease
+	held                 lease.HeldLease
 	plan                 orders.Plan
 	committedNoteVersion uint64
 	renewedAt            time.Time
@@ -95,14 +95,14 @@
 
 func (oi *orderIssuer) step(ctx context.Context, inFlight *sync.WaitGroup) {
 	now := oi.Now()
-	if oi.term.Fencing > 0 && !oi.term.Valid(now) {
-		oi.endTerm("the lease expired")
+	if oi.held.Fencing > 0 && !oi.held.Valid(now) {
+		oi.endLease("the lease expired")
 	}
-	if oi.term.Fencing == 0 && now.Sub(oi.acquireTriedAt) >= oi.leaseDuration()/acquireTriesPerLease {
+	if oi.held.Fencing == 0 && now.Sub(oi.acquireTriedAt) >= oi.leaseDuration()/acquireTriesPerLease {
 		oi.acquireTriedAt = now
 		oi.acquireLease(ctx)
 	}
-	if oi.term.Fencing == 0 {
+	if oi.held.Fencing == 0 {
 		return
 	}
 	oi.plan = oi.Controller.Plan(oi.Now(), orders.Input{Settings: oi.Settings(), Servers: oi.servers()})
@@ -134,12 +134,12 @@
 // The lease is checked again right before the request is written: a process
 // that was suspended since the plan was made must not act on an expired lease.
 func (oi *orderIssuer) send(inFlight *sync.WaitGroup, i orders.Instruction, do func(ctx context.Context, address string, o orders.Order) (orders.Answer, error)) {
-	term := oi.term
+	held := oi.held
 	inFlight.Go(func() {
 		o := orders.Outcome{Engine: i.Engine, ID: i.Order.ID, Result: orders.NotSent}
 		now := oi.Now()
-		if term.Valid(now) {
-			ctx, cancel := context.WithTimeout(context.Background(), min(orderTimeout, term.ValidUntil.Sub(now)))
+		if held.Valid(now) {
+			ctx, cancel := context.WithTimeout(context.Background(), min(orderTimeout, held.ValidUntil.Sub(now)))
 			a, err := do(ctx, i.Address, i.Order)
 			cancel()
 			o.Result, o.State = resultOf(err), a.State
@@ -177,7 +177,7 @@
 	}
 	oi.Controller.Answered(oi.Now(), o)
 	if o.Result == orders.Fenced {
-		oi.endTerm("an engine has seen a higher fencing number")
+		oi.endLease("an engine has seen a higher fencing number")
 	}
 }
 
--- a/internal/entry/backend/order_issuer_lease.go
+++ b/internal/entry/backend/order_issuer_lease.go
@@ -24,11 +24,11 @@
 //
 // Waiting processes only read. If each of them proposed, every process of the
 // fleet would write to the log continuously.
-func (w *leaseObservation) stale(now time.Time, l lease.Lease) bool {
-	if l.Fencing != w.fencing || l.Expires != w.expires {
-		*w = leaseObservation{fencing: l.Fencing, expires: l.Expires, since: now}
+func (o *leaseObservation) stale(now time.Time, l lease.Lease) bool {
+	if l.Fencing != o.fencing || l.Expires != o.expires {
+		*o = leaseObservation{fencing: l.Fencing, expires: l.Expires, since: now}
 	}
-	return l.Released || now.Sub(w.since) > l.Duration
+	return l.Released || now.Sub(o.since) > l.Duration
 }
 
 func (oi *orderIssuer) leaseDuration() time.Duration {
@@ -62,9 +62,9 @@
 		return
 	}
 	received := oi.Now()
-	oi.term = lease.NewHeldLease(r, sent, received, d)
+	oi.held = lease.NewHeldLease(r, sent, received, d)
 	oi.committedNoteVersion, oi.renewedAt = 0, sent
-	oi.Controller.Begin(received, oi.term, inherited)
+	oi.Controller.Begin(received, oi.held, inherited)
 	event.OrderLease.Write(oi.Logger, log.Fields{"held": true, "fencing": r.Fencing, "wait": r.Wait, "inherited": len(inherited)})
 }
 
@@ -78,7 +78,7 @@
 	r, ok := oi.propose(ctx, lease.Command{Renew: &lease.Renew{
 		Name:        orderLeaseName,
 		Holder:      oi.Holder,
-		Fencing:     oi.term.Fencing,
+		Fencing:     oi.held.Fencing,
 		Duration:    d,
 		Note:        note,
 		NoteVersion: oi.plan.NoteVersion,
@@ -87,17 +87,19 @@
 		return
 	}
 	if !r.Granted {
-		oi.endTerm("the control log refused: " + string(r.Reason))
+		oi.endLease("the control log refused: " + string(r.Reason))
 		return
 	}
-	oi.term = oi.term.Renewed(sent, d)
+	oi.held = oi.held.Renewed(sent, d)
 	oi.committedNoteVersion, oi.renewedAt = oi.plan.NoteVersion, sent
-	oi.Controller.Renewed(oi.term, oi.committedNoteVersion)
+	oi.Controller.Renewed(oi.held, oi.committedNoteVersion)
 }
 
-func (oi *orderIssuer) endTerm(cause string) {
-	event.OrderLease.Write(oi.Logger, log.Fields{"held": false, "fencing": oi.term.Fencing, "cause": cause})
-	oi.term = lease.HeldLease{}
+// endLease discards the lease and the plan of this process. In the control log the lease stays until
+// it is released or expires.
+func (oi *orderIssuer) endLease(cause string) {
+	event.OrderLease.Write(oi.Logger, log.Fields{"held": false, "fencing": oi.held.Fencing, "cause": cause})
+	oi.held = lease.HeldLease{}
 	oi.plan = orders.Plan{}
 	oi.Controller.End()
 }
@@ -105,13 +107,13 @@
 // releaseLease releases the lease. The committed note lists every order that may be in flight;
 // the next holder reads their states from the engines.
 func (oi *orderIssuer) releaseLease() {
-	if oi.term.Fencing == 0 {
+	if oi.held.Fencing == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
-	oi.propose(ctx, lease.Command{Release: &lease.Release{Name: orderLeaseName, Holder: oi.Holder, Fencing: oi.term.Fencing}})
-	oi.endTerm("released")
+	oi.propose(ctx, lease.Command{Release: &lease.Release{Name: orderLeaseName, Holder: oi.Holder, Fencing: oi.held.Fencing}})
+	oi.endLease("released")
 }
 
 func (oi *orderIssuer) propose(ctx context.Context, c lease.Command) (lease.Result, bool) {
--- a/internal/entry/caller/completion_body_test.go
+++ b/internal/entry/caller/completion_body_test.go
@@ -37,8 +37,8 @@
 		}
 		return
 	}
-	again, err := parseCompletion(p, body.forward)
-	if err != nil || !again.stream || !again.usage || again.model != body.model || string(again.prompt) != string(body.prompt) {
+	reparsed, err := parseCompletion(p, body.forward)
+	if err != nil || !reparsed.stream || !reparsed.usage || reparsed.model != body.model || string(reparsed.prompt) != string(body.prompt) {
 		t.Fatalf("%q was forwarded as %q: %v", b, body.forward, err)
 	}
 	if !json.Valid(body.forward) {
--- a/internal/entry/caller/fixture_test.go
+++ b/internal/entry/caller/fixture_test.go
@@ -139,18 +139,18 @@
 }
 
 func newFixture(t testing.TB, c Config) *fixture {
-	b := &fixture{
+	f := &fixture{
 		snapshots: &fixedSnapshots{snapshot: sampleSnapshot()},
 		completer: &fakeCompleter{events: chatEvents("Hello", " world")},
 		services:  &fakeServices{},
 	}
-	c.Snapshots, c.Completer, c.Services = b.snapshots, b.completer, b.services
-	b.handler = New(c)
-	b.server = httptest.NewUnstartedServer(b.handler)
-	b.server.Config = c.Server(b.handler)
-	b.server.Start()
-	t.Cleanup(b.server.Close)
-	return b
+	c.Snapshots, c.Completer, c.Services = f.snapshots, f.completer, f.services
+	f.handler = New(c)
+	f.server = httptest.NewUnstartedServer(f.handler)
+	f.server.Config = c.Server(f.handler)
+	f.server.Start()
+	t.Cleanup(f.server.Close)
+	return f
 }
 
 func chatEvents(texts ...string) []string {
@@ -173,9 +173,9 @@
 	body   string
 }
 
-func (b *fixture) do(t testing.TB, method, path, key, body string, headers ...string) answer {
+func (f *fixture) do(t testing.TB, method, path, key, body string, headers ...string) answer {
 	t.Helper()
-	r, err := http.NewRequest(method, b.server.URL+path, strings.NewReader(body))
+	r, err := http.NewRequest(method, f.server.URL+path, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -185,7 +185,7 @@
 	for i := 0; i+1 < len(headers); i += 2 {
 		r.Header.Set(headers[i], headers[i+1])
 	}
-	response, err := b.server.Client().Do(r)
+	response, err := f.server.Client().Do(r)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/entry/caller/handler_test.go
+++ b/internal/entry/caller/handler_test.go
@@ -13,8 +13,8 @@
 const chatBody = `{"model":"draft","messages":[{"role":"user","content":"Hi"}],"future":{"a":[1]}}`
 
 func TestWholeAnswerOfTheProtocol(t *testing.T) {
-	b := newFixture(t, Config{})
-	a := b.do(t, "POST", "/v1/chat/completions", "key-1", chatBody)
+	f := newFixture(t, Config{})
+	a := f.do(t, "POST", "/v1/chat/completions", "key-1", chatBody)
 	var got struct {
 		Object  string
 		Choices []struct {
@@ -35,19 +35,19 @@
 	if a.header.Get(HeaderRequest) == "" || a.header.Get(verdict.Header) != "ran" {
 		t.Errorf("headers %v", a.header)
 	}
-	request := b.completer.requests()[0]
+	request := f.completer.requests()[0]
 	if request.Workspace != "certilote" || !strings.Contains(string(request.Body), `"future":{"a":[1]}`) || !strings.Contains(string(request.Body), `"stream":true`) {
 		t.Errorf("request %s for %s", request.Body, request.Workspace)
 	}
 }
 
 func TestStreamOfTheProtocol(t *testing.T) {
-	b := newFixture(t, Config{})
-	plain := b.do(t, "POST", "/v1/chat/completions", "key-1", `{"model":"draft","stream":true,"messages":[{"role":"user","content":[{"type":"text","text":"Hi"}]}]}`)
+	f := newFixture(t, Config{})
+	plain := f.do(t, "POST", "/v1/chat/completions", "key-1", `{"model":"draft","stream":true,"messages":[{"role":"user","content":[{"type":"text","text":"Hi"}]}]}`)
 	if plain.status != 200 || !strings.HasSuffix(plain.body, "data: [DONE]\n\n") || strings.Contains(plain.body, "usage") || strings.Count(plain.body, "data: ") != 3 {
 		t.Errorf("got %+v", plain)
 	}
-	usage := b.do(t, "POST", "/v1/chat/completions", "key-1", `{"model":"draft","stream":true,"stream_options":{"include_usage":true},"messages":[{"role":"user","content":"Hi"}]}`)
+	usage := f.do(t, "POST", "/v1/chat/completions", "key-1", `{"model":"draft","stream":true,"stream_options":{"include_usage":true},"messages":[{"role":"user","content":"Hi"}]}`)
 	if !strings.Contains(usage.body, `"total_tokens":9`) {
 		t.Errorf("got %+v", usage)
 	}
@@ -57,13 +57,13 @@
 // error event and no [DONE]; otherwise a client that reads to the end would take
 // a truncated answer for a complete one.
 func TestBrokenStreamEndsWithAnErrorEvent(t *testing.T) {
-	b := newFixture(t, Config{})
-	b.completer.last = verdict.New(verdict.MayHaveRun, 502, "stream-lost", "lost")
-	a := b.do(t, "POST", "/v1/chat/completions", "key-1", `{"model":"draft","stream":true,"messages":[{"role":"user","content":"Hi"}]}`)
+	f := newFixture(t, Config{})
+	f.completer.last = verdict.New(verdict.MayHaveRun, 502, "stream-lost", "lost")
+	a := f.do(t, "POST", "/v1/chat/completions", "key-1", `{"model":"draft","stream":true,"messages":[{"role":"user","content":"Hi"}]}`)
 	if strings.Contains(a.body, "[DONE]") || !strings.Contains(a.body, `"code":"stream-lost"`) || !strings.Contains(a.body, `"verdict":"may-have-run"`) {
 		t.Errorf("got %+v", a)
 	}
-	whole := b.do(t, "POST", "/v1/chat/completions", "key-1", chatBody)
+	whole := f.do(t, "POST", "/v1/chat/completions", "key-1", chatBody)
 	if whole.status != 502 || whole.header.Get(verdict.Header) != "may-have-run" {
 		t.Errorf("got %+v", whole)
 	}
@@ -103,9 +103,9 @@
 		{"unknown path", "GET", "/v2/x", "", "", nil, 404, "unknown-path"},
 		{"wrong method", "GET", chat, "key-1", "", nil, 405, "method-not-allowed"},
 	}
-	b := newFixture(t, Config{})
+	f := newFixture(t, Config{})
 	for _, c := range cases {
-		a := b.do(t, c.method, c.path, c.key, c.body, c.headers...)
+		a := f.do(t, c.method, c.path, c.key, c.body, c.headers...)
 		var e errorBody
 		if err := json.Unmarshal([]byte(a.body), &e); err != nil {
 			t.Errorf("%s: %v in %q", c.name, err, a.body)
@@ -118,29 +118,29 @@
 			t.Errorf("%s: the answer contains names of another workspace: %s", c.name, a.body)
 		}
 	}
-	if len(b.completer.requests()) != 0 || b.services.count() != 0 {
+	if len(f.completer.requests()) != 0 || f.services.count() != 0 {
 		t.Error("something ran")
 	}
 }
 
 func TestServiceCallGoesThrough(t *testing.T) {
-	b := newFixture(t, Config{})
-	a := b.do(t, "POST", "/services/stamps/lots/7%2F8?plant=a", "key-1", "body", HeaderKey, "k")
+	f := newFixture(t, Config{})
+	a := f.do(t, "POST", "/services/stamps/lots/7%2F8?plant=a", "key-1", "body", HeaderKey, "k")
 	if a.status != 200 || a.body != "certilote/lots/7%2F8?plant=a" {
 		t.Fatalf("got %+v", a)
 	}
-	r := b.services.received[0]
+	r := f.services.received[0]
 	if r.Key != "k" || string(r.Body) != "body" || !r.Rules.NonIdempotent || r.ID != a.header.Get(HeaderRequest) {
 		t.Errorf("got %+v", r)
 	}
 }
 
 func TestModelsAreThoseOfTheWorkspace(t *testing.T) {
-	b := newFixture(t, Config{})
-	if a := b.do(t, "GET", "/v1/models", "key-1", ""); !strings.Contains(a.body, `"draft"`) || strings.Contains(a.body, "secret") {
+	f := newFixture(t, Config{})
+	if a := f.do(t, "GET", "/v1/models", "key-1", ""); !strings.Contains(a.body, `"draft"`) || strings.Contains(a.body, "secret") {
 		t.Errorf("got %s", a.body)
 	}
-	if a := b.do(t, "GET", "/v1/models/secret", "key-1", ""); a.status != 404 {
+	if a := f.do(t, "GET", "/v1/models/secret", "key-1", ""); a.status != 404 {
 		t.Errorf("got %+v", a)
 	}
 }
@@ -149,13 +149,13 @@
 // call with an Idempotency-Key the verdict is may-have-run, because an earlier
 // send through another entry may have run.
 func TestTemporaryRefusalsCarryRetryAfter(t *testing.T) {
-	b := newFixture(t, Config{})
-	b.snapshots.err = verdict.New(verdict.NotRun, 503, "settings-lease", "out").WithRetryAfter(1500 * time.Millisecond)
-	a := b.do(t, "POST", "/v1/chat/completions", "key-1", chatBody)
+	f := newFixture(t, Config{})
+	f.snapshots.err = verdict.New(verdict.NotRun, 503, "settings-lease", "out").WithRetryAfter(1500 * time.Millisecond)
+	a := f.do(t, "POST", "/v1/chat/completions", "key-1", chatBody)
 	if a.status != 503 || a.header.Get("Retry-After") != "2" || a.header.Get(verdict.Header) != "not-run" {
 		t.Errorf("got %+v", a)
 	}
-	keyed := b.do(t, "POST", "/services/stamps/issue", "key-1", "", HeaderKey, "k")
+	keyed := f.do(t, "POST", "/services/stamps/issue", "key-1", "", HeaderKey, "k")
 	if keyed.status != 503 || keyed.header.Get(verdict.Header) != "may-have-run" {
 		t.Errorf("got %+v", keyed)
 	}
@@ -165,24 +165,24 @@
 // refused immediately. The running requests and other workspaces are not
 // affected.
 func TestInFlightLimit(t *testing.T) {
-	b := newFixture(t, Config{})
-	b.completer.gate = make(chan struct{})
+	f := newFixture(t, Config{})
+	f.completer.gate = make(chan struct{})
 	answers := make(chan answer, 3)
 	for range 2 {
-		go func() { answers <- b.do(t, "POST", "/v1/chat/completions", "key-1", chatBody) }()
+		go func() { answers <- f.do(t, "POST", "/v1/chat/completions", "key-1", chatBody) }()
 	}
-	await(t, func() bool { return len(b.completer.requests()) == 2 })
-	third := b.do(t, "POST", "/v1/chat/completions", "key-1", chatBody)
+	await(t, func() bool { return len(f.completer.requests()) == 2 })
+	third := f.do(t, "POST", "/v1/chat/completions", "key-1", chatBody)
 	if third.status != http.StatusTooManyRequests || third.header.Get("Retry-After") != "1" || third.header.Get(verdict.Header) != "not-run" {
 		t.Errorf("got %+v", third)
 	}
-	close(b.completer.gate)
+	close(f.completer.gate)
 	for range 2 {
 		if a := <-answers; a.status != 200 {
 			t.Errorf("got %+v", a)
 		}
 	}
-	await(t, func() bool { return b.handler.InFlightOf("certilote") == 0 })
+	await(t, func() bool { return f.handler.InFlightOf("certilote") == 0 })
 }
 
 // await waits until the condition holds.
--- a/internal/entry/caller/isolation_test.go
+++ b/internal/entry/caller/isolation_test.go
@@ -115,14 +115,14 @@
 	h := New(Config{Snapshots: &fixedSnapshots{snapshot: snapshot}, Completer: completer, Services: calls, Logger: logger})
 	server := httptest.NewServer(h)
 	defer server.Close()
-	b := &fixture{server: server}
+	f := &fixture{server: server}
 	for range 12 {
 		me, other := one, two
 		if r.IntN(2) == 0 {
 			me, other = two, one
 		}
 		before := len(entries.Entries)
-		a, want := sendRandom(t, b, r, me, other)
+		a, want := sendRandom(t, f, r, me, other)
 		await(t, func() bool { return h.InFlight() == 0 && calls.OpenCalls() == 0 })
 		text := fmt.Sprint(a.header, a.body, entriesSince(entries, before))
 		if want != "" && a.body != want {
@@ -141,20 +141,20 @@
 }
 
 // sendRandom sends one random request of me and returns the answer and the expected body, empty for any.
-func sendRandom(t *testing.T, b *fixture, r *rand.Rand, me, other tenant) (answer, string) {
+func sendRandom(t *testing.T, f *fixture, r *rand.Rand, me, other tenant) (answer, string) {
 	switch r.IntN(5) {
 	case 0:
 		body := fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":"Hi"}]}`, me.model)
-		return b.do(t, "POST", "/v1/chat/completions", me.key, body), ""
+		return f.do(t, "POST", "/v1/chat/completions", me.key, body), ""
 	case 1:
 		body := fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":"Hi"}]}`, other.model)
-		return b.do(t, "POST", "/v1/chat/completions", me.key, body), ""
+		return f.do(t, "POST", "/v1/chat/completions", me.key, body), ""
 	case 2:
-		return b.do(t, "POST", "/services/"+other.service+"/issue", me.key, "lot 1", HeaderKey, "other-k"), ""
+		return f.do(t, "POST", "/services/"+other.service+"/issue", me.key, "lot 1", HeaderKey, "other-k"), ""
 	default:
 		key := fmt.Sprint("k", r.IntN(3))
 		body := "lot " + key
-		return b.do(t, "POST", "/services/"+me.service+"/issue", me.key, body, HeaderKey, key), me.name + "|" + body
+		return f.do(t, "POST", "/services/"+me.service+"/issue", me.key, body, HeaderKey, key), me.name + "|" + body
 	}
 }
 
--- a/internal/entry/caller/slow_test.go
+++ b/internal/entry/caller/slow_test.go
@@ -16,9 +16,9 @@
 	"hornbeamwood/internal/base/verdict"
 )
 
-func dial(t *testing.T, b *fixture) net.Conn {
+func dial(t *testing.T, f *fixture) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", strings.TrimPrefix(b.server.URL, "http://"))
+	c, err := net.Dial("tcp", strings.TrimPrefix(f.server.URL, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,8 +30,8 @@
 // BodyTimeout; otherwise a few thousand such callers could occupy an entry's
 // memory and connections.
 func TestSlowBodyIsRefused(t *testing.T) {
-	b := newFixture(t, Config{BodyTimeout: 50 * time.Millisecond})
-	c := dial(t, b)
+	f := newFixture(t, Config{BodyTimeout: 50 * time.Millisecond})
+	c := dial(t, f)
 	fmt.Fprint(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-1\r\nContent-Length: 100\r\n\r\n{\"model\"")
 	response, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -44,13 +44,13 @@
 
 // A caller sends only one header line; its connection is closed after HeaderTimeout.
 func TestSlowHeaderEndsTheConnection(t *testing.T) {
-	b := newFixture(t, Config{HeaderTimeout: 50 * time.Millisecond})
-	c := dial(t, b)
+	f := newFixture(t, Config{HeaderTimeout: 50 * time.Millisecond})
+	c := dial(t, f)
 	fmt.Fprint(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n")
 	if _, err := io.ReadAll(c); err != nil {
 		t.Errorf("the connection ended with %v", err)
 	}
-	if b.handler.InFlight() != 0 {
+	if f.handler.InFlight() != 0 {
 		t.Error("a request was counted")
 	}
 }
@@ -58,8 +58,8 @@
 // A body is truncated, or is longer than the workspace's limit without a
 // Content-Length.
 func TestBrokenAndEndlessBodies(t *testing.T) {
-	b := newFixture(t, Config{})
-	c := dial(t, b)
+	f := newFixture(t, Config{})
+	c := dial(t, f)
 	fmt.Fprint(c, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-1\r\nTransfer-Encoding: chunked\r\n\r\n")
 	for range 10 {
 		fmt.Fprintf(c, "400\r\n%s\r\n", strings.Repeat("x", 0x400))
@@ -68,7 +68,7 @@
 	if err != nil || response.StatusCode != http.StatusRequestEntityTooLarge {
 		t.Errorf("got %v, %v", response, err)
 	}
-	half := dial(t, b)
+	half := dial(t, f)
 	fmt.Fprint(half, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-1\r\nContent-Length: 100\r\n\r\n{")
 	if err := half.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
@@ -77,7 +77,7 @@
 	if err != nil || response.StatusCode != http.StatusBadRequest {
 		t.Errorf("got %v, %v", response, err)
 	}
-	if len(b.completer.requests()) != 0 {
+	if len(f.completer.requests()) != 0 {
 		t.Error("something ran")
 	}
 }
@@ -86,28 +86,28 @@
 // the verdict not-run, the running one completes, and only then does the drain
 // end.
 func TestDrainWaitsForRunningRequests(t *testing.T) {
-	b := newFixture(t, Config{})
-	b.completer.gate = make(chan struct{})
+	f := newFixture(t, Config{})
+	f.completer.gate = make(chan struct{})
 	running := make(chan answer, 1)
-	go func() { running <- b.do(t, "POST", "/v1/chat/completions", "key-1", chatBody) }()
-	await(t, func() bool { return len(b.completer.requests()) == 1 })
+	go func() { running <- f.do(t, "POST", "/v1/chat/completions", "key-1", chatBody) }()
+	await(t, func() bool { return len(f.completer.requests()) == 1 })
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := b.handler.Drain(ended); !errors.Is(err, context.Canceled) {
+	if err := f.handler.Drain(ended); !errors.Is(err, context.Canceled) {
 		t.Fatalf("the drain ended with %v while a request ran", err)
 	}
-	refused := b.do(t, "POST", "/v1/chat/completions", "key-1", chatBody)
+	refused := f.do(t, "POST", "/v1/chat/completions", "key-1", chatBody)
 	if refused.status != http.StatusServiceUnavailable || refused.header.Get(verdict.Header) != "not-run" || refused.header.Get("Retry-After") == "" {
 		t.Errorf("got %+v", refused)
 	}
 	drained := make(chan error, 1)
-	go func() { drained <- b.handler.Drain(context.Background()) }()
-	close(b.completer.gate)
+	go func() { drained <- f.handler.Drain(context.Background()) }()
+	close(f.completer.gate)
 	if a := <-running; a.status != 200 || !strings.Contains(a.body, "Hello world") {
 		t.Errorf("the running request got %+v", a)
 	}
-	if err := <-drained; err != nil || b.handler.InFlight() != 0 {
-		t.Errorf("%v with %d in flight", err, b.handler.InFlight())
+	if err := <-drained; err != nil || f.handler.InFlight() != 0 {
+		t.Errorf("%v with %d in flight", err, f.handler.InFlight())
 	}
 }
 
@@ -127,12 +127,12 @@
 // A caller reuses its connection for another request five minutes later. The
 // write deadline of the first answer must not apply to the second one.
 func TestConnectionKeepsNoDeadline(t *testing.T) {
-	b := newFixture(t, Config{})
+	f := newFixture(t, Config{})
 	for _, key := range []string{"key-1", "nope"} {
 		w := &deadlines{discard: discard{header: http.Header{}}}
 		r := httptest.NewRequest("POST", "/v1/chat/completions", strings.NewReader(chatBody))
 		r.Header.Set("Authorization", "Bearer "+key)
-		b.handler.ServeHTTP(w, r)
+		f.handler.ServeHTTP(w, r)
 		if w.set < 2 || !w.last.IsZero() || w.bytes == 0 {
 			t.Errorf("%s: deadline %v after %d changes", key, w.last, w.set)
 		}
@@ -142,15 +142,15 @@
 // A caller disconnects in the middle of its answer. Its stream is closed, which
 // cancels the run at the engine, and the request no longer counts as running.
 func TestCallerThatDisconnectsEndsItsRun(t *testing.T) {
-	b := newFixture(t, Config{})
-	b.completer.gate = make(chan struct{})
-	c := dial(t, b)
+	f := newFixture(t, Config{})
+	f.completer.gate = make(chan struct{})
+	c := dial(t, f)
 	fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-1\r\nContent-Length: %d\r\n\r\n%s", len(chatBody), chatBody)
-	await(t, func() bool { return len(b.completer.requests()) == 1 })
+	await(t, func() bool { return len(f.completer.requests()) == 1 })
 	c.Close()
 	await(t, func() bool {
-		b.completer.mu.Lock()
-		defer b.completer.mu.Unlock()
-		return b.completer.closed == 1 && b.handler.InFlightOf("certilote") == 0
+		f.completer.mu.Lock()
+		defer f.completer.mu.Unlock()
+		return f.completer.closed == 1 && f.handler.InFlightOf("certilote") == 0
 	})
 }
--- a/internal/entry/calls/actions.go
+++ b/internal/entry/calls/actions.go
@@ -37,7 +37,7 @@
 	log Log
 }
 
-// Actions returns the operator actions GET /ledger/unknown and POST /ledger/resolve.
+// Actions returns the operator requests GET /ledger/unknown and POST /ledger/resolve.
 func Actions(l Log) []operator.Action {
 	a := &actions{log: l}
 	return []operator.Action{
--- a/internal/entry/completion/attempt.go
+++ b/internal/entry/completion/attempt.go
@@ -45,29 +45,29 @@
 //
 // It returns a nil attempt when nothing was dispatched.
 func (r *router) start(ctx context.Context, j *job) (*attempt, error) {
-	c := r.evaluate(j)
-	queueTime, wait := r.queues.estimate(j, &c)
-	if err := r.admit(j, &c, queueTime); err != nil {
+	ev := r.evaluate(j)
+	queueTime, wait := r.queues.estimate(j, &ev)
+	if err := r.admit(j, &ev, queueTime); err != nil {
 		return nil, err
 	}
 	if wait {
-		sent, err := r.queues.wait(ctx, j, &c, queueTime)
+		sent, err := r.queues.wait(ctx, j, &ev, queueTime)
 		if err != nil {
 			return nil, err
 		}
 		defer sent()
-		c = r.evaluate(j)
-		if err := r.admit(j, &c, 0); err != nil {
+		ev = r.evaluate(j)
+		if err := r.admit(j, &ev, 0); err != nil {
 			return nil, err
 		}
 	}
 	a := &attempt{
 		id:       r.NewAttempt(),
-		server:   c.view.servers[c.decision.Server],
-		decision: c.decision,
-		request:  c.request,
-		view:     c.view,
-		expected: c.decision.TTFT,
+		server:   ev.view.servers[ev.decision.Server],
+		decision: ev.decision,
+		request:  ev.request,
+		view:     ev.view,
+		expected: ev.decision.TTFT,
 	}
 	j.attempts++
 	r.logRouted(j, a)
@@ -154,8 +154,8 @@
 	if len(a.view.servers) < 2 {
 		return max(j.remaining(r.Now()), minFirstTokenTimeout)
 	}
-	p := max(firstTokenFactor*a.decision.TTFT, minFirstTokenTimeout)
-	return min(p, max(j.remaining(r.Now()), minFirstTokenTimeout))
+	timeout := max(firstTokenFactor*a.decision.TTFT, minFirstTokenTimeout)
+	return min(timeout, max(j.remaining(r.Now()), minFirstTokenTimeout))
 }
 
 // loadOf returns the load that the attempt adds to its server until its first token.
--- a/internal/entry/completion/config.go
+++ b/internal/entry/completion/config.go
@@ -37,7 +37,7 @@
 	Run(ctx context.Context, address string, r engine.Request) (engine.Stream, error)
 }
 
-// Exports requests engines to write pieces to stores.
+// Exports asks engines to write pieces to stores.
 type Exports interface {
 	// Export returns the result for each piece, in order.
 	Export(ctx context.Context, address string, e Export) ([]ExportResult, error)
@@ -61,7 +61,7 @@
 	Servers Servers
 	Work    membership.Work
 	Cache   Cache
-	// Engines and Exports talk to engines.
+	// Engines runs attempts at engines, and Exports has engines write pieces to stores.
 	Engines Engines
 	Exports Exports
 	// Heads queries stores for pieces that could not be imported.
--- a/internal/entry/completion/fixture_test.go
+++ b/internal/entry/completion/fixture_test.go
@@ -183,7 +183,7 @@
 
 func newFixture(t *testing.T, engines int, queued int64) *fixture {
 	t.Helper()
-	b := &fixture{
+	f := &fixture{
 		engines: &fakeEngines{scripts: make(map[string]script)},
 		cache:   &fakeCache{found: make(map[block.Key]directory.Location), refused: make(map[block.Key]bool)},
 		guard:   &fakeGuard{},
@@ -192,31 +192,31 @@
 	}
 	now := time.Now()
 	for i := range engines {
-		b.announce(t, now, fmt.Sprintf("engine-%d", i+1), announcement.Engine, queued)
+		f.announce(t, now, fmt.Sprintf("engine-%d", i+1), announcement.Engine, queued)
 	}
-	b.announce(t, now, "store-1", announcement.Store, 0)
-	g, err := membership.NewGossip(membership.GossipConfig{Self: "entry-1", Start: now, Table: b.table, Random: rand.New(rand.NewPCG(1, 1))})
+	f.announce(t, now, "store-1", announcement.Store, 0)
+	g, err := membership.NewGossip(membership.GossipConfig{Self: "entry-1", Start: now, Table: f.table, Random: rand.New(rand.NewPCG(1, 1))})
 	if err != nil {
 		t.Fatal(err)
 	}
 	attempts := 0
-	b.router = New(Config{
-		Servers: b.table, Work: g.Work(), Cache: b.cache, Engines: b.engines, Exports: fakeExports{}, Heads: b.heads,
+	f.router = New(Config{
+		Servers: f.table, Work: g.Work(), Cache: f.cache, Engines: f.engines, Exports: fakeExports{}, Heads: f.heads,
 		Strategy: route.New(route.Config{}), Admission: admission.New(admission.Config{}),
-		Retry: retry.New(retry.Config{}), ReuseEstimator: placement.NewReuseEstimator(0.5), Guard: b.guard, Entries: 1,
+		Retry: retry.New(retry.Config{}), ReuseEstimator: placement.NewReuseEstimator(0.5), Guard: f.guard, Entries: 1,
 		Now:        func() time.Time { return now },
 		NewAttempt: func() string { attempts++; return fmt.Sprintf("attempt-%d", attempts) },
 		Random:     rand.New(rand.NewPCG(1, 2)),
 	})
-	t.Cleanup(b.router.Close)
-	return b
+	t.Cleanup(f.router.Close)
+	return f
 }
 
 func address(identity string) string {
 	return "10.0.0." + identity[len(identity)-1:] + ":80"
 }
 
-func (b *fixture) announce(t *testing.T, now time.Time, identity string, k announcement.Kind, queued int64) {
+func (f *fixture) announce(t *testing.T, now time.Time, identity string, k announcement.Kind, queued int64) {
 	t.Helper()
 	a := announcement.Announcement{
 		Identity: identity, Incarnation: 1, Sequence: 1, Zone: "tunja", Address: address(identity), Kind: k, State: announcement.Ready,
@@ -228,7 +228,7 @@
 		a.Holdings = []announcement.Holding{{Model: "draft", WeightVersion: "v1"}}
 		a.Load.LinkRate = 0
 	}
-	if m := b.table.Announce(now, a); m.Outcome != membership.Accepted {
+	if m := f.table.Announce(now, a); m.Outcome != membership.Accepted {
 		t.Fatalf("%s: %+v", identity, m)
 	}
 }
--- a/internal/entry/completion/imports.go
+++ b/internal/entry/completion/imports.go
@@ -18,8 +18,8 @@
 	r.running.Go(func() { r.Cache.Unpin(ctx, pins) })
 }
 
-// pinImports pins the pieces that the plan pinImports and returns those to import.
-// From the first piece that can't be pinned, the engine computes the prompt.
+// pinImports pins the pieces that the plan imports and returns those that the engine is to import.
+// It leaves out the first piece that can't be pinned and all after it; the engine computes these.
 func (r *router) pinImports(ctx context.Context, j *job, a *attempt) []importPiece {
 	wanted := r.plannedImports(j, a)
 	if len(wanted) == 0 {
--- a/internal/entry/completion/job.go
+++ b/internal/entry/completion/job.go
@@ -35,25 +35,25 @@
 }
 
 // remaining returns the time until the caller's deadline.
-func (q *job) remaining(now time.Time) time.Duration {
-	return q.Rules.Deadline - now.Sub(q.Received)
+func (j *job) remaining(now time.Time) time.Duration {
+	return j.Rules.Deadline - now.Sub(j.Received)
 }
 
-// documentKey returns a number that identifies the prompt's documentKey, and false for a prompt without a complete piece.
+// documentKey returns a number that identifies the prompt's document, and false for a prompt without a complete piece.
 //
 // The prompts of a workspace often share their first piece, which holds its
-// instructions. Identified by that piece, each new documentKey would count as a
+// instructions. Identified by that piece, each new document would count as a
 // reuse; the number therefore comes from the second piece if there is one.
-func (q *job) documentKey() (uint64, bool) {
-	if len(q.keys) == 0 {
+func (j *job) documentKey() (uint64, bool) {
+	if len(j.keys) == 0 {
 		return 0, false
 	}
-	return keyPrefix(q.keys[min(1, len(q.keys)-1)]), true
+	return keyPrefix(j.keys[min(1, len(j.keys)-1)]), true
 }
 
 // exclude keeps later attempts away from the server of a failed one.
-func (q *job) exclude(a *attempt) {
-	q.excluded[a.server.Announcement().Identity] = true
+func (j *job) exclude(a *attempt) {
+	j.excluded[a.server.Announcement().Identity] = true
 }
 
 func keyPrefix(k block.Key) uint64 {
--- a/internal/entry/completion/router_test.go
+++ b/internal/entry/completion/router_test.go
@@ -25,20 +25,20 @@
 // once more.
 func TestLostServerBeforeTheFirstToken(t *testing.T) {
 	for name, first := range map[string]script{"no connection": {refuse: errRefused}, "cut before the first event": {end: errLost}} {
-		b := newFixture(t, 2, 0)
+		f := newFixture(t, 2, 0)
 		for _, e := range []string{"engine-1", "engine-2"} {
-			b.engines.scripts[address(e)] = script{events: []string{"whole"}}
+			f.engines.scripts[address(e)] = script{events: []string{"whole"}}
 		}
-		s, err := b.router.Complete(context.Background(), newRequest("which server is first?", 7))
+		s, err := f.router.Complete(context.Background(), newRequest("which server is first?", 7))
 		if err != nil {
 			t.Fatal(err)
 		}
 		_, _ = drain(s)
-		lost := b.engines.ran()[0]
-		b.engines.scripts[lost] = first
+		lost := f.engines.ran()[0]
+		f.engines.scripts[lost] = first
 
 		for range 3 {
-			s, err := b.router.Complete(context.Background(), newRequest("short question", 7))
+			s, err := f.router.Complete(context.Background(), newRequest("short question", 7))
 			if err != nil {
 				t.Fatalf("%s: %v", name, err)
 			}
@@ -47,7 +47,7 @@
 			}
 		}
 		tries := 0
-		for _, a := range b.engines.ran()[1:] {
+		for _, a := range f.engines.ran()[1:] {
 			if a == lost {
 				tries++
 			}
@@ -62,42 +62,42 @@
 // another run would not continue it, so the caller must get an error and no more
 // text.
 func TestLostServerAfterTheFirstToken(t *testing.T) {
-	b := newFixture(t, 2, 0)
+	f := newFixture(t, 2, 0)
 	for _, e := range []string{"engine-1", "engine-2"} {
-		b.engines.scripts[address(e)] = script{events: []string{"half"}, end: errLost}
+		f.engines.scripts[address(e)] = script{events: []string{"half"}, end: errLost}
 	}
-	s, err := b.router.Complete(context.Background(), newRequest("a question", 7))
+	s, err := f.router.Complete(context.Background(), newRequest("a question", 7))
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, err := drain(s)
-	if got != "half" || verdict.Of(err) != verdict.MayHaveRun || len(b.engines.ran()) != 1 {
-		t.Errorf("got %q, %v after %d runs", got, err, len(b.engines.ran()))
+	if got != "half" || verdict.Of(err) != verdict.MayHaveRun || len(f.engines.ran()) != 1 {
+		t.Errorf("got %q, %v after %d runs", got, err, len(f.engines.ran()))
 	}
-	if len(b.guard.lost) != 1 {
-		t.Errorf("the guard got the losses %v", b.guard.lost)
+	if len(f.guard.lost) != 1 {
+		t.Errorf("the guard got the losses %v", f.guard.lost)
 	}
 }
 
 // An engine answers a prompt with an error, as engines do for many reasons. It
 // is still alive, and the prompt must not count as one that crashes servers.
 func TestEngineErrorIsNoLoss(t *testing.T) {
-	b := newFixture(t, 1, 0)
-	b.engines.scripts[address("engine-1")] = script{end: errEngine}
-	s, err := b.router.Complete(context.Background(), newRequest("a question", 7))
+	f := newFixture(t, 1, 0)
+	f.engines.scripts[address("engine-1")] = script{end: errEngine}
+	s, err := f.router.Complete(context.Background(), newRequest("a question", 7))
 	if err == nil {
 		_, err = drain(s)
 	}
-	if err == nil || len(b.guard.lost) != 0 {
-		t.Errorf("got %v, the guard got the losses %v", err, b.guard.lost)
+	if err == nil || len(f.guard.lost) != 0 {
+		t.Errorf("got %v, the guard got the losses %v", err, f.guard.lost)
 	}
 }
 
 // A refusal after an attempt that may have run must not carry the verdict not-run.
 func TestRefusalAfterALostAttemptKeepsItsVerdict(t *testing.T) {
-	b := newFixture(t, 1, 0)
-	b.engines.scripts[address("engine-1")] = script{end: errLost}
-	s, err := b.router.Complete(context.Background(), newRequest("a question", 7))
+	f := newFixture(t, 1, 0)
+	f.engines.scripts[address("engine-1")] = script{end: errLost}
+	s, err := f.router.Complete(context.Background(), newRequest("a question", 7))
 	if err == nil {
 		_, err = drain(s)
 	}
@@ -121,11 +121,11 @@
 }
 
 func TestPromptBeyondTheContextIsRefused(t *testing.T) {
-	b := newFixture(t, 1, 0)
+	f := newFixture(t, 1, 0)
 	q := newRequest(strings.Repeat("word", 40), 7)
 	q.Model.ContextTokens = 39
-	_, err := b.router.Complete(context.Background(), q)
-	if e, ok := verdict.As(err); !ok || e.Code != "context-length-exceeded" || e.Verdict != verdict.NotRun || len(b.engines.ran()) != 0 {
+	_, err := f.router.Complete(context.Background(), q)
+	if e, ok := verdict.As(err); !ok || e.Code != "context-length-exceeded" || e.Verdict != verdict.NotRun || len(f.engines.ran()) != 0 {
 		t.Errorf("got %v", err)
 	}
 }
@@ -133,14 +133,14 @@
 // A caller lists pieces to import in its own body. They could belong to another
 // workspace; only imports that the entry itself plans may reach the engine.
 func TestCallersTransferFieldIsReplaced(t *testing.T) {
-	b := newFixture(t, 1, 0)
-	b.engines.scripts[address("engine-1")] = script{events: []string{"x"}}
-	s, err := b.router.Complete(context.Background(), newRequest("a question", 7))
+	f := newFixture(t, 1, 0)
+	f.engines.scripts[address("engine-1")] = script{events: []string{"x"}}
+	s, err := f.router.Complete(context.Background(), newRequest("a question", 7))
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, _ = drain(s)
-	if body := b.engines.bodies[0]; strings.Contains(body, "another workspace") || !strings.Contains(body, `"weight-version":"v1"`) {
+	if body := f.engines.bodies[0]; strings.Contains(body, "another workspace") || !strings.Contains(body, `"weight-version":"v1"`) {
 		t.Errorf("the engine got %s", body)
 	}
 }
@@ -148,50 +148,50 @@
 // A piece is being freed at its store while a request that imports it is routed.
 // That piece and all after it must be computed, and no pin may be left over.
 func TestPieceThatCanNotBePinnedIsComputed(t *testing.T) {
-	b := newFixture(t, 1, 0)
-	b.engines.scripts[address("engine-1")] = script{events: []string{"x"}}
+	f := newFixture(t, 1, 0)
+	f.engines.scripts[address("engine-1")] = script{events: []string{"x"}}
 	q := newRequest(strings.Repeat("logbook of the station, page ", 20), 7)
 	keys := block.Scope{Workspace: "gate", Model: "draft", WeightVersion: "v1", PieceTokens: pieceTokens}.Tokens(q.Tokens)
 	for _, k := range keys {
-		b.cache.found[k] = directory.Location{Stores: []directory.Stored{{Store: "store-1", Generation: 5, Bytes: 10}}}
+		f.cache.found[k] = directory.Location{Stores: []directory.Stored{{Store: "store-1", Generation: 5, Bytes: 10}}}
 	}
-	b.cache.refused[keys[2]] = true
-	s, err := b.router.Complete(context.Background(), q)
+	f.cache.refused[keys[2]] = true
+	s, err := f.router.Complete(context.Background(), q)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, _ = drain(s)
-	body := b.engines.bodies[0]
+	body := f.engines.bodies[0]
 	_, imports, _ := strings.Cut(body, `"imports":`)
 	if n := strings.Count(imports, `"generation":5`); n != 2 {
 		t.Errorf("%d pieces are imported, want the two before the refused one: %s", n, imports)
 	}
-	b.router.Close()
-	if b.cache.pinned != 0 {
-		t.Errorf("%d pins were not released", b.cache.pinned)
+	f.router.Close()
+	if f.cache.pinned != 0 {
+		t.Errorf("%d pins were not released", f.cache.pinned)
 	}
 }
 
 // A store has dropped a piece on its own, and the engine reports that the import
 // failed. The directory must remove that piece. A piece whose import failed
 // because of a connection error still exists and must stay in the directory.
-func TestMissedImportIsForgotten(t *testing.T) {
-	b := newFixture(t, 1, 0)
+func TestFailedImportIsRemoved(t *testing.T) {
+	f := newFixture(t, 1, 0)
 	q := newRequest(strings.Repeat("logbook of the station, page ", 20), 7)
 	keys := block.Scope{Workspace: "gate", Model: "draft", WeightVersion: "v1", PieceTokens: pieceTokens}.Tokens(q.Tokens)
 	for _, k := range keys {
-		b.cache.found[k] = directory.Location{Stores: []directory.Stored{{Store: "store-1", Generation: 5, Bytes: 10}}}
+		f.cache.found[k] = directory.Location{Stores: []directory.Stored{{Store: "store-1", Generation: 5, Bytes: 10}}}
 	}
-	b.engines.scripts[address("engine-1")] = script{events: []string{`{"choices":[],"kv_transfer_params":{"failed":["` + keys[1].String() + `","` + keys[2].String() + `"]}}`}}
-	b.heads[keys[2]] = store.Piece{Key: keys[2], Generation: 5, Bytes: 10}
-	s, err := b.router.Complete(context.Background(), q)
+	f.engines.scripts[address("engine-1")] = script{events: []string{`{"choices":[],"kv_transfer_params":{"failed":["` + keys[1].String() + `","` + keys[2].String() + `"]}}`}}
+	f.heads[keys[2]] = store.Piece{Key: keys[2], Generation: 5, Bytes: 10}
+	s, err := f.router.Complete(context.Background(), q)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, _ = drain(s)
-	b.router.Close()
+	f.router.Close()
 	var freed []block.Key
-	for _, c := range b.cache.changes {
+	for _, c := range f.cache.changes {
 		if c.To == directory.Freed && c.Generation == 5 && c.Store == "store-1" {
 			freed = append(freed, c.Key)
 		}
@@ -204,12 +204,12 @@
 // A caller disconnects before the first token. Its prompt must not count as one
 // that crashes servers, nor its server as lost.
 func TestCallerThatLeavesIsNoLoss(t *testing.T) {
-	b := newFixture(t, 1, 0)
+	f := newFixture(t, 1, 0)
 	slow := make(chan struct{})
 	defer close(slow)
-	b.engines.scripts[address("engine-1")] = script{hold: slow}
+	f.engines.scripts[address("engine-1")] = script{hold: slow}
 	ctx, disconnect := context.WithCancel(context.Background())
-	s, err := b.router.Complete(ctx, newRequest("a question", 7))
+	s, err := f.router.Complete(ctx, newRequest("a question", 7))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -218,30 +218,30 @@
 		t.Error("the stream of a caller that disconnected ended as complete")
 	}
 	s.Close()
-	if len(b.guard.lost) != 0 {
-		t.Errorf("the guard got the losses %v", b.guard.lost)
+	if len(f.guard.lost) != 0 {
+		t.Errorf("the guard got the losses %v", f.guard.lost)
 	}
 }
 
 // An engine is suspended: it accepted the request and sends nothing. The caller
 // must not wait until its deadline while another engine is free.
 func TestSilentEngineIsGivenUp(t *testing.T) {
-	b := newFixture(t, 2, 0)
+	f := newFixture(t, 2, 0)
 	suspended := make(chan struct{})
 	defer close(suspended)
-	b.engines.scripts[address("engine-1")] = script{hold: suspended}
-	b.engines.scripts[address("engine-2")] = script{hold: suspended}
-	s, err := b.router.Complete(context.Background(), newRequest("a question", 7))
+	f.engines.scripts[address("engine-1")] = script{hold: suspended}
+	f.engines.scripts[address("engine-2")] = script{hold: suspended}
+	s, err := f.router.Complete(context.Background(), newRequest("a question", 7))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.engines.mu.Lock()
+	f.engines.mu.Lock()
 	for _, e := range []string{"engine-1", "engine-2"} {
-		if address(e) != b.engines.runs[0] {
-			b.engines.scripts[address(e)] = script{events: []string{"whole"}}
+		if address(e) != f.engines.runs[0] {
+			f.engines.scripts[address(e)] = script{events: []string{"whole"}}
 		}
 	}
-	b.engines.mu.Unlock()
+	f.engines.mu.Unlock()
 	if got, err := drain(s); got != "whole" || err != nil {
 		t.Errorf("got %q, %v", got, err)
 	}
@@ -252,13 +252,13 @@
 // answer, and not an error with the verdict may-have-run.
 func TestBusyEngineIsNotGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(t, 1, 0)
+		f := newFixture(t, 1, 0)
 		busy := make(chan struct{})
 		time.AfterFunc(7*time.Second, func() { close(busy) })
-		b.engines.scripts[address("engine-1")] = script{hold: busy, events: []string{"whole"}}
+		f.engines.scripts[address("engine-1")] = script{hold: busy, events: []string{"whole"}}
 		q := newRequest("a question", 5)
 		q.Rules.Deadline = 10 * time.Second
-		s, err := b.router.Complete(context.Background(), q)
+		s, err := f.router.Complete(context.Background(), q)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -272,9 +272,9 @@
 // routed to it are being pinned. It must not get the request, and the caller must
 // not notice.
 func TestServerThatLeavesBeforeTheDispatch(t *testing.T) {
-	b := newFixture(t, 2, 0)
+	f := newFixture(t, 2, 0)
 	for _, e := range []string{"engine-1", "engine-2"} {
-		b.engines.scripts[address(e)] = script{events: []string{"whole"}}
+		f.engines.scripts[address(e)] = script{events: []string{"whole"}}
 	}
 	q := newRequest(strings.Repeat("logbook of the station, page ", 20), 7)
 	for i, k := range (block.Scope{Workspace: "gate", Model: "draft", WeightVersion: "v1", PieceTokens: pieceTokens}).Tokens(q.Tokens) {
@@ -282,38 +282,38 @@
 		if i > 0 {
 			l.Engines = []string{"engine-1"}
 		}
-		b.cache.found[k] = l
+		f.cache.found[k] = l
 	}
-	b.cache.pinning = func() { b.leave(t, "engine-1") }
-	s, err := b.router.Complete(context.Background(), q)
+	f.cache.pinning = func() { f.leave(t, "engine-1") }
+	s, err := f.router.Complete(context.Background(), q)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, err := drain(s); got != "whole" || err != nil {
 		t.Errorf("got %q, %v", got, err)
 	}
-	if runs := b.engines.ran(); len(runs) != 1 || runs[0] != address("engine-2") {
+	if runs := f.engines.ran(); len(runs) != 1 || runs[0] != address("engine-2") {
 		t.Errorf("dispatched to %v", runs)
 	}
 }
 
 // leave announces that an engine is leaving.
-func (b *fixture) leave(t *testing.T, identity string) {
+func (f *fixture) leave(t *testing.T, identity string) {
 	t.Helper()
-	s, ok := b.table.View().Server(identity)
+	s, ok := f.table.View().Server(identity)
 	if !ok {
 		t.Fatalf("%s is not in the table", identity)
 	}
 	a := s.Announcement()
 	a.Sequence++
 	a.State = announcement.Leaving
-	b.table.Announce(time.Now(), a)
+	f.table.Announce(time.Now(), a)
 }
 
 // announceFree reports that the queue of the engine is empty.
-func (b *fixture) announceFree(t *testing.T) {
+func (f *fixture) announceFree(t *testing.T) {
 	t.Helper()
-	v := b.table.View()
+	v := f.table.View()
 	s, ok := v.Server("engine-1")
 	if !ok {
 		t.Fatal("the engine is not in the table")
@@ -322,5 +322,5 @@
 	a.Sequence++
 	a.Load.Sequence++
 	a.Load.QueuedTokens = 0
-	b.table.Announce(time.Now(), a)
+	f.table.Announce(time.Now(), a)
 }
--- a/internal/entry/completion/view.go
+++ b/internal/entry/completion/view.go
@@ -18,12 +18,12 @@
 }
 
 // view returns the engines that may get the request and the stores of the cell.
-func (r *router) view(now time.Time, q *job) view {
+func (r *router) view(now time.Time, j *job) view {
 	var v view
 	all := r.Servers.View()
-	need := q.need()
+	need := j.need()
 	for s := range all.All() {
-		if q.excluded[s.Announcement().Identity] {
+		if j.excluded[s.Announcement().Identity] {
 			continue
 		}
 		if s.Eligible(now, need) == membership.Eligible {
@@ -40,12 +40,12 @@
 }
 
 // need returns the requirements of the request on an engine.
-func (q *job) need() membership.Need {
+func (j *job) need() membership.Need {
 	return membership.Need{
 		Kind:          announcement.Engine,
-		Model:         q.Model.Name,
-		WeightVersion: q.Model.WeightVersion,
-		Age:           q.Snapshot.Fleet.AnnouncementAge,
+		Model:         j.Model.Name,
+		WeightVersion: j.Model.WeightVersion,
+		Age:           j.Snapshot.Fleet.AnnouncementAge,
 	}
 }
 
@@ -125,16 +125,16 @@
 	return m
 }
 
-// request returns the prompt's part of the input of the routing decision.
-func (q *job) request(v *view) route.Request {
+// request returns the part of the routing decision's input that depends on the request.
+func (j *job) request(v *view) route.Request {
 	r := route.Request{
-		Workspace: q.Workspace,
-		Model:     q.Model.Name,
-		Rules:     q.Rules,
-		Tokens:    max(1, len(q.Tokens)),
-		Pieces:    v.pieces(q.Model.PieceTokens, q.locations),
+		Workspace: j.Workspace,
+		Model:     j.Model.Name,
+		Rules:     j.Rules,
+		Tokens:    max(1, len(j.Tokens)),
+		Pieces:    v.pieces(j.Model.PieceTokens, j.locations),
 	}
-	r.Key, _ = q.documentKey()
+	r.Key, _ = j.documentKey()
 	return r
 }
 
--- a/internal/entry/completion/wait_queue.go
+++ b/internal/entry/completion/wait_queue.go
@@ -26,7 +26,7 @@
 type queuedRequest struct {
 	job *job
 	ctx context.Context
-	// admitted is closed when the request may be sent; the request closes done once it was sent or was given up.
+	// admitted is closed when the request may be sent; done is closed when the request was sent or no longer waits.
 	admitted, done chan struct{}
 }
 
@@ -56,18 +56,18 @@
 
 // estimate returns the expected time of the request in the queue and whether it
 // has to wait. It assumes that each other entry has as much queued as this one.
-func (w *waitQueues) estimate(j *job, c *evaluation) (time.Duration, bool) {
-	if !fairlyQueued(j) || !c.found() {
+func (w *waitQueues) estimate(j *job, ev *evaluation) (time.Duration, bool) {
+	if !fairlyQueued(j) || !ev.found() {
 		return 0, false
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	q, ok := w.byKey[queueKeyOf(j)]
 	if !ok || q.Len() == 0 {
-		return 0, c.mustQueue(false)
+		return 0, ev.mustQueue(false)
 	}
-	cost := q.Ahead(j.Workspace, j.Rules.Share, c.compute())
-	return fairness.Wait(cost, w.router.Entries, len(c.decision.Estimates)), c.mustQueue(true)
+	cost := q.Ahead(j.Workspace, j.Rules.Share, ev.compute())
+	return fairness.Wait(cost, w.router.Entries, len(ev.decision.Estimates)), ev.mustQueue(true)
 }
 
 // wait returns when the request may be sent; the caller calls the returned function once the request is sent.
@@ -75,13 +75,13 @@
 // Servers that accept requests and answer none, or queues that grow faster than
 // estimated, would hold a request until its caller disconnects. It is refused
 // as soon as it can't meet its deadline any more.
-func (w *waitQueues) wait(ctx context.Context, j *job, c *evaluation, queueTime time.Duration) (sent func(), err error) {
-	waiting, cancel := context.WithTimeout(ctx, j.remaining(w.router.Now())-seconds(c.compute()))
+func (w *waitQueues) wait(ctx context.Context, j *job, ev *evaluation, queueTime time.Duration) (sent func(), err error) {
+	waiting, cancel := context.WithTimeout(ctx, j.remaining(w.router.Now())-seconds(ev.compute()))
 	defer cancel()
 	req := &queuedRequest{job: j, ctx: waiting, admitted: make(chan struct{}), done: make(chan struct{})}
 	sent = sync.OnceFunc(func() { close(req.done) })
-	if !w.push(req, c.compute()) {
-		return sent, w.refuse(j, c, admission.QueueFull, queueTime)
+	if !w.push(req, ev.compute()) {
+		return sent, w.refuse(j, ev, admission.QueueFull, queueTime)
 	}
 	event.RequestQueued.Write(w.router.Logger, log.Fields{"request": j.ID, "workspace": j.Workspace, "expected": queueTime.String()})
 	select {
@@ -93,13 +93,13 @@
 	if ctx.Err() != nil {
 		return sent, callerCancelled(nil)
 	}
-	return sent, w.refuse(j, c, admission.DeadlineMissed, queueTime)
+	return sent, w.refuse(j, ev, admission.DeadlineMissed, queueTime)
 }
 
-func (w *waitQueues) refuse(j *job, c *evaluation, reason admission.Reason, queueTime time.Duration) error {
+func (w *waitQueues) refuse(j *job, ev *evaluation, reason admission.Reason, queueTime time.Duration) error {
 	r := w.router
 	v := r.Admission.Refuse(reason, queueTime, r.Random)
-	r.logRefused(j, c.decision, v)
+	r.logRefused(j, ev.decision, v)
 	return v.Err()
 }
 
@@ -152,8 +152,8 @@
 			}
 			continue
 		}
-		c := w.router.evaluate(head.job)
-		if !c.found() || c.mustQueue(false) {
+		ev := w.router.evaluate(head.job)
+		if !ev.found() || ev.mustQueue(false) {
 			return head
 		}
 		close(head.admitted)
--- a/internal/entry/completion/wait_queue_test.go
+++ b/internal/entry/completion/wait_queue_test.go
@@ -16,18 +16,18 @@
 // the queue when their caller disconnects.
 func TestLongRequestsWaitForTheirTurn(t *testing.T) {
 	const full = 10_000 * 15
-	b := newFixture(t, 1, full)
-	b.engines.scripts[address("engine-1")] = script{events: []string{"whole"}}
+	f := newFixture(t, 1, full)
+	f.engines.scripts[address("engine-1")] = script{events: []string{"whole"}}
 	ctx, disconnect := context.WithCancel(context.Background())
 	var waiting sync.WaitGroup
 	result := make(chan error, 1)
 	waiting.Go(func() {
-		_, err := b.router.Complete(ctx, newRequest("a draft whose caller leaves", 2))
+		_, err := f.router.Complete(ctx, newRequest("a draft whose caller leaves", 2))
 		result <- err
 	})
 	answers := make(chan string, 1)
 	waiting.Go(func() {
-		s, err := b.router.Complete(context.Background(), newRequest("a draft that waits", 2))
+		s, err := f.router.Complete(context.Background(), newRequest("a draft that waits", 2))
 		if err != nil {
 			answers <- err.Error()
 			return
@@ -35,7 +35,7 @@
 		got, _ := drain(s)
 		answers <- got
 	})
-	urgent, err := b.router.Complete(context.Background(), newRequest("urgent", 7))
+	urgent, err := f.router.Complete(context.Background(), newRequest("urgent", 7))
 	if err != nil {
 		t.Fatalf("an urgent request must not wait at the entry: %v", err)
 	}
@@ -44,7 +44,7 @@
 	if err := <-result; verdict.Of(err) != verdict.NotRun {
 		t.Errorf("the caller that left got %v", err)
 	}
-	b.announceFree(t)
+	f.announceFree(t)
 	if got := <-answers; got != "whole" {
 		t.Errorf("the waiting request got %q", got)
 	}
@@ -58,11 +58,11 @@
 func TestWaitingRequestEndsBeforeItsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const full = 10_000 * 15
-		b := newFixture(t, 1, full)
+		f := newFixture(t, 1, full)
 		ctx, disconnect := context.WithTimeout(context.Background(), 10*time.Minute)
 		defer disconnect()
 		start := time.Now()
-		_, err := b.router.Complete(ctx, newRequest("a draft that waits", 2))
+		_, err := f.router.Complete(ctx, newRequest("a draft that waits", 2))
 		e, ok := verdict.As(err)
 		if !ok || e.Verdict != verdict.NotRun || e.Code != string(admission.DeadlineMissed) || e.RetryAfter <= 0 {
 			t.Errorf("got %v", err)
--- a/internal/entry/engine/client.go
+++ b/internal/entry/engine/client.go
@@ -54,8 +54,8 @@
 	c.pending.Wait()
 }
 
-// cancelRun requests the engine to stop the attempt. After a closed connection
-// alone, the attempt would run on until its time for a resume has expired.
+// cancelRun asks the engine to stop the attempt. If only the connection were
+// closed, the attempt would run until its time for a resume has expired.
 func (c *client) cancelRun(address, attempt string) {
 	c.pending.Add(1)
 	go func() {
--- a/internal/entry/engine/stream.go
+++ b/internal/entry/engine/stream.go
@@ -181,10 +181,10 @@
 		return e
 	}
 	s.logRejected(cause)
-	wait := time.Duration(0)
-	for s.resumes < s.client.Resumes && s.pause(wait) {
+	backoff := time.Duration(0)
+	for s.resumes < s.client.Resumes && s.sleep(backoff) {
 		s.resumes++
-		wait = max(2*wait, s.client.ResumeWait)
+		backoff = max(2*backoff, s.client.ResumeWait)
 		s.disconnect()
 		err := s.open(true)
 		if err == nil {
@@ -199,10 +199,10 @@
 	return lost(cause)
 }
 
-// pause waits for d and reports whether the stream is still open. Only the first
+// sleep waits for d and reports whether the stream is still open. Only the first
 // resume comes without a wait: an engine that restarts or a short network outage
 // would otherwise use up all resumes within a millisecond.
-func (s *stream) pause(d time.Duration) bool {
+func (s *stream) sleep(d time.Duration) bool {
 	if d == 0 {
 		return s.context.Err() == nil
 	}
--- a/internal/entry/engine/stream_test.go
+++ b/internal/entry/engine/stream_test.go
@@ -46,9 +46,10 @@
 	return texts
 }
 
-// An event of another run or of an earlier attempt arrives in the middle of an
-// answer, positions are repeated or skipped, or the stream ends early. Each of
-// these faults would put wrong, duplicate or missing text into an answer.
+// An engine uses one connection for several runs, so that an event of another run
+// or of an earlier attempt arrives in the middle of an answer; positions are
+// repeated or skipped, or the stream ends early. Each of these faults would put
+// wrong, duplicate or missing text into an answer.
 func TestOnlyTheWholeAnswerIsPassedOn(t *testing.T) {
 	faults := map[string]func(w *fakeWriter){
 		"another attempt": func(w *fakeWriter) { w.event("b", 3, "") },
--- a/internal/entry/engine/timed_reader.go
+++ b/internal/entry/engine/timed_reader.go
@@ -14,9 +14,9 @@
 
 // Read implements io.Reader. The timer runs only during a read, so that a slow
 // caller is not mistaken for a silent engine.
-func (a timedReader) Read(b []byte) (int, error) {
-	a.idleTimer.Reset(a.limit)
-	n, err := a.body.Read(b)
-	a.idleTimer.Stop()
+func (r timedReader) Read(b []byte) (int, error) {
+	r.idleTimer.Reset(r.limit)
+	n, err := r.body.Read(b)
+	r.idleTimer.Stop()
 	return n, err
 }
--- a/internal/entry/operator/fake_test.go
+++ b/internal/entry/operator/fake_test.go
@@ -68,24 +68,24 @@
 	t       testing.TB
 	log     *fakeLog
 	copy    follower.Follower
-	force   *fakeInForce
+	inForce *fakeInForce
 	lease   *fakeLease
 	handler http.Handler
 }
 
 func newFixture(t testing.TB) *fixture {
 	f := &fixture{
-		t:     t,
-		log:   &fakeLog{section: section.New()},
-		copy:  follower.New(),
-		force: &fakeInForce{},
-		lease: &fakeLease{},
+		t:       t,
+		log:     &fakeLog{section: section.New()},
+		copy:    follower.New(),
+		inForce: &fakeInForce{},
+		lease:   &fakeLease{},
 	}
 	f.handler = New(Config{
 		Log:                f.log,
 		Settings:           f.copy,
 		Lease:              f.lease,
-		InForce:            f.force,
+		InForce:            f.inForce,
 		BootstrapKeyDigest: digest.Of("bootstrap-key"),
 		MaxBody:            4096,
 		Timeout:            time.Second,
--- a/internal/entry/operator/operator_test.go
+++ b/internal/entry/operator/operator_test.go
@@ -221,7 +221,7 @@
 // ends must report neither a failure nor that it is in force.
 func TestAcceptedButNotYetInForce(t *testing.T) {
 	f := newFixtureWithOperators(t)
-	f.force.err = context.DeadlineExceeded
+	f.inForce.err = context.DeadlineExceeded
 	w := f.send("PATCH", "/settings?wait=in-force", "ana-key", "x", `"1"`, "priority = 1")
 	expectAnswer(t, w, 202, verdict.Ran, `"outcome": "accepted"`, `"in-force": false`)
 }
--- a/internal/entry/service/at_most_once_test.go
+++ b/internal/entry/service/at_most_once_test.go
@@ -284,8 +284,8 @@
 	if err := c.Drain(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	again, err := c.Call(context.Background(), callOf("w", "k", "x"))
-	if err != nil || !again.Repeated || string(again.Body) != string(first.Body) {
-		t.Fatalf("got %+v, %v", again, err)
+	resent, err := c.Call(context.Background(), callOf("w", "k", "x"))
+	if err != nil || !resent.Repeated || string(resent.Body) != string(first.Body) {
+		t.Fatalf("got %+v, %v", resent, err)
 	}
 }
