--- a/cmd/hornbeamwood/explain.go
+++ b/cmd/hornbeamwood/explain.go
@@ -23,11 +23,11 @@
 
 func explainRequest(request string, paths []string) error {
 	return withLogs("explain", paths, func(logs []io.Reader) error {
-		s, err := explain.Read(request, logs...)
+		t, err := explain.Read(request, logs...)
 		if err != nil {
 			return err
 		}
-		return s.Write(os.Stdout)
+		return t.Write(os.Stdout)
 	})
 }
 
--- a/cmd/hornbeamwood/main.go
+++ b/cmd/hornbeamwood/main.go
@@ -35,9 +35,9 @@
 		commands = append(commands, newCommands()...)
 	}
 	flaggy.Parse()
-	for _, v := range commands {
-		if v.subcommand.Used {
-			os.Exit(exitCode(v.run()))
+	for _, c := range commands {
+		if c.subcommand.Used {
+			os.Exit(exitCode(c.run()))
 		}
 	}
 	flaggy.ShowHelp("name a command")
--- a/cmd/hornbeamwood/readings.go
+++ b/cmd/hornbeamwood/readings.go
@@ -37,10 +37,10 @@
 	}
 	c := explain.PrefillsConfig{Step: time.Duration(f.stepMillis) * time.Millisecond, UpdateDelay: time.Duration(f.updateDelayMillis) * time.Millisecond}
 	return withLogs("readings", f.logs, func(logs []io.Reader) error {
-		s, err := explain.ReadPrefills(c, logs...)
+		p, err := explain.ReadPrefills(c, logs...)
 		if err != nil {
 			return err
 		}
-		return s.Write(os.Stdout)
+		return p.Write(os.Stdout)
 	})
 }
--- a/internal/cli/demo/component.go
+++ b/internal/cli/demo/component.go
@@ -17,23 +17,23 @@
 // startComponent runs f until the component is stopped.
 func startComponent(name string, f func(ctx context.Context) error) *component {
 	ctx, cancel := context.WithCancelCause(context.Background())
-	p := &component{name: name, cancel: cancel, ended: make(chan struct{})}
+	c := &component{name: name, cancel: cancel, ended: make(chan struct{})}
 	go func() {
-		defer close(p.ended)
-		p.err = f(ctx)
+		defer close(c.ended)
+		c.err = f(ctx)
 	}()
-	return p
+	return c
 }
 
 // stop stops the component gracefully and waits for it.
-func (p *component) stop() error {
-	p.cancel(nil)
-	<-p.ended
-	return p.err
+func (c *component) stop() error {
+	c.cancel(nil)
+	<-c.ended
+	return c.err
 }
 
 // crash ends a stand-in abruptly in the middle of its work.
-func (p *component) crash() {
-	p.cancel(process.ErrCrashed)
-	<-p.ended
+func (c *component) crash() {
+	c.cancel(process.ErrCrashed)
+	<-c.ended
 }
--- a/internal/cli/explain/prefills.go
+++ b/internal/cli/explain/prefills.go
@@ -47,7 +47,7 @@
 
 // ReadPrefills counts the prefill in logs of entries. It needs the logs of all entries to distinguish a first prefill from a later one.
 func ReadPrefills(c PrefillsConfig, logs ...io.Reader) (Prefills, error) {
-	s := Prefills{config: c, last: map[string]prefill{}, lost: map[string]time.Time{}, causes: map[string]int64{}, series: map[int64]map[string]int64{}}
+	p := Prefills{config: c, last: map[string]prefill{}, lost: map[string]time.Time{}, causes: map[string]int64{}, series: map[int64]map[string]int64{}}
 	var relevant []line
 	err := forEachLine(logs, func(l line) {
 		if l.Message == "server-announced" || l.Message == "attempt-routed" && l.text("part") != "" {
@@ -59,45 +59,45 @@
 	}
 	byTime(relevant)
 	for _, l := range relevant {
-		s.add(l)
+		p.add(l)
 	}
-	return s, nil
+	return p, nil
 }
 
-func (s *Prefills) add(l line) {
+func (p *Prefills) add(l line) {
 	at, err := time.Parse(time.RFC3339Nano, l.Time)
 	if err != nil {
 		return
 	}
 	if l.Message == "server-announced" {
 		if silent, _ := l.Fields["silent"].(bool); silent || l.text("state") != "ready" {
-			s.lost[l.text("server")] = at
+			p.lost[l.text("server")] = at
 		}
 		return
 	}
-	if s.first.IsZero() {
-		s.first = at.Truncate(time.Second)
+	if p.first.IsZero() {
+		p.first = at.Truncate(time.Second)
 	}
 	i, from := int(l.number("part-place")), l.text("from")
 	if i < 0 || i >= len(from) || from[i] != prefillLetter {
 		return
 	}
-	s.count(at, s.cause(l, at), l.number("part-tokens"))
-	s.last[l.text("part")] = prefill{at, l.text("server")}
+	p.count(at, p.cause(l, at), l.number("part-tokens"))
+	p.last[l.text("part")] = prefill{at, l.text("server")}
 }
 
-func (s *Prefills) count(at time.Time, cause string, tokens int64) {
-	s.causes[cause] += tokens
-	step := int64(at.Sub(s.first) / s.config.Step)
-	if s.series[step] == nil {
-		s.series[step] = map[string]int64{}
+func (p *Prefills) count(at time.Time, cause string, tokens int64) {
+	p.causes[cause] += tokens
+	step := int64(at.Sub(p.first) / p.config.Step)
+	if p.series[step] == nil {
+		p.series[step] = map[string]int64{}
 	}
-	s.series[step][cause] += tokens
+	p.series[step][cause] += tokens
 }
 
 // cause returns why the part was computed.
-func (s *Prefills) cause(l line, at time.Time) string {
-	before, computed := s.last[l.text("part")]
+func (p *Prefills) cause(l line, at time.Time) string {
+	before, computed := p.last[l.text("part")]
 	switch {
 	case !computed:
 		return firstPrefill
@@ -105,33 +105,33 @@
 		return storesUnknown
 	case l.number("places") > 0:
 		return transferCostlier
-	case at.Sub(before.at) < s.config.UpdateDelay:
+	case at.Sub(before.at) < p.config.UpdateDelay:
 		return copyNotYetKnown
-	case s.lost[before.server].After(before.at):
+	case p.lost[before.server].After(before.at):
 		return engineLost
 	}
 	return evictedOrNotStored
 }
 
 // Write writes the tokens by cause, followed by the time series.
-func (s Prefills) Write(w io.Writer) error {
+func (p Prefills) Write(w io.Writer) error {
 	const thousand = 1000
 	var b strings.Builder
 	b.WriteString("thousand tokens of long shared parts that were read, by cause\n")
-	causes := sorted(s.causes)
-	slices.SortStableFunc(causes, func(a, b string) int { return int(s.causes[b] - s.causes[a]) })
+	causes := sorted(p.causes)
+	slices.SortStableFunc(causes, func(a, b string) int { return int(p.causes[b] - p.causes[a]) })
 	for _, c := range causes {
-		fmt.Fprintf(&b, "  %9d  %s\n", s.causes[c]/thousand, c)
+		fmt.Fprintf(&b, "  %9d  %s\n", p.causes[c]/thousand, c)
 	}
 	b.WriteString("seconds since the first, thousand tokens by cause\n")
-	for _, step := range sorted(s.series) {
+	for _, step := range sorted(p.series) {
 		var parts []string
 		for _, c := range causes {
-			if n := s.series[step][c]; n > 0 {
+			if n := p.series[step][c]; n > 0 {
 				parts = append(parts, fmt.Sprintf("%d %s", n/thousand, c))
 			}
 		}
-		fmt.Fprintf(&b, "  %5.1f  %s\n", (time.Duration(step) * s.config.Step).Seconds(), strings.Join(parts, "; "))
+		fmt.Fprintf(&b, "  %5.1f  %s\n", (time.Duration(step) * p.config.Step).Seconds(), strings.Join(parts, "; "))
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
--- a/internal/cli/explain/timeline.go
+++ b/internal/cli/explain/timeline.go
@@ -22,12 +22,12 @@
 
 // Read returns the timeline of a request from logs.
 func Read(request string, logs ...io.Reader) (Timeline, error) {
-	s := Timeline{request: request}
+	t := Timeline{request: request}
 	var serverCandidates []line
 	err := forEachLine(logs, func(l line) {
 		switch {
 		case l.text("request") == request:
-			s.requestLines = append(s.requestLines, l)
+			t.requestLines = append(t.requestLines, l)
 		case l.text("request") == "" && l.text("server") != "":
 			serverCandidates = append(serverCandidates, l)
 		}
@@ -35,24 +35,24 @@
 	if err != nil {
 		return Timeline{}, fmt.Errorf("explain: %w", err)
 	}
-	if len(s.requestLines) == 0 {
+	if len(t.requestLines) == 0 {
 		return Timeline{}, ErrUnknownRequest
 	}
-	s.keepServerLines(serverCandidates)
-	byTime(s.requestLines)
-	byTime(s.serverLines)
-	return s, nil
+	t.keepServerLines(serverCandidates)
+	byTime(t.requestLines)
+	byTime(t.serverLines)
+	return t, nil
 }
 
 // keepServerLines keeps the lines about servers that the request was sent to.
-func (s *Timeline) keepServerLines(serverCandidates []line) {
+func (t *Timeline) keepServerLines(serverCandidates []line) {
 	servers := map[string]bool{}
-	for _, l := range s.requestLines {
+	for _, l := range t.requestLines {
 		servers[l.text("server")] = true
 	}
 	for _, l := range serverCandidates {
 		if servers[l.text("server")] {
-			s.serverLines = append(s.serverLines, l)
+			t.serverLines = append(t.serverLines, l)
 		}
 	}
 }
@@ -62,16 +62,16 @@
 }
 
 // Write writes the timeline in order.
-func (s Timeline) Write(w io.Writer) error {
+func (t Timeline) Write(w io.Writer) error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "request %s\n", s.request)
-	for _, l := range s.requestLines {
+	fmt.Fprintf(&b, "request %s\n", t.request)
+	for _, l := range t.requestLines {
 		fmt.Fprintf(&b, "  %s  %-10s  %s\n", l.Time, l.text("vm"), format(l))
 	}
-	if len(s.serverLines) > 0 {
+	if len(t.serverLines) > 0 {
 		b.WriteString("what was known of its servers\n")
 	}
-	for _, l := range s.serverLines {
+	for _, l := range t.serverLines {
 		fmt.Fprintf(&b, "  %s  %-10s  %s\n", l.Time, l.text("vm"), formatFields(l))
 	}
 	_, err := io.WriteString(w, b.String())
--- a/internal/cli/settings/fake_entry_test.go
+++ b/internal/cli/settings/fake_entry_test.go
@@ -30,30 +30,30 @@
 }
 
 // Propose implements operator.Log. All commands have the same time, for the golden files.
-func (h *fakeEntry) Propose(_ context.Context, _ string, body []byte) ([]byte, error) {
-	b := h.section.Apply(time.Unix(1_800_000_000, 0), body)
-	_, err := h.follower.Apply(h.section.Changes(h.follower.View().Revision()))
+func (e *fakeEntry) Propose(_ context.Context, _ string, body []byte) ([]byte, error) {
+	b := e.section.Apply(time.Unix(1_800_000_000, 0), body)
+	_, err := e.follower.Apply(e.section.Changes(e.follower.View().Revision()))
 	return b, err
 }
 
 // Read implements operator.Log.
-func (h *fakeEntry) Read(_ context.Context, _ string, body []byte) ([]byte, error) {
-	return h.section.Query(body)
+func (e *fakeEntry) Read(_ context.Context, _ string, body []byte) ([]byte, error) {
+	return e.section.Query(body)
 }
 
 // Check implements operator.Lease.
-func (h *fakeEntry) Check() error { return nil }
+func (e *fakeEntry) Check() error { return nil }
 
 // Wait implements operator.InForceWaiter.
-func (h *fakeEntry) Wait(context.Context, uint64) error { return nil }
+func (e *fakeEntry) Wait(context.Context, uint64) error { return nil }
 
 // newFakeEntry returns a fakeEntry and the Config that reaches it, with one operator at revision 1.
 func newFakeEntry(t *testing.T) (*fakeEntry, Config) {
 	t.Helper()
-	h := &fakeEntry{section: section.New(), follower: follower.New()}
-	handler := operator.New(operator.Config{Log: h, Settings: h.follower, Lease: h, InForce: h, BootstrapKeyDigest: digest.Of("bootstrap")})
+	e := &fakeEntry{section: section.New(), follower: follower.New()}
+	handler := operator.New(operator.Config{Log: e, Settings: e.follower, Lease: e, InForce: e, BootstrapKeyDigest: digest.Of("bootstrap")})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.Method != http.MethodGet && h.dropResponses.Add(-1) >= 0 {
+		if r.Method != http.MethodGet && e.dropResponses.Add(-1) >= 0 {
 			handler.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
 		}
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	c.Key, c.EditID, c.File = "ana-key", "edit-1", ""
-	return h, c
+	return e, c
 }
 
 // treeFile returns the path of testdata/tree.toml with the digest of "ana-key".
@@ -101,13 +101,13 @@
 	}
 }
 
-func revision(t *testing.T, h *fakeEntry) uint64 {
+func revision(t *testing.T, e *fakeEntry) uint64 {
 	t.Helper()
 	b, err := codec.Marshal(section.Query{Kind: section.QueryHistory})
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := h.section.Query(b)
+	a, err := e.section.Query(b)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cli/settings/settings_test.go
+++ b/internal/cli/settings/settings_test.go
@@ -13,7 +13,7 @@
 	"hornbeamwood/internal/settings/tomlfile"
 )
 
-func TestVerbs(t *testing.T) {
+func TestCommands(t *testing.T) {
 	_, c := newFakeEntry(t)
 	var out bytes.Buffer
 	run := func(title string, command func(context.Context, Config, io.Writer) error, c Config) {
@@ -40,14 +40,14 @@
 	run("explain", Explain, with("/workspaces/tunja/services/issue-stamp", "", "", ""))
 	run("history", History, func() Config { d := c; d.Limit = "2"; return d }())
 	run("diff", Diff, func() Config { d := c; d.From = "1"; return d }())
-	golden(t, "verbs", out.Bytes())
+	golden(t, "commands", out.Bytes())
 }
 
 // The response to an accepted edit is lost more than once. The client retries with
 // the same edit ID, so the operator gets the outcome and the edit is applied once.
 func TestEditIsRetriedAfterLostResponses(t *testing.T) {
-	h, c := newFakeEntry(t)
-	h.dropResponses.Store(2)
+	e, c := newFakeEntry(t)
+	e.dropResponses.Store(2)
 	c.Path, c.Setting, c.Value = "/", "priority", "5"
 	var out bytes.Buffer
 	if err := Set(t.Context(), c, &out); err != nil {
@@ -56,7 +56,7 @@
 	if got := out.String(); got != "accepted as revision 2 when it was first sent\n" {
 		t.Errorf("got %q", got)
 	}
-	if got := revision(t, h); got != 2 {
+	if got := revision(t, e); got != 2 {
 		t.Errorf("revision is %d", got)
 	}
 }
@@ -64,15 +64,15 @@
 // No response arrives at all. The error must say that the outcome is unknown, and
 // with which flags the operator can ask for it.
 func TestUnknownOutcomeNamesTheEditID(t *testing.T) {
-	h, c := newFakeEntry(t)
-	h.dropResponses.Store(100)
+	e, c := newFakeEntry(t)
+	e.dropResponses.Store(100)
 	c.Path, c.Setting, c.Value = "/", "priority", "5"
 	err := Set(t.Context(), c, &bytes.Buffer{})
 	var u UnknownOutcomeError
 	if !errors.As(err, &u) || !strings.Contains(err.Error(), "--edit-id edit-1 --if-match 1") {
 		t.Errorf("got %v", err)
 	}
-	h.dropResponses.Store(0)
+	e.dropResponses.Store(0)
 	c.IfMatch = u.Base
 	var out bytes.Buffer
 	if err := Set(t.Context(), c, &out); err != nil || !strings.Contains(out.String(), "revision 2 when it was first sent") {
