--- a/internal/standin/engine/complete.go
+++ b/internal/standin/engine/complete.go
@@ -79,8 +79,8 @@
 	if _, ok := e.runs[r.attempt]; ok {
 		return "attempt-exists"
 	}
-	e.order++
-	r.order = e.order
+	e.arrivals++
+	r.arrival = e.arrivals
 	e.runs[r.attempt] = r
 	e.waiting = append(e.waiting, r)
 	e.queuedTokens += int64(r.promptTokens)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -40,7 +40,7 @@
 	random       *rand.Rand
 	runs         map[string]*run
 	waiting      []*run
-	order        uint64
+	arrivals     uint64
 	running      int
 	queuedTokens int64
 	cache        *cache
--- a/internal/standin/engine/prefill.go
+++ b/internal/standin/engine/prefill.go
@@ -35,7 +35,7 @@
 	best := 0
 	for i, r := range e.waiting {
 		b := e.waiting[best]
-		if r.priority > b.priority || r.priority == b.priority && r.order < b.order {
+		if r.priority > b.priority || r.priority == b.priority && r.arrival < b.arrival {
 			best = i
 		}
 	}
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -12,7 +12,7 @@
 	body             completion
 	promptTokens     int
 	priority         int
-	order            uint64
+	arrival          uint64
 	ctx              context.Context
 	cancel           context.CancelFunc
 	cached           int
--- a/internal/standin/process/process.go
+++ b/internal/standin/process/process.go
@@ -18,7 +18,7 @@
 // drainPoll is how often a leaving stand-in checks whether its last request has ended.
 const drainPoll = 20 * time.Millisecond
 
-// minDrainTime is how long a leaving stand-in keeps serving after it has announced that, so that every entry gets the update.
+// minDrainTime is how long a leaving stand-in keeps serving after it has announced that it is leaving, so that every entry gets the update.
 const minDrainTime = 3 * time.Second
 
 const headerTimeout = 5 * time.Second
