--- a/deploy/soak/client.go
+++ b/deploy/soak/client.go
@@ -22,11 +22,12 @@
 	random     *rand.Rand
 }
 
-func newClient(name, address string, r *record, l *executions, serverLimits *limits, seed uint64) *client {
+func newClient(name, address string, r *record, e *executions, serverLimits *limits, seed uint64) *client {
 	return &client{
-		name: name, address: address, record: r, executions: l, limits: serverLimits, random: rand.New(rand.NewPCG(seed, 7)),
+		name: name, address: address, record: r, executions: e, limits: serverLimits, random: rand.New(rand.NewPCG(seed, 7)),
 		// net/http would retry a request on its own after a connection error, and the
-		// soak would attribute the second execution to the site.
+		// soak would attribute the second execution to the site. sendRequest therefore sends a
+		// body that can't be rewound.
 		http: &http.Client{Transport: &http.Transport{
 			MaxIdleConnsPerHost: 4,
 			DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
@@ -40,7 +41,7 @@
 func (c *client) run(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
 		c.sendRequest(ctx, n)
-		pause(ctx, time.Duration(c.random.IntN(15))*time.Millisecond)
+		sleep(ctx, time.Duration(c.random.IntN(15))*time.Millisecond)
 	}
 }
 
--- a/deploy/soak/doc.go
+++ b/deploy/soak/doc.go
@@ -2,7 +2,7 @@
 // addresses, injects faults from outside, and continuously checks what callers,
 // servers and operators observe.
 //
-// A seed determines a run: which processes are killed, stopped, paused or wiped and
+// A seed determines a run: which processes are killed, stopped, suspended or wiped and
 // when, which connections are delayed, reset or blocked, which servers crash or
 // leave, and which documents are sent to which replica. The soak ends only processes
 // that it has started, by their IDs.
--- a/deploy/soak/faults.go
+++ b/deploy/soak/faults.go
@@ -56,7 +56,7 @@
 }
 
 // stopAndRestart stops a process with a signal and starts it again, with an empty data
-// folder if wipe is set. It does nothing while another fault has the process.
+// folder if wipe is set. It does nothing while another fault acts on the process.
 func (s *site) stopAndRestart(ctx context.Context, p *process, signal syscall.Signal, wipe bool) {
 	if !p.faultLock.TryLock() {
 		return
@@ -68,26 +68,27 @@
 			s.record.reportViolation("wipe %s: %v", p.name, err)
 		}
 	}
-	pause(ctx, s.randomDuration(time.Second))
+	sleep(ctx, s.randomDuration(time.Second))
 	if err := s.restart(p); err != nil {
 		s.record.reportViolation("start %s: %v", p.name, err)
 	}
 	if p.role == "control" {
-		pause(ctx, catchUpTime)
+		sleep(ctx, catchUpTime)
 	}
 }
 
-// suspend pauses a process for some time.
+// suspend suspends a process for some time and resumes it. It does nothing while another
+// fault acts on the process.
 func (s *site) suspend(ctx context.Context, p *process) {
 	if !p.faultLock.TryLock() {
 		return
 	}
 	defer p.faultLock.Unlock()
 	p.signal(syscall.SIGSTOP)
-	pause(ctx, s.randomDuration(4*time.Second))
+	sleep(ctx, s.randomDuration(4*time.Second))
 	p.signal(syscall.SIGCONT)
 	if p.role == "control" {
-		pause(ctx, catchUpTime)
+		sleep(ctx, catchUpTime)
 	}
 }
 
@@ -95,18 +96,18 @@
 	for _, p := range s.replicas {
 		p.stop(syscall.SIGKILL, stopBound)
 	}
-	pause(ctx, s.randomDuration(time.Second))
+	sleep(ctx, s.randomDuration(time.Second))
 	for _, p := range s.replicas {
 		if err := s.restart(p); err != nil {
 			s.record.reportViolation("start %s: %v", p.name, err)
 		}
 	}
-	pause(ctx, catchUpTime)
+	sleep(ctx, catchUpTime)
 }
 
 // degrade puts a proxy into a mode for some time.
 func (s *site) degrade(ctx context.Context, p *proxy, m mode) {
 	p.set(m)
-	pause(ctx, s.randomDuration(3*time.Second))
+	sleep(ctx, s.randomDuration(3*time.Second))
 	p.set(passThrough)
 }
--- a/deploy/soak/limits.go
+++ b/deploy/soak/limits.go
@@ -135,7 +135,7 @@
 	var all sync.WaitGroup
 	defer all.Wait()
 	for ctx.Err() == nil {
-		pause(ctx, time.Duration(r.Int64N(int64(maxLimitInterval))))
+		sleep(ctx, time.Duration(r.Int64N(int64(maxLimitInterval))))
 		if !time.Now().Before(end) {
 			return
 		}
@@ -143,11 +143,11 @@
 		x := s.servers[r.IntN(len(s.servers))]
 		s.mu.Unlock()
 		perSecond := 1 + maxLimit*r.Float64()
-		s.record.note("%s names a limit of %.1f", x.id, perSecond)
+		s.record.note("%s announces a limit of %.1f", x.id, perSecond)
 		s.limits.set(x.id, perSecond)
 		all.Go(func() {
-			pause(ctx, limitDuration)
-			s.record.note("%s names no limit", x.id)
+			sleep(ctx, limitDuration)
+			s.record.note("%s announces no limit", x.id)
 			s.limits.set(x.id, 0)
 		})
 	}
--- a/deploy/soak/operator.go
+++ b/deploy/soak/operator.go
@@ -18,7 +18,7 @@
 	record       *record
 	orders       *orders
 	mu           sync.Mutex
-	lastNumber   int
+	lastRevision int
 	acknowledged int
 	// growth is the random source for the growth of the document, separate from the other random sources of a seed.
 	growth      *rand.Rand
@@ -31,19 +31,19 @@
 	maxExtraRoutes = 6000
 )
 
-// nextDocument returns the number of the next document and how many unused routes it has.
-func (o *operator) nextDocument(r *rand.Rand) (number, extraRoutes int) {
+// nextDocument returns the revision of the next document and the number of its unused routes.
+func (o *operator) nextDocument(r *rand.Rand) (revision, extraRoutes int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.lastNumber += 1 + r.IntN(3)
+	o.lastRevision += 1 + r.IntN(3)
 	if o.growth.IntN(3) == 0 {
 		o.extraRoutes = min(maxExtraRoutes, o.extraRoutes+o.growth.IntN(maxGrowth))
 	}
-	return o.lastNumber, o.extraRoutes
+	return o.lastRevision, o.extraRoutes
 }
 
-// document returns the document with the given number.
-func (o *operator) document(number, extraRoutes int) string {
+// document returns the document with the given revision.
+func (o *operator) document(revision, extraRoutes int) string {
 	var extras strings.Builder
 	for i := range extraRoutes {
 		fmt.Fprintf(&extras, `{"name":"extra-%d","host":"extra%d","path_prefix":"/%x/","kind":"idempotent","timeout_ms":2000,"target_latency_ms":100,"service":"desk","max_attempts":1},`, i, i%40, i*104729)
@@ -54,26 +54,26 @@
 {"name":"stream","host":"soak","path_prefix":"/stream/","kind":"streaming","timeout_ms":5000,"target_latency_ms":1000,"service":"desk","max_attempts":2,"resumable":true,"gap_target_ms":300},
 {"name":"prompt","host":"soak","path_prefix":"/prompt/","kind":"streaming","timeout_ms":5000,"target_latency_ms":1000,"service":"writer","max_attempts":2,"resumable":true,"sticky":true,"gap_target_ms":500},
 {"name":"n","host":"soak","path_prefix":"/n%d/","kind":"idempotent","timeout_ms":2000,"target_latency_ms":100,"service":"desk","max_attempts":1}],
-"services":[{"name":"desk","max_connections":200},{"name":"writer","max_connections":200,"engine":{"slots":8,"kv_capacity_tokens":90000,"kv_token_bytes":35136,"link_mbps":100000,"managed":true,"stride":1,"max_concurrent":12,"models":[{"name":"m"}]}}],"limits":{},"tenants":[{"name":"t1","api_keys":["k1"]},{"name":"t2","api_keys":["k2"]}]}`, number, extras.String(), number)
+"services":[{"name":"desk","max_connections":200},{"name":"writer","max_connections":200,"engine":{"slots":8,"kv_capacity_tokens":90000,"kv_token_bytes":35136,"link_mbps":100000,"managed":true,"stride":1,"max_concurrent":12,"models":[{"name":"m"}]}}],"limits":{},"tenants":[{"name":"t1","api_keys":["k1"]},{"name":"t2","api_keys":["k2"]}]}`, revision, extras.String(), revision)
 }
 
 // putDocument sends the next document until a replica acknowledges it, or ctx ends.
 func (o *operator) putDocument(ctx context.Context, r *rand.Rand) bool {
-	number, extraRoutes := o.nextDocument(r)
-	body := o.document(number, extraRoutes)
+	revision, extraRoutes := o.nextDocument(r)
+	body := o.document(revision, extraRoutes)
 	for ctx.Err() == nil {
 		control := o.controls[r.IntN(len(o.controls))]
 		switch status := post(ctx, "http://"+control+":8000/v1/Config.Put", body, 1500*time.Millisecond); status {
 		case http.StatusOK:
 			o.mu.Lock()
-			o.acknowledged = max(o.acknowledged, number)
+			o.acknowledged = max(o.acknowledged, revision)
 			o.mu.Unlock()
 			return true
 		case http.StatusBadRequest:
-			o.record.reportViolation("a valid document was refused: %d", number)
+			o.record.reportViolation("a valid document was refused: %d", revision)
 			return false
 		}
-		pause(ctx, 100*time.Millisecond)
+		sleep(ctx, 100*time.Millisecond)
 	}
 	return false
 }
@@ -90,7 +90,7 @@
 			o.orders.mu.Unlock()
 			return
 		}
-		pause(ctx, 100*time.Millisecond)
+		sleep(ctx, 100*time.Millisecond)
 	}
 }
 
@@ -131,6 +131,6 @@
 func (o *operator) pollDocuments(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		o.readDocument(ctx, o.controls[i%len(o.controls)])
-		pause(ctx, 150*time.Millisecond)
+		sleep(ctx, 150*time.Millisecond)
 	}
 }
--- a/deploy/soak/process.go
+++ b/deploy/soak/process.go
@@ -20,18 +20,18 @@
 	program  string
 	dataDir  string
 
-	// faultLock is held by the fault that has the process.
+	// faultLock is held by the fault that acts on the process.
 	faultLock sync.Mutex
 
-	mu      sync.Mutex
-	command *exec.Cmd
-	exited  chan struct{}
-	paused  bool
+	mu        sync.Mutex
+	command   *exec.Cmd
+	exited    chan struct{}
+	suspended bool
 	// stopping reports whether the soak is stopping the program. onExit, if not nil, is called when the program exits by itself, with the time that it ran.
 	stopping bool
 	onExit   func(p *process, ran time.Duration, err error)
-	// startedAt is when the program was last started, plus the time that it was suspended since; pausedAt is when it was last paused.
-	startedAt, pausedAt time.Time
+	// startedAt is when the program was last started, plus the time that it was suspended since; suspendedAt is when it was last suspended.
+	startedAt, suspendedAt time.Time
 	// changedAt is when the program was last started or got a signal.
 	changedAt time.Time
 }
@@ -54,7 +54,7 @@
 		return err
 	}
 	exited := make(chan struct{})
-	p.command, p.exited, p.paused, p.stopping, p.changedAt = c, exited, false, false, time.Now()
+	p.command, p.exited, p.suspended, p.stopping, p.changedAt = c, exited, false, false, time.Now()
 	p.startedAt = p.changedAt
 	go func() {
 		err := c.Wait()
@@ -83,13 +83,13 @@
 	}
 	now := time.Now()
 	switch {
-	case !p.paused && s == syscall.SIGSTOP:
-		p.pausedAt = now
-	case p.paused && s == syscall.SIGCONT:
+	case !p.suspended && s == syscall.SIGSTOP:
+		p.suspendedAt = now
+	case p.suspended && s == syscall.SIGCONT:
 		// The time that it was suspended doesn't count as running time.
-		p.startedAt = p.startedAt.Add(now.Sub(p.pausedAt))
+		p.startedAt = p.startedAt.Add(now.Sub(p.suspendedAt))
 	}
-	p.paused = s == syscall.SIGSTOP || p.paused && s != syscall.SIGCONT
+	p.suspended = s == syscall.SIGSTOP || p.suspended && s != syscall.SIGCONT
 	p.changedAt = now
 	return p.command.Process.Signal(s) == nil
 }
@@ -111,14 +111,14 @@
 // stop sends a signal and waits until the program has exited. After the timeout it kills the program.
 func (p *process) stop(s syscall.Signal, timeout time.Duration) {
 	p.mu.Lock()
-	exited, running, paused := p.exited, p.command != nil, p.paused
+	exited, running, suspended := p.exited, p.command != nil, p.suspended
 	p.stopping = true
 	p.mu.Unlock()
 	if !running {
 		return
 	}
 	p.signal(s)
-	if paused {
+	if suspended {
 		p.signal(syscall.SIGCONT)
 	}
 	select {
--- a/deploy/soak/run.go
+++ b/deploy/soak/run.go
@@ -85,7 +85,7 @@
 		all.Go(func() { x.run(running) })
 	}
 	all.Go(func() { s.operator.pollDocuments(running) })
-	pause(ctx, time.Second)
+	sleep(ctx, time.Second)
 	res.faults = injectFaults(ctx, c.length, s)
 	s.checkRecovery(ctx)
 	stop()
@@ -120,7 +120,7 @@
 				<-controlFault
 			}
 		})
-		pause(ctx, s.randomDuration(1200*time.Millisecond))
+		sleep(ctx, s.randomDuration(1200*time.Millisecond))
 	}
 	all.Wait()
 	return n
@@ -134,11 +134,11 @@
 func changeWeights(ctx context.Context, end time.Time, s *site) {
 	r := rand.New(rand.NewPCG(s.seed, 11))
 	for ctx.Err() == nil {
-		pause(ctx, time.Duration(r.Int64N(int64(maxVersionInterval))))
+		sleep(ctx, time.Duration(r.Int64N(int64(maxVersionInterval))))
 		if !time.Now().Before(end) {
 			return
 		}
-		s.record.note("name new weights")
+		s.record.note("set new weights")
 		s.operator.setVersion(ctx, r)
 	}
 }
@@ -149,7 +149,7 @@
 	defer cancel()
 	before := s.record.served()
 	for s.record.served() < before+50 && ctx.Err() == nil {
-		pause(ctx, 100*time.Millisecond)
+		sleep(ctx, 100*time.Millisecond)
 	}
 	if ctx.Err() != nil {
 		s.record.reportViolation("callers are not served again: %d since the last fault", s.record.served()-before)
@@ -167,7 +167,7 @@
 				s.record.reportViolation("%s can't be read", at)
 				break
 			}
-			pause(ctx, 100*time.Millisecond)
+			sleep(ctx, 100*time.Millisecond)
 		}
 	}
 	s.checkInForce(ctx, newestRevision)
@@ -181,7 +181,7 @@
 				s.record.reportViolation("document %d is not in force at entry-%d", newestRevision, i)
 				break
 			}
-			pause(ctx, 100*time.Millisecond)
+			sleep(ctx, 100*time.Millisecond)
 		}
 	}
 }
@@ -213,7 +213,7 @@
 		if outdated == 0 {
 			return
 		}
-		pause(ctx, 100*time.Millisecond)
+		sleep(ctx, 100*time.Millisecond)
 	}
 	s.record.reportViolation("%d engines don't have version %d", s.outdatedEngines(), s.orders.newestVersion())
 }
--- a/deploy/soak/server.go
+++ b/deploy/soak/server.go
@@ -26,17 +26,17 @@
 	late int
 }
 
-func (l *executions) recordRun(id, tenant string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.runs[id]++
-	l.tenants[id] = tenant
+func (e *executions) recordRun(id, tenant string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.runs[id]++
+	e.tenants[id] = tenant
 }
 
-func (l *executions) count(id string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.runs[id]
+func (e *executions) count(id string) int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.runs[id]
 }
 
 // server is a stand-in for a backend server behind a proxy.
@@ -63,8 +63,8 @@
 // drainBound is how long after the acknowledgment a leaving server may still get requests.
 const drainBound = 2 * time.Second
 
-func newServer(l *executions, serverLimits *limits, id, service string, controls []string, e *engine) (*server, error) {
-	s := &server{id: id, service: service, executions: l, limits: serverLimits, state: "ready", startedAt: time.Now().UnixMilli(), engine: e}
+func newServer(ex *executions, serverLimits *limits, id, service string, controls []string, e *engine) (*server, error) {
+	s := &server{id: id, service: service, executions: ex, limits: serverLimits, state: "ready", startedAt: time.Now().UnixMilli(), engine: e}
 	s.http = httptest.NewServer(s)
 	p, err := newProxy(strings.TrimPrefix(s.http.URL, "http://"))
 	if err != nil {
@@ -166,7 +166,7 @@
 			s.leaveAcknowledged = time.Now()
 		}
 		s.mu.Unlock()
-		pause(ctx, 400*time.Millisecond)
+		sleep(ctx, 400*time.Millisecond)
 	}
 }
 
@@ -205,7 +205,7 @@
 	return r.StatusCode
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/deploy/soak/soak_test.go
+++ b/deploy/soak/soak_test.go
@@ -10,7 +10,7 @@
 // shortRun is how long a seed runs under faults in the test.
 const shortRun = 6 * time.Second
 
-// Processes are killed, stopped, paused and wiped, connections are slowed, reset and
+// Processes are killed, stopped, suspended and wiped, connections are slowed, reset and
 // blocked, servers crash and leave, and documents race. In any order, each answer must
 // be complete and belong to its request, non-idempotent requests must run at most once,
 // refused requests must not have run, and acknowledged documents must be read back.
