--- a/internal/entry/caller/exchange.go
+++ b/internal/entry/caller/exchange.go
@@ -81,8 +81,8 @@
 
 // earlyRefusal returns the refusal of a request that was not examined further. For a
 // call with an Idempotency-Key the verdict is not not-run: an earlier send under
-// the key may have run, and a caller that takes it for not run would have the
-// work done a second time.
+// the key may have run, and after not-run its caller could have the work done a
+// second time by other means.
 func (x *exchange) earlyRefusal(err error) error {
 	e, ok := verdict.As(err)
 	if !ok || !isKeyed(x.request) {
--- a/internal/entry/caller/interfaces.go
+++ b/internal/entry/caller/interfaces.go
@@ -36,6 +36,6 @@
 
 // Tokenizer turns prompts into tokens for routing.
 type Tokenizer interface {
-	// Tokens returns the tokens of the prompt; a prefix of whole pieces of the prompt has a prefix of its tokens.
+	// Tokens returns the tokens of the prompt. Prompts that share a prefix of whole pieces must share its tokens.
 	Tokens(prompt []byte) []uint32
 }
--- a/internal/entry/completion/evaluation.go
+++ b/internal/entry/completion/evaluation.go
@@ -40,8 +40,8 @@
 	return ev.decision.Server != route.None
 }
 
-// mustQueue reports whether the chosen server has so much work that long requests wait in the queues of their
-// entries; others says whether further requests are waiting.
+// mustQueue reports whether the request must wait in the queue of this entry, because the chosen
+// server has too much work or because others, requests of the same queue, are already waiting.
 func (ev *evaluation) mustQueue(others bool) bool {
 	return fairness.Hold(ev.queuedWork(), others)
 }
--- a/internal/entry/completion/router.go
+++ b/internal/entry/completion/router.go
@@ -82,7 +82,7 @@
 }
 
 // checkContext refuses a prompt that is longer than its model's context. An
-// engine would refuse it only after reading and queueing it.
+// engine would refuse it only after it has received and queued it.
 func checkContext(q caller.Request) error {
 	limit := q.Model.ContextTokens
 	if limit <= 0 || len(q.Tokens) <= limit {
