--- a/internal/cli/settings/edit.go
+++ b/internal/cli/settings/edit.go
@@ -16,7 +16,7 @@
 	"hornbeamwood/internal/settings/tree"
 )
 
-// maxAttempts is how often an edit is sent in all while its outcome is unknown.
+// maxAttempts is the maximum number of times that an edit is sent while its outcome is unknown.
 const maxAttempts = 5
 
 // inForce is the only value of --wait.
