--- a/deploy/soak/limits.go
+++ b/deploy/soak/limits.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Terms of the guarantee on the rate limits that servers announce: from limitGrace after
+// Terms of the guarantee on the rate limits that servers announce. From limitGrace after
 // a server has announced a limit, it gets in each limitWindow at most limitFactor times
-// that limit plus limitSlack requests, counted from the entries that have passed on the
-// limit to a caller at least limitPropagation before.
+// that limit plus limitSlack requests. Only requests from entries count that have passed
+// on the limit to a caller at least limitPropagation before.
 const (
 	limitGrace       = 3 * time.Second
 	limitWindow      = 4 * time.Second
