--- a/internal/cache/directory/config.go
+++ b/internal/cache/directory/config.go
@@ -4,7 +4,7 @@
 
 // Defaults of Config.
 const (
-	DefaultPieces          = 2 << 20
+	DefaultLocations       = 2 << 20
 	DefaultServers         = 1024
 	DefaultListing         = 256 << 10
 	DefaultTombstone       = 2 * time.Minute
@@ -20,8 +20,8 @@
 type Config struct {
 	// Start is the local time at which the process started.
 	Start time.Time
-	// Pieces is the largest number of locations; further ones are not stored.
-	Pieces int
+	// Locations is the largest number of locations; further ones are not stored.
+	Locations int
 	// Servers is the largest number of engines and stores.
 	Servers int
 	// Listing is the largest number of this node's keys in one engine's listing.
@@ -37,7 +37,7 @@
 }
 
 func (c Config) withDefaults() Config {
-	c.Pieces = orDefault(c.Pieces, DefaultPieces)
+	c.Locations = orDefault(c.Locations, DefaultLocations)
 	c.Servers = orDefault(c.Servers, DefaultServers)
 	c.Listing = orDefault(c.Listing, DefaultListing)
 	c.Tombstone = orDefault(c.Tombstone, DefaultTombstone)
--- a/internal/cache/directory/directory.go
+++ b/internal/cache/directory/directory.go
@@ -48,7 +48,7 @@
 	c = c.withDefaults()
 	d := &directory{config: c, peers: newPeers(min(c.Servers, 1<<16-1))}
 	for i := range d.shards {
-		d.shards[i] = newShard(&d.count, c.Pieces)
+		d.shards[i] = newShard(&d.count, c.Locations)
 	}
 	d.pins.byKey = map[pinKey][]pin{}
 	d.deletions.pending = map[pinKey]Deletion{}
--- a/internal/cache/directory/directory_bench_test.go
+++ b/internal/cache/directory/directory_bench_test.go
@@ -48,7 +48,7 @@
 			var bytes uint64
 			for b.Loop() {
 				before := heap()
-				d := New(Config{Pieces: 4 << 20})
+				d := New(Config{Locations: 4 << 20})
 				fill(d, time.Unix(0, 0), n)
 				bytes = heap() - before
 				if p, _ := d.Size(); p != n {
@@ -63,7 +63,7 @@
 func BenchmarkLookup(b *testing.B) {
 	for _, n := range []int{10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprintf("pieces=%d", n), func(b *testing.B) {
-			d := New(Config{Pieces: 4 << 20})
+			d := New(Config{Locations: 4 << 20})
 			fill(d, time.Unix(0, 0), n)
 			keys := make([]block.Key, 8)
 			for i := range keys {
@@ -81,7 +81,7 @@
 // BenchmarkUpdate reports the time to apply one engine event.
 func BenchmarkUpdate(b *testing.B) {
 	const batch = 64
-	d, now := New(Config{Pieces: 4 << 20}), time.Unix(0, 0)
+	d, now := New(Config{Locations: 4 << 20}), time.Unix(0, 0)
 	fill(d, now, 100_000)
 	first := uint64(100_001)
 	keys := make([]block.Key, batch)
@@ -103,7 +103,7 @@
 }
 
 func BenchmarkSweep(b *testing.B) {
-	d := New(Config{Pieces: 4 << 20})
+	d := New(Config{Locations: 4 << 20})
 	fill(d, time.Unix(0, 0), 1_000_000)
 	for b.Loop() {
 		d.Sweep(time.Unix(1, 0))
--- a/internal/cache/quic/cache.go
+++ b/internal/cache/quic/cache.go
@@ -242,7 +242,7 @@
 			return
 		case <-t.C:
 		}
-		k.Each(func(identity string, incarnation uint64) {
+		k.EachIncarnation(func(identity string, incarnation uint64) {
 			k.Directory.ObserveIncarnation(k.Now(), identity, incarnation)
 		})
 		k.Directory.Sweep(k.Now())
--- a/internal/cache/quic/config.go
+++ b/internal/cache/quic/config.go
@@ -25,8 +25,8 @@
 	Stores func() []StoreVM
 	// Incarnation returns the newest known incarnation of an engine or store, zero for an unknown one.
 	Incarnation func(identity string) uint64
-	// Each calls its argument with the newest known incarnation of each engine and store.
-	Each func(each func(identity string, incarnation uint64))
+	// EachIncarnation calls its argument with the newest known incarnation of each engine and store.
+	EachIncarnation func(each func(identity string, incarnation uint64))
 	// Now returns the local time with its monotonic reading.
 	Now func() time.Time
 }
--- a/internal/control/quarantine/quarantine_test.go
+++ b/internal/control/quarantine/quarantine_test.go
@@ -46,7 +46,7 @@
 }
 
 func fingerprint(prompt string) suspicion.Fingerprint {
-	return suspicion.Of("w", "m", []byte(prompt))
+	return suspicion.FingerprintOf("w", "m", []byte(prompt))
 }
 
 // view returns v updated with the section's changes, as an entry does.
--- a/internal/entry/backend/config.go
+++ b/internal/entry/backend/config.go
@@ -25,7 +25,7 @@
 
 // LeaveNotifier notifies the other entries as soon as a server announces that it leaves.
 type LeaveNotifier interface {
-	Leaving(identity string)
+	PushLeaving(identity string)
 }
 
 // CacheReports receives cache events and returns whether the engine should send a full listing.
--- a/internal/entry/backend/handler.go
+++ b/internal/entry/backend/handler.go
@@ -79,7 +79,7 @@
 		return
 	}
 	if m.Leaving {
-		h.config.LeaveNotifier.Leaving(a.Identity)
+		h.config.LeaveNotifier.PushLeaving(a.Identity)
 	}
 	h.logMerge(a, m)
 	writeJSON(w, http.StatusOK, AnnouncementAnswer{Outcome: m.Outcome})
--- a/internal/entry/backend/handler_test.go
+++ b/internal/entry/backend/handler_test.go
@@ -22,7 +22,7 @@
 	wanted  bool
 }
 
-func (rec *recorder) Leaving(identity string) {
+func (rec *recorder) PushLeaving(identity string) {
 	rec.leaving = append(rec.leaving, identity)
 }
 
--- a/internal/entry/backend/order_issuer.go
+++ b/internal/entry/backend/order_issuer.go
@@ -175,7 +175,7 @@
 	if e.Number > 0 {
 		e.Write(oi.Logger, log.Fields{"engine": o.Engine, "order": o.ID, "state": o.State})
 	}
-	oi.Controller.Answered(oi.Now(), o)
+	oi.Controller.RecordOutcome(oi.Now(), o)
 	if o.Result == orders.Fenced {
 		oi.endLease("an engine has seen a higher fencing number")
 	}
--- a/internal/entry/caller/isolation_test.go
+++ b/internal/entry/caller/isolation_test.go
@@ -132,7 +132,7 @@
 			return fmt.Sprintf("%s sees a name of the other workspace in %s", me.name, text)
 		}
 		for _, q := range completer.requests() {
-			if suspicion.Of(q.Workspace, q.Model.Name, q.Prompt) == suspicion.Of(two.name, two.model, []byte("user\x00Hi\x00")) && q.Workspace != two.name {
+			if suspicion.FingerprintOf(q.Workspace, q.Model.Name, q.Prompt) == suspicion.FingerprintOf(two.name, two.model, []byte("user\x00Hi\x00")) && q.Workspace != two.name {
 				return "two workspaces share a fingerprint"
 			}
 		}
--- a/internal/entry/completion/evaluation.go
+++ b/internal/entry/completion/evaluation.go
@@ -43,7 +43,7 @@
 // mustQueue reports whether the request must wait in the queue of this entry, because the chosen
 // server has too much work or because others, requests of the same queue, are already waiting.
 func (ev *evaluation) mustQueue(others bool) bool {
-	return fairness.Hold(ev.queuedWork(), others)
+	return fairness.MustWait(ev.queuedWork(), others)
 }
 
 // admit returns the refusal of a request that is not admitted, for example because it would miss its deadline.
--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -22,8 +22,8 @@
 	Outgoing(now time.Time) []Envelope
 	// Receive merges a message from a peer and returns the replies to send.
 	Receive(now time.Time, from string, m Message) []Envelope
-	// Leaving makes the next Outgoing push the leaving state of a server to all peers; it is called after a Merge with Leaving set.
-	Leaving(identity string)
+	// PushLeaving makes the next Outgoing push the leaving state of a server to all peers; it is called after a Merge with PushLeaving set.
+	PushLeaving(identity string)
 	// Work returns the counts of the requests sent to each server.
 	Work() Work
 }
@@ -96,8 +96,8 @@
 	return g.work
 }
 
-// Leaving implements Gossip.
-func (g *gossip) Leaving(string) {
+// PushLeaving implements Gossip.
+func (g *gossip) PushLeaving(string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.pushDue = time.Time{}
--- a/internal/fleet/membership/gossip_test.go
+++ b/internal/fleet/membership/gossip_test.go
@@ -33,7 +33,7 @@
 	if m := all[0].table.Announce(now, a); !m.Leaving || m.Cause != LateLeaving {
 		t.Fatalf("got %+v", m)
 	}
-	all[0].gossip.Leaving(a.Identity)
+	all[0].gossip.PushLeaving(a.Identity)
 	for _, e := range all[0].gossip.Outgoing(now) {
 		all[1].gossip.Receive(now, "entry-0", e.Message)
 	}
--- a/internal/fleet/membership/leaving_test.go
+++ b/internal/fleet/membership/leaving_test.go
@@ -264,7 +264,7 @@
 	}
 	n.naive.merge(now, *d.a)
 	if m := n.table.Announce(now, *d.a); m.Leaving {
-		n.gossip.Leaving(d.a.Identity)
+		n.gossip.PushLeaving(d.a.Identity)
 	}
 }
 
--- a/internal/fleet/orders/controller.go
+++ b/internal/fleet/orders/controller.go
@@ -28,8 +28,8 @@
 	Plan(now time.Time, in Input) Plan
 	// MaySend reports whether the lease still allows sending an order of the last Plan.
 	MaySend(now time.Time, o Order) bool
-	// Answered records the outcome of sending an order or reading its state; it is called once for each Instruction.
-	Answered(now time.Time, o Outcome)
+	// RecordOutcome records the outcome of sending an order or reading its state; it is called once for each Instruction.
+	RecordOutcome(now time.Time, o Outcome)
 }
 
 // Input holds the wanted and the actual state that the controller compares.
@@ -228,8 +228,8 @@
 	c.drop(engine)
 }
 
-// Answered implements Controller.
-func (c *controller) Answered(now time.Time, o Outcome) {
+// RecordOutcome implements Controller.
+func (c *controller) RecordOutcome(now time.Time, o Outcome) {
 	j := c.jobs[o.Engine]
 	if j == nil || j.Order.ID != o.ID {
 		return
--- a/internal/fleet/orders/fencing_test.go
+++ b/internal/fleet/orders/fencing_test.go
@@ -114,7 +114,7 @@
 func (sim *simulation) sendUnsent(h *host) {
 	for _, i := range h.unsent {
 		if !h.c.MaySend(sim.clock(h), i.Order) {
-			h.c.Answered(sim.clock(h), Outcome{Engine: i.Engine, ID: i.Order.ID, Result: NotSent})
+			h.c.RecordOutcome(sim.clock(h), Outcome{Engine: i.Engine, ID: i.Order.ID, Result: NotSent})
 			continue
 		}
 		sim.exchange(h, i, func(e *engine) Outcome { return sim.order(e, i.Order) })
@@ -153,11 +153,11 @@
 	}
 	switch fault {
 	case 0:
-		sim.after(h, 2000, func() { h.c.Answered(sim.clock(h), lost) })
+		sim.after(h, 2000, func() { h.c.RecordOutcome(sim.clock(h), lost) })
 		return
 	case 1:
 		sim.after(nil, sim.r.IntN(4500), request)
-		sim.after(h, 2000, func() { h.c.Answered(sim.clock(h), lost) })
+		sim.after(h, 2000, func() { h.c.RecordOutcome(sim.clock(h), lost) })
 		return
 	case 2:
 		sim.duplicate(i, request)
@@ -170,7 +170,7 @@
 		if len(out) == 0 {
 			out = append(out, lost)
 		}
-		h.c.Answered(sim.clock(h), out[0])
+		h.c.RecordOutcome(sim.clock(h), out[0])
 	})
 }
 
--- a/internal/load/model/fair.go
+++ b/internal/load/model/fair.go
@@ -27,7 +27,7 @@
 }
 
 func (e *entry) mustWait(q *request, d *route.Decision) bool {
-	return e.usesFairQueue(q) && fairness.Hold(ahead(d), e.waitQueue(q).head != nil)
+	return e.usesFairQueue(q) && fairness.MustWait(ahead(d), e.waitQueue(q).head != nil)
 }
 
 // queueing returns the expected time that the request waits in the queue of this entry, assuming
@@ -71,7 +71,7 @@
 		q := w.head
 		query, cell, servers := e.routeQuery(q)
 		d := e.strategy.Decide(e.run.clock.time(), query, cell, e.random)
-		if d.Server == route.None || fairness.Hold(ahead(&d), false) {
+		if d.Server == route.None || fairness.MustWait(ahead(&d), false) {
 			return
 		}
 		w.head = nil
--- a/internal/policy/fairness/backlog.go
+++ b/internal/policy/fairness/backlog.go
@@ -7,9 +7,9 @@
 // these are used before requests wait.
 const BacklogThreshold = 10 * time.Second
 
-// Hold returns whether a request waits at its entry. ahead is the backlog at the chosen server, and
+// MustWait returns whether a request waits at its entry. ahead is the backlog at the chosen server, and
 // othersWaiting reports whether another request of its band is already waiting.
-func Hold(ahead time.Duration, othersWaiting bool) bool {
+func MustWait(ahead time.Duration, othersWaiting bool) bool {
 	return othersWaiting || ahead > BacklogThreshold
 }
 
--- a/internal/policy/suspicion/classify_test.go
+++ b/internal/policy/suspicion/classify_test.go
@@ -7,10 +7,10 @@
 )
 
 func TestFingerprintsOfWorkspacesDiffer(t *testing.T) {
-	if Of("a", "bc", nil) == Of("ab", "c", nil) || Of("a", "m", []byte("x")) == Of("b", "m", []byte("x")) {
+	if FingerprintOf("a", "bc", nil) == FingerprintOf("ab", "c", nil) || FingerprintOf("a", "m", []byte("x")) == FingerprintOf("b", "m", []byte("x")) {
 		t.Error("different workspaces or models share a fingerprint")
 	}
-	f := Of("a", "m", []byte("x"))
+	f := FingerprintOf("a", "m", []byte("x"))
 	if got, ok := Parse(f.String()); !ok || got != f {
 		t.Error("a fingerprint differs after formatting and parsing")
 	}
--- a/internal/policy/suspicion/fingerprint.go
+++ b/internal/policy/suspicion/fingerprint.go
@@ -9,9 +9,9 @@
 // Fingerprint identifies a prompt within one workspace and model.
 type Fingerprint [sha256.Size]byte
 
-// Of returns the fingerprint of a prompt; equal prompts of different workspaces or models have
+// FingerprintOf returns the fingerprint of a prompt; equal prompts of different workspaces or models have
 // different fingerprints.
-func Of(workspace, model string, prompt []byte) Fingerprint {
+func FingerprintOf(workspace, model string, prompt []byte) Fingerprint {
 	h := sha256.New()
 	var length [8]byte
 	for _, part := range []string{workspace, model} {
--- a/internal/process/entry/build.go
+++ b/internal/process/entry/build.go
@@ -99,16 +99,16 @@
 	x.exports = cacheengine.NewExports(cacheengine.Config{Engine: x.orders, Heads: x.stores})
 	x.directory = directory.New(directory.Config{Start: time.Now()})
 	x.cache = cachequic.New(cachequic.Config{
-		Node:        p.node,
-		Self:        p.config.File.Name,
-		Addresses:   p.peers(),
-		Directory:   x.directory,
-		Deleter:     deleter{table: x.table, stores: x.stores},
-		Lister:      x.stores,
-		Stores:      readyStores(x.table),
-		Incarnation: incarnations(x.table),
-		Each:        eachIncarnation(x.table),
-		Now:         time.Now,
+		Node:            p.node,
+		Self:            p.config.File.Name,
+		Addresses:       p.peers(),
+		Directory:       x.directory,
+		Deleter:         deleter{table: x.table, stores: x.stores},
+		Lister:          x.stores,
+		Stores:          readyStores(x.table),
+		Incarnation:     incarnations(x.table),
+		EachIncarnation: eachIncarnation(x.table),
+		Now:             time.Now,
 	})
 }
 
