--- a/internal/serve/caller/choose.go
+++ b/internal/serve/caller/choose.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// oldVersionMillis is the cost in milliseconds of an engine without the newest weights: a
-	// quarter of the latency target of a first event.
+	// oldVersionMillis is the cost in milliseconds of an engine without the target version of
+	// the weights: a quarter of the latency target of a first event.
 	oldVersionMillis = 250.0
 	// assumedPrefillTime is how long after it was sent to an engine a part is assumed to be
 	// available from there: the prefill time of a long part.
@@ -106,8 +106,8 @@
 }
 
 // outdated returns whether no request may start on weights of that version any more. Operators
-// are guaranteed a time from which on all responses use the weights that they named, so an
-// engine that loads them late must not serve.
+// are guaranteed a time from which on all responses use the target version that they set, so
+// an engine that loads it late must not serve.
 func (j *job) outdated(version int64) bool {
 	model := j.request.Prompt.Model
 	return version < j.Site.TargetVersion(model) && j.Site.VersionExpired(model)
@@ -118,7 +118,7 @@
 func (j *job) chooseEngine(e document.Engine) (choice, bool) {
 	now := time.Now()
 	prompt := j.request.Prompt
-	newest := j.Site.TargetVersion(prompt.Model)
+	target := j.Site.TargetVersion(prompt.Model)
 	groups := map[int64][]choose.Candidate{}
 	for _, c := range j.candidates(now) {
 		if j.Site.Busy(c.Server.ID) {
@@ -134,7 +134,7 @@
 	best, fits := -1.0, false
 	for v, all := range groups {
 		p := j.enginePicker(e, v, now).Pick(all)
-		if v < newest {
+		if v < target {
 			p.CostMillis += oldVersionMillis
 		}
 		if p.Index < 0 || fits && !p.Fits || fits == p.Fits && best >= 0 && p.CostMillis >= best {
@@ -143,7 +143,7 @@
 		best, fits = p.CostMillis, p.Fits
 		found = j.engineChoice(e, v, all[p.Index], p, now)
 		found.free = p.FreeTokens
-		found.fields["candidates"], found.fields["newest"] = len(all), newest
+		found.fields["candidates"], found.fields["newest"] = len(all), target
 	}
 	found.fits = fits
 	return found, best >= 0
--- a/internal/serve/caller/config.go
+++ b/internal/serve/caller/config.go
@@ -57,10 +57,10 @@
 	Version(s directory.Server, model string) int64
 	// ObserveVersion records the version stated in a server's response.
 	ObserveVersion(server, model string, version int64)
-	// TargetVersion returns the version that was named for the model, zero for none.
+	// TargetVersion returns the target version of the model's weights, zero for none.
 	TargetVersion(model string) int64
-	// VersionExpired returns whether new weights of the model were named so long ago that no
-	// request may be sent to older ones.
+	// VersionExpired returns whether the model's target version was set so long ago that no
+	// request may be sent to older weights.
 	VersionExpired(model string) bool
 	// Busy returns whether the server carries out an order that prevents it from serving the
 	// model.
--- a/internal/serve/caller/fake_test.go
+++ b/internal/serve/caller/fake_test.go
@@ -36,7 +36,7 @@
 		Attempt: q.Header.Get("A-Id"), Method: q.Method, Host: q.Host, Target: q.RequestURI,
 		Key: q.Header.Get("A-Key"), Header: q.Header.Clone(),
 	}
-	if n, err := strconv.Atoi(q.Header.Get("A-Patience")); err == nil {
+	if n, err := strconv.Atoi(q.Header.Get("A-Timeout")); err == nil {
 		r.CallerTimeout = time.Duration(n) * time.Millisecond
 	}
 	if q.Header.Get("A-Prompt") != "" {
@@ -66,9 +66,9 @@
 	// the servers are gone.
 	mu         sync.Mutex
 	busy, gone bool
-	// version is the version of the engines' weights, newest the one that was named. outdated is
+	// version is the version of the engines' weights, target the target version. outdated is
 	// set if no request may start on older weights.
-	version, newest int64
+	version, target int64
 	outdated        bool
 }
 
@@ -102,7 +102,7 @@
 func (s *fakeSite) TargetVersion(string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(1, s.newest)
+	return max(1, s.target)
 }
 
 func (s *fakeSite) VersionExpired(string) bool {
--- a/internal/serve/caller/gateway.go
+++ b/internal/serve/caller/gateway.go
@@ -111,8 +111,8 @@
 		return t
 	}
 	wait := documentWait
-	if p := j.request.CallerTimeout; p > 0 {
-		wait = min(wait, p/4)
+	if timeout := j.request.CallerTimeout; timeout > 0 {
+		wait = min(wait, timeout/4)
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
--- a/internal/serve/caller/gateway_test.go
+++ b/internal/serve/caller/gateway_test.go
@@ -255,7 +255,7 @@
 	}
 	q.Host = "h"
 	q.Header.Set("A-Id", "r1")
-	q.Header.Set("A-Patience", "400")
+	q.Header.Set("A-Timeout", "400")
 	r, err := http.DefaultClient.Do(q)
 	if err != nil {
 		t.Fatal(err)
@@ -412,7 +412,7 @@
 	}
 }
 
-// New weights were named and the last engine loads them late. A prompt that started on its old
+// A new target version was set and the last engine loads it late. A prompt that started on its old
 // weights after the guaranteed time would violate the operator's setting; it must wait for an
 // engine with the new ones.
 func TestPromptWaitsForNamedWeights(t *testing.T) {
@@ -420,7 +420,7 @@
 	set := func(version int64, outdated bool) {
 		b.site.mu.Lock()
 		defer b.site.mu.Unlock()
-		b.site.version, b.site.newest, b.site.outdated = version, 2, outdated
+		b.site.version, b.site.target, b.site.outdated = version, 2, outdated
 	}
 	set(1, true)
 	status := b.prompt(t)
--- a/internal/serve/share/aggregator.go
+++ b/internal/serve/share/aggregator.go
@@ -46,13 +46,13 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := Sum{Loads: map[uint32]Load{}, Sequences: map[uint32]uint64{}}
-	for entry, p := range a.reports {
-		if now.Sub(p.at) > reportTimeout {
+	for entry, r := range a.reports {
+		if now.Sub(r.at) > reportTimeout {
 			delete(a.reports, entry)
 			continue
 		}
-		s.Sequences[hash(entry)] = p.report.Sequence
-		for server, l := range p.report.Loads {
+		s.Sequences[hash(entry)] = r.report.Sequence
+		for server, l := range r.report.Loads {
 			h := hash(server)
 			s.Loads[h] = s.Loads[h].Plus(l)
 		}
--- a/internal/serve/share/share_test.go
+++ b/internal/serve/share/share_test.go
@@ -46,8 +46,8 @@
 	}
 	for i := range 20 {
 		sent := now.Add(time.Duration(i) * time.Second)
-		p, _ := a.NextReport(Loads{"s": {InFlight: i + 1}}, false, sent)
-		aggregator.Add(p, sent)
+		r, _ := a.NextReport(Loads{"s": {InFlight: i + 1}}, false, sent)
+		aggregator.Add(r, sent)
 		a.Apply(aggregator.Sum(sent), sent.Add(300*time.Millisecond))
 		a.Apply(aggregator.Sum(sent), sent.Add(800*time.Millisecond))
 	}
@@ -60,8 +60,8 @@
 // engine that has long been free.
 func TestReportOfLostEntryExpires(t *testing.T) {
 	a, aggregator := NewPeerLoads("a"), NewAggregator()
-	p, _ := a.NextReport(Loads{"s": {InFlight: 9}}, false, now)
-	aggregator.Add(p, now)
+	r, _ := a.NextReport(Loads{"s": {InFlight: 9}}, false, now)
+	aggregator.Add(r, now)
 	if l := aggregator.Sum(now.Add(reportTimeout + time.Millisecond)).Loads[hash("s")]; l.InFlight != 0 {
 		t.Errorf("still counted: %+v", l)
 	}
--- a/internal/serve/waitqueue/load_test.go
+++ b/internal/serve/waitqueue/load_test.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// target is when a first event is due, patience how long a caller waits for it, run how long a
+	// target is when a first event is due, callerTimeout how long a caller waits for it, run how long a
 	// request holds its capacity.
-	target   = time.Second
-	patience = 4 * time.Second
-	run      = 1500 * time.Millisecond
+	target        = time.Second
+	callerTimeout = 4 * time.Second
+	run           = 1500 * time.Millisecond
 	// engineCapacity is an engine's memory in tokens; usual, large and small are sizes of
 	// requests.
 	engineCapacity = 90_000
@@ -97,7 +97,7 @@
 // serve takes one request through the queue as an entry does.
 func serve(t *testing.T, q Queue, pool *engines, tokens int) outcome {
 	arrived := time.Now()
-	a := Item{Rank: Rank{TargetTime: arrived.Add(target)}, Tokens: tokens, SendBy: arrived.Add(patience)}
+	a := Item{Rank: Rank{TargetTime: arrived.Add(target)}, Tokens: tokens, SendBy: arrived.Add(callerTimeout)}
 	o := outcome{tokens: tokens}
 	at := pool.take(tokens)
 	if at >= 0 {
@@ -162,7 +162,7 @@
 			if !o.sent {
 				refused++
 			}
-			if o.waited > patience*3/4 {
+			if o.waited > callerTimeout*3/4 {
 				waitedLong++
 			}
 			if !o.sent && o.retryAfter <= 0 {
@@ -228,7 +228,7 @@
 	all := simulate(t, x)
 	waitedLong := 0
 	for _, o := range all {
-		if o.waited > patience*3/4 {
+		if o.waited > callerTimeout*3/4 {
 			waitedLong++
 		}
 	}
