--- a/internal/site/directory/server.go
+++ b/internal/site/directory/server.go
@@ -25,7 +25,7 @@
 	Slots int
 	// State is the readiness that the server announces.
 	State State
-	// Silent says that announcements have stopped arriving.
+	// Silent is set if announcements have stopped arriving.
 	Silent bool
 	// WarmUp is how long the server stays slow after the announcement.
 	WarmUp time.Duration
@@ -71,7 +71,7 @@
 	return 0, false
 }
 
-// Newer returns whether s replaces o, which has the same ID.
+// Newer returns whether s replaces other, which has the same ID.
 //
 // A row of a later incarnation is newer than any row of an earlier one, whatever its sequence.
 // Within an incarnation leaving is final: a delayed announcement
@@ -88,7 +88,7 @@
 	return s.Silent && !other.Silent
 }
 
-// SameRouting returns whether s and o are the same for routing.
+// SameRouting returns whether s and other are the same for routing.
 func (s Server) SameRouting(other Server) bool {
 	if len(s.Models) != len(other.Models) {
 		return false
--- a/internal/site/document/engine.go
+++ b/internal/site/document/engine.go
@@ -10,7 +10,7 @@
 	TokenBytes float64 `cbor:"token-bytes"`
 	// LinkRate is the rate of the link for KV cache transfers, in bytes per second.
 	LinkRate float64 `cbor:"link-rate"`
-	// Managed says that the stores of the engines keep parts until they are freed.
+	// Managed is set if the stores of the engines keep parts until they are freed.
 	Managed bool `cbor:"managed"`
 	// TokensPerEvent is how many tokens one event of a stream contains.
 	TokensPerEvent int `cbor:"stride"`
--- a/internal/site/document/route.go
+++ b/internal/site/document/route.go
@@ -26,11 +26,11 @@
 	Shares []Share `cbor:"shares"`
 	// MaxAttempts is the largest number of servers on which one attempt of a caller may run.
 	MaxAttempts int `cbor:"max-attempts"`
-	// Public says that no API key is required.
+	// Public is set if no API key is required.
 	Public bool `cbor:"public"`
-	// Prompts says that requests contain prompts for engines.
+	// Prompts is set if requests contain prompts for engines.
 	Prompts bool `cbor:"prompts"`
-	// Resumable says that a stream may be resumed on another server.
+	// Resumable is set if a stream may be resumed on another server.
 	Resumable bool `cbor:"resumable"`
 }
 
--- a/internal/site/document/store.go
+++ b/internal/site/document/store.go
@@ -16,7 +16,7 @@
 	LinkRate float64 `cbor:"link-rate"`
 	// Latency is the minimum delay of each transfer.
 	Latency time.Duration `cbor:"first"`
-	// Managed says that it keeps parts until they are freed.
+	// Managed is set if it keeps parts until they are freed.
 	Managed bool `cbor:"managed"`
 	// MaxFeeds is how many concurrent polls for cache events it accepts.
 	MaxFeeds int `cbor:"max-feeds"`
--- a/internal/site/document/table.go
+++ b/internal/site/document/table.go
@@ -21,7 +21,7 @@
 	services   map[string]int
 }
 
-// NewTable returns the Table of a document that has passed Check.
+// NewTable returns the Table of a document that Validate accepts.
 func NewTable(d Document) Table {
 	t := &table{document: d, hosts: map[string]map[string]int{}, workspaces: map[string]int{}, services: map[string]int{}}
 	for i, r := range d.Routes {
--- a/internal/site/document/validate.go
+++ b/internal/site/document/validate.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// ErrInvalid is wrapped by every error of Document.Check.
+// ErrInvalid is wrapped by every error of Document.Validate.
 var ErrInvalid = errors.New("the document is invalid")
 
 // Validate returns an error that wraps ErrInvalid if the document can't be activated.
--- a/internal/site/document/workspace.go
+++ b/internal/site/document/workspace.go
@@ -8,6 +8,6 @@
 	Keys []string `cbor:"keys"`
 	// Priority, if set, takes precedence over the route's priority.
 	Priority *int `cbor:"priority,omitempty"`
-	// Isolated says that the workspace shares no KV cache with other workspaces.
+	// Isolated is set if the workspace shares no KV cache with other workspaces.
 	Isolated bool `cbor:"isolated"`
 }
--- a/internal/site/host/host.go
+++ b/internal/site/host/host.go
@@ -18,7 +18,7 @@
 	Internal string
 	// Seeds are the internal addresses of some control replicas.
 	Seeds []string
-	// FirstStart says that the site starts for the first time, with blank disks.
+	// FirstStart is set if the site starts for the first time, with blank disks.
 	FirstStart bool
 	// DataFolder is the folder in which a control replica stores its state.
 	DataFolder string
@@ -36,7 +36,7 @@
 	Grace time.Duration
 	// Lease is how long the holder of the order lease keeps it without a renewal.
 	Lease time.Duration
-	// WeightsDeadline is how long after new weights were named requests may still begin on older ones; zero for no bound.
+	// WeightsDeadline is how long after a target version of weights was set requests may still begin on older ones; zero for no bound.
 	WeightsDeadline time.Duration
 	// RetryRatio is the share of a service's requests that may be retried within RetryWindow.
 	RetryRatio float64
--- a/internal/site/section/command.go
+++ b/internal/site/section/command.go
@@ -52,11 +52,11 @@
 
 // Result is the result of a Command.
 type Result struct {
-	// Accepted says that the command was valid, even if it changed nothing.
+	// Accepted is set if the command was valid, even if it changed nothing.
 	Accepted bool `cbor:"taken"`
-	// MissingChunks says that the command left out chunks that are no longer stored. It has changed nothing, and the caller sends it again with all chunks.
+	// MissingChunks is set if the command left out chunks that are no longer stored. It has changed nothing, and the caller sends it again with all chunks.
 	MissingChunks bool `cbor:"lacking,omitempty"`
-	// Changed says that the command changed the state.
+	// Changed is set if the command changed the state.
 	Changed bool `cbor:"changed"`
 	// Revision is the revision of the active document.
 	Revision int64 `cbor:"number"`
--- a/internal/site/topic/topic.go
+++ b/internal/site/topic/topic.go
@@ -59,7 +59,7 @@
 	Address string
 	// Listed is when the store was listed, in Unix nanoseconds. It makes each listing a change of the row, even when it equals the last one.
 	Listed int64
-	// ReplacesEarlier says that the summary replaces all earlier rows about the store.
+	// ReplacesEarlier is set if the summary replaces all earlier rows about the store.
 	ReplacesEarlier bool
 	// Parts are the parts' hashes, Tokens their sizes.
 	Parts  []uint64
--- a/internal/site/watch/follower.go
+++ b/internal/site/watch/follower.go
@@ -66,7 +66,7 @@
 	mu         sync.Mutex
 	cancels    map[string]context.CancelFunc
 	lastAnswer map[string]time.Time
-	// queue holds the replicas that wait for their first poll; draining says that a goroutine sends these polls.
+	// queue holds the replicas that wait for their first poll; draining is set while a goroutine sends these polls.
 	queue    []firstPoll
 	draining bool
 	running  sync.WaitGroup
--- a/internal/site/watch/mirrors_test.go
+++ b/internal/site/watch/mirrors_test.go
@@ -97,9 +97,9 @@
 }
 
 // relayedChange returns whether the last change of any relayed row lies between two revisions.
-func relayedChange(b rowtable.Table, after, upTo uint64) bool {
-	rows, _ := b.Since(after)
-	later, _ := b.Since(upTo)
+func relayedChange(table rowtable.Table, after, upTo uint64) bool {
+	rows, _ := table.Since(after)
+	later, _ := table.Since(upTo)
 	count := func(rows []rowtable.Row) int {
 		n := 0
 		for _, r := range rows {
@@ -167,14 +167,14 @@
 
 // Guards against a new lease holder losing the lease because it has to send all rows to every entry of a large site.
 func TestNewHolderSendsStoreRowsToRelaysOnly(t *testing.T) {
-	b := rowtable.New(1)
-	b.Put(directTopic, "server", []byte{1})
+	table := rowtable.New(1)
+	table.Put(directTopic, "server", []byte{1})
 	for i := range 2000 {
-		b.Put(relayedTopic, fmt.Sprintf("%020d", i), []byte{1, 2, 3})
+		table.Put(relayedTopic, fmt.Sprintf("%020d", i), []byte{1, 2, 3})
 	}
 	s := &server{
 		watchers: map[string]watcher{}, advanced: make(chan struct{}),
-		Config: Config{Table: b, Excluded: relayed, RoundInterval: defaultRoundInterval, CaughtUp: func() bool { return true }, Holder: func() (uint64, int64) { return 1, 0 }},
+		Config: Config{Table: table, Excluded: relayed, RoundInterval: defaultRoundInterval, CaughtUp: func() bool { return true }, Holder: func() (uint64, int64) { return 1, 0 }},
 	}
 	rows := func(p Poll) int {
 		a, err := s.watch(t.Context(), rpc.Peer{}, p)
--- a/internal/site/watch/protocol.go
+++ b/internal/site/watch/protocol.go
@@ -19,13 +19,13 @@
 	// Epoch and Revision are those of the last answer; zero at first.
 	Epoch    uint64 `cbor:"epoch"`
 	Revision uint64 `cbor:"number"`
-	// CatchingUp says that the last answer left out rows, so that the next answer doesn't wait for further changes.
+	// CatchingUp is set if the last answer left out rows, so that the next answer doesn't wait for further changes.
 	CatchingUp bool `cbor:"catching"`
 	// Wait is how long the answer may wait for a change.
 	Wait time.Duration `cbor:"wait"`
-	// Relayed says that the watcher gets the rows about stores and orders from its relay.
+	// Relayed is set if the watcher gets the rows about stores and orders from its relay.
 	Relayed bool `cbor:"relayed,omitempty"`
-	// Relay says that the watcher relays those rows, and Acknowledged is the revision up to which all entries that it serves have them.
+	// Relay is set if the watcher relays those rows, and Acknowledged is the revision up to which all entries that it serves have them.
 	Relay        bool   `cbor:"relay,omitempty"`
 	Acknowledged uint64 `cbor:"known,omitempty"`
 }
@@ -38,9 +38,9 @@
 	Revision uint64 `cbor:"number"`
 	// Rows changed since the last answer.
 	Rows []rowtable.Row `cbor:"rows"`
-	// More says that there are more rows than fit in one answer.
+	// More is set if there are more rows than fit in one answer.
 	More bool `cbor:"more"`
-	// CaughtUp says that the replica is in contact with a leader and has applied what that leader had committed.
+	// CaughtUp is set if the replica is in contact with a leader and has applied what that leader had committed.
 	CaughtUp bool `cbor:"caught-up"`
 	// Entries is how many entries polled the replica recently.
 	Entries int `cbor:"entries"`
@@ -83,7 +83,7 @@
 	Watcher string `cbor:"watcher"`
 	// Positions is the watcher's position in each mirror, by the holder's address.
 	Positions map[string]Position `cbor:"known"`
-	// CatchingUp says that the last answer left out rows, so that the next answer doesn't wait for further changes.
+	// CatchingUp is set if the last answer left out rows, so that the next answer doesn't wait for further changes.
 	CatchingUp bool `cbor:"catching"`
 	// Wait is how long the answer may wait for a change.
 	Wait time.Duration `cbor:"wait"`
@@ -102,7 +102,7 @@
 	Position Position `cbor:"copy"`
 	// Rows changed since the watcher's position.
 	Rows []rowtable.Row `cbor:"rows"`
-	// More says that there are more rows than fit in one answer.
+	// More is set if there are more rows than fit in one answer.
 	More bool `cbor:"more"`
 }
 
--- a/internal/site/watch/replica_mirror.go
+++ b/internal/site/watch/replica_mirror.go
@@ -9,7 +9,7 @@
 // maxSteps bounds the steps that are kept for a mirror: those of some minutes.
 const maxSteps = 4096
 
-// revisionStep says that a mirror at its own revision has all changes of the replica up to the source revision.
+// revisionStep records that a mirror at its own revision has all changes of the replica up to the source revision.
 type revisionStep struct {
 	revision, source uint64
 }
--- a/internal/site/watch/server.go
+++ b/internal/site/watch/server.go
@@ -134,7 +134,7 @@
 		time.Sleep(batchDelay)
 		return
 	}
-	// Rounds are at most maxRoundInterval or Pause apart, and the poll's caller waits for longer.
+	// Rounds are at most maxRoundInterval, or the configured RoundInterval, apart, and the poll's caller waits for longer.
 	time.Sleep(time.Until(s.nextRound(time.Now())))
 }
 
--- a/internal/site/watch/watch_test.go
+++ b/internal/site/watch/watch_test.go
@@ -33,10 +33,10 @@
 	return n
 }
 
-func serving(t *testing.T, b rowtable.Table) (rpc.Node, Server) {
+func serving(t *testing.T, table rowtable.Table) (rpc.Node, Server) {
 	t.Helper()
 	n := node(t, keys.Control)
-	s := NewServer(Config{Method: Watch, Node: n, Table: b, CaughtUp: func() bool { return true }, Holder: func() (uint64, int64) { return 0, 0 }})
+	s := NewServer(Config{Method: Watch, Node: n, Table: table, CaughtUp: func() bool { return true }, Holder: func() (uint64, int64) { return 0, 0 }})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() { _ = n.Serve(ctx) }()
@@ -72,19 +72,19 @@
 // Guards against relays answering each other after each single change of their hints.
 func TestHintsBetweenRelaysComeInRounds(t *testing.T) {
 	// 0.4 s has two rounds, plus one before them and one that ends later.
-	const changes, pause, rounds = 40, 200 * time.Millisecond, 4
+	const changes, interval, rounds = 40, 200 * time.Millisecond, 4
 	for allInRounds, enough := range map[bool]func(n int) bool{
 		true:  func(n int) bool { return n <= rounds },
 		false: func(n int) bool { return n > rounds },
 	} {
-		b := rowtable.New(1)
+		table := rowtable.New(1)
 		s := &server{
 			watchers: map[string]watcher{}, advanced: make(chan struct{}),
-			Config: Config{Table: b, RoundInterval: func(int) time.Duration { return pause }, BatchReplicas: allInRounds, CaughtUp: func() bool { return true }, Holder: func() (uint64, int64) { return 0, 0 }},
+			Config: Config{Table: table, RoundInterval: func(int) time.Duration { return interval }, BatchReplicas: allInRounds, CaughtUp: func() bool { return true }, Holder: func() (uint64, int64) { return 0, 0 }},
 		}
 		go func() {
 			for i := range changes {
-				b.Put(5, "hint", []byte{byte(i)})
+				table.Put(5, "hint", []byte{byte(i)})
 				time.Sleep(10 * time.Millisecond)
 			}
 		}()
@@ -107,11 +107,11 @@
 // beginning, and no entry would learn the location of any part.
 func TestThousandsOfRowsAreSplitIntoAnswers(t *testing.T) {
 	const rows = 8000
-	b := rowtable.New(1)
+	table := rowtable.New(1)
 	for i := range rows {
-		b.Put(5, fmt.Sprintf("172.20.0.1:8000/m/1/%012d", i), []byte{1, 2, 3})
+		table.Put(5, fmt.Sprintf("172.20.0.1:8000/m/1/%012d", i), []byte{1, 2, 3})
 	}
-	server, _ := serving(t, b)
+	server, _ := serving(t, table)
 	var mu sync.Mutex
 	got, maxBytes := map[string]bool{}, 0
 	done := make(chan struct{})
@@ -148,13 +148,13 @@
 
 // A leaving server's announcement is acknowledged only once another replica has its row.
 func TestAwaitReplicas(t *testing.T) {
-	b := rowtable.New(1)
-	server, s := serving(t, b)
-	revision := b.Put(2, "s", []byte("leaving"))
+	table := rowtable.New(1)
+	server, s := serving(t, table)
+	revision := table.Put(2, "s", []byte("leaving"))
 	shortCtx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	if s.AwaitReplicas(shortCtx, revision, 1) {
-		t.Fatal("no replica polled, but one is said to have the row")
+		t.Fatal("no replica polled, but AwaitReplicas returned true")
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	f := NewFollower(FollowerConfig{Method: Watch, Node: node(t, keys.Control), Watcher: "r", Apply: func(string, Answer, time.Time) {}})
@@ -171,7 +171,7 @@
 // Guards against hundreds of entries that restart together polling all replicas at once.
 func TestReplicasArePolledOneByOne(t *testing.T) {
 	const silent = 3
-	asked := make(chan string, 1000)
+	polled := make(chan string, 1000)
 	var addresses []string
 	for range silent {
 		c, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -187,7 +187,7 @@
 				if _, _, err := c.ReadFrom(packet); err != nil {
 					return
 				}
-				asked <- address
+				polled <- address
 			}
 		}()
 	}
@@ -199,7 +199,7 @@
 	halfTimeout := time.After(firstAnswerTimeout / 2)
 	for more := true; more; {
 		select {
-		case a := <-asked:
+		case a := <-polled:
 			seen[a] = true
 		case <-halfTimeout:
 			more = false
@@ -211,7 +211,7 @@
 	end := time.After(10 * time.Second)
 	for len(seen) < silent {
 		select {
-		case a := <-asked:
+		case a := <-polled:
 			seen[a] = true
 		case <-end:
 			t.Fatalf("%d of %d replicas were polled while the others gave no answer", len(seen), silent)
--- a/internal/site/weights/client.go
+++ b/internal/site/weights/client.go
@@ -10,7 +10,7 @@
 type Report struct {
 	// Sequence counts the orders that the engine has accepted since its start.
 	Sequence int64
-	// Busy says that the engine is executing an order.
+	// Busy is set if the engine is executing an order.
 	Busy bool
 	// Running and Waiting are the numbers of its requests.
 	Running, Waiting int
--- a/internal/site/weights/rollout_test.go
+++ b/internal/site/weights/rollout_test.go
@@ -82,7 +82,7 @@
 	fenced bool
 	// load is how long a load takes, two seconds where it is zero.
 	load time.Duration
-	// crashed are engines that refuse connections; neverIdle has every other one report a running request forever.
+	// crashed are engines that refuse connections; neverIdle has all others report a running request forever.
 	crashed   map[string]bool
 	neverIdle bool
 }
