--- a/internal/process/control/control.go
+++ b/internal/process/control/control.go
@@ -28,7 +28,7 @@
 
 const (
 	headerTimeout = 5 * time.Second
-	// stopTimeout bounds the hand-over of leadership; a stop without a quorum must end too.
+	// stopTimeout bounds the transfer of leadership; a stop without a quorum must end too.
 	stopTimeout = 10 * time.Second
 )
 
@@ -178,7 +178,7 @@
 	return err
 }
 
-// close hands over leadership before it closes the connections, because the hand-over needs them.
+// close transfers leadership before it closes the connections, because the transfer needs them.
 func (p *process) close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
--- a/internal/process/entry/build.go
+++ b/internal/process/entry/build.go
@@ -36,10 +36,10 @@
 	"hornbeamwood/internal/settings/rules"
 )
 
-// returnPrior is the share of prompts that are expected to return, as long as there are no observations.
-const returnPrior = 0.5
+// reusePrior is the assumed share of prompts that are reused, as long as there are no observations.
+const reusePrior = 0.5
 
-// quarantineInterval is the time between two reads of the quarantine's record; suspects are sent to other entries at once.
+// quarantineInterval is the time between two reads of the quarantine's record; suspects are reported to other entries at once.
 const quarantineInterval = 2 * time.Second
 
 // build creates the components and registers the handlers of the QUIC node.
@@ -88,7 +88,7 @@
 		return fmt.Errorf("entry: %w", err)
 	}
 	x.work = g.Work()
-	x.leavers = g
+	x.leaveNotifier = g
 	x.gossip = fleetquic.New(fleetquic.Config{Node: p.node, Gossip: g, Addresses: p.peers(), Now: time.Now})
 	return nil
 }
@@ -130,7 +130,7 @@
 		Interval:    quarantineInterval,
 		Logger:      p.config.Logger,
 	})
-	g, err := backend.NewOrderIssuer(backend.OrderIssuerConfig{
+	issuer, err := backend.NewOrderIssuer(backend.OrderIssuerConfig{
 		Holder:     fmt.Sprintf("%s-%d", p.config.File.Name, p.incarnation),
 		Controller: orders.New(orders.Config{}),
 		Log:        x.control,
@@ -140,7 +140,7 @@
 		Now:        time.Now,
 		Logger:     p.config.Logger,
 	})
-	x.orderIssuer = g
+	x.orderIssuer = issuer
 	return err
 }
 
@@ -170,7 +170,7 @@
 		Strategy:       route.New(route.Config{}),
 		Admission:      admission.New(admission.Config{}),
 		Retry:          retries,
-		ReuseEstimator: placement.NewReuseEstimator(returnPrior),
+		ReuseEstimator: placement.NewReuseEstimator(reusePrior),
 		Guard:          x.guard,
 		Entries:        max(1, len(p.config.File.Entries)),
 		Metrics:        p.metrics,
@@ -199,7 +199,7 @@
 	}
 	b, err := backend.NewHandler(backend.HandlerConfig{
 		Table:         p.components.table,
-		LeaveNotifier: p.components.leavers,
+		LeaveNotifier: p.components.leaveNotifier,
 		CacheReports:  p.components.cache,
 		KeyDigests:    func() [][32]byte { return p.components.settings.View().Rules.Fleet.AnnounceKeyDigests },
 		Now:           time.Now,
--- a/internal/process/entry/calls_test.go
+++ b/internal/process/entry/calls_test.go
@@ -22,21 +22,21 @@
 	return service.Answer{Status: 201}, nil
 }
 
-type fakeKeeper struct {
+type fakeSettings struct {
 	settings.LeasedSettings
 	rules *rules.Snapshot
 }
 
-func (f fakeKeeper) View() follower.View { return follower.View{Rules: f.rules} }
+func (f fakeSettings) View() follower.View { return follower.View{Rules: f.rules} }
 
 // Guards against a non-idempotent call running again in another region, whose ledger
 // doesn't hold the claims of the home region. A resend of a stamp would put a second
 // certificate number on the lot.
 func TestCallsAreClaimedInTheWorkspacesRegion(t *testing.T) {
 	f := &fakeClient{}
-	k := fakeKeeper{rules: &rules.Snapshot{Workspaces: map[string]rules.Workspace{"gate": {Name: "gate", Region: "andes-centro"}}}}
+	s := fakeSettings{rules: &rules.Snapshot{Workspaces: map[string]rules.Workspace{"gate": {Name: "gate", Region: "andes-centro"}}}}
 	stamp := service.Request{Workspace: "gate", Service: "stamp", Rules: rules.Rules{NonIdempotent: true}}
-	away := calls{client: f, retries: retry.New(retry.Config{}), settings: k, region: "andes-norte"}
+	away := calls{client: f, retries: retry.New(retry.Config{}), settings: s, region: "andes-norte"}
 	if _, err := away.Call(context.Background(), stamp); verdict.Of(err) != verdict.MayHaveRun || f.calls != 0 {
 		t.Errorf("another region: %v after %d calls", err, f.calls)
 	}
--- a/internal/process/entry/components.go
+++ b/internal/process/entry/components.go
@@ -29,21 +29,21 @@
 	attemptIDBytes = 16
 )
 
-// components are the components of an entry.
+// components holds the components of an entry, which build creates.
 type components struct {
-	control  control.Client
-	settings settings.LeasedSettings
-	table    membership.Table
-	work     membership.Work
-	gossip   fleetquic.Carrier
-	cache    cachequic.Cache
-	engines  engine.Client
-	orders   backend.Engine
-	stores   store.Client
-	services service.Client
-	router   completion.Router
-	caller   caller.Handler
-	leavers  backend.LeaveNotifier
+	control       control.Client
+	settings      settings.LeasedSettings
+	table         membership.Table
+	work          membership.Work
+	gossip        fleetquic.Carrier
+	cache         cachequic.Cache
+	engines       engine.Client
+	orders        backend.Engine
+	stores        store.Client
+	services      service.Client
+	router        completion.Router
+	caller        caller.Handler
+	leaveNotifier backend.LeaveNotifier
 	// directory is this entry's share of the cache directory.
 	directory   directory.Directory
 	guard       quarantine.Guard
--- a/internal/process/sitecontrol/announcements.go
+++ b/internal/process/sitecontrol/announcements.go
@@ -25,7 +25,7 @@
 	// sweepInterval is the time between two searches for silent servers.
 	sweepInterval = 300 * time.Millisecond
 	// orphanTimeout is how long the replica that a server announces itself to
-	// must be without contact before the others judge the server themselves.
+	// must be without contact before the others decide whether the server is silent.
 	orphanTimeout = 4 * time.Second
 	// forgetAfter is how long the row of a server that is gone or silent is kept,
 	// so that delayed announcements don't bring the server back.
--- a/internal/process/sitecontrol/control.go
+++ b/internal/process/sitecontrol/control.go
@@ -35,7 +35,7 @@
 )
 
 const (
-	// stopTimeout bounds the hand-over of leadership; a stop without a quorum must end too.
+	// stopTimeout bounds the transfer of leadership; a stop without a quorum must end too.
 	stopTimeout = 3 * time.Second
 )
 
@@ -163,8 +163,8 @@
 	})
 	p.watchServer = server
 	rpc.Handle(p.node, watch.Chunks, func(_ context.Context, _ rpc.Peer, wanted []chunk.Digest) ([]chunk.Chunk, error) {
-		h, _ := p.section.Active()
-		return chunksOf(h, wanted), nil
+		active, _ := p.section.Active()
+		return chunksOf(active, wanted), nil
 	})
 	rpc.Receive(p.node, watch.PartUses, func(_ rpc.Peer, hashes []uint64) { p.storeFollower.use(hashes) })
 	p.follower = watch.NewFollower(watch.FollowerConfig{
@@ -192,16 +192,16 @@
 	gauge("applied_index", func(s replica.Status) uint64 { return s.Applied })
 	gauge("voters", func(s replica.Status) uint64 { return uint64(raft.NewConfiguration(s.Members...).Voters()) })
 	p.metrics.NewGauge("hornbeamwood_site_document", func() float64 {
-		h, _ := p.section.Active()
-		return float64(h.Document.Revision)
+		active, _ := p.section.Active()
+		return float64(active.Document.Revision)
 	})
 	p.metrics.NewGauge("hornbeamwood_quic_sent_bytes", func() float64 { return float64(p.node.BytesSent()) })
 }
 
 // showState copies the state of the log to the row table.
 func (p *process) showState() {
-	if h, ok := p.section.Active(); ok {
-		p.showDocument(h)
+	if active, ok := p.section.Active(); ok {
+		p.showDocument(active)
 	}
 	for model, version := range p.section.TargetVersions() {
 		p.put(topic.TargetVersions, model, version)
@@ -283,7 +283,7 @@
 	return err
 }
 
-// close hands over leadership before it closes the connections, because the hand-over needs them.
+// close transfers leadership before it closes the connections, because the transfer needs them.
 func (p *process) close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
--- a/internal/process/sitecontrol/document.go
+++ b/internal/process/sitecontrol/document.go
@@ -22,26 +22,26 @@
 // Entries request the chunks that they lack from one replica. If each replica sent
 // each entry a large document whole after each change, it would occupy the entries'
 // links for longer than a change may take to be in force.
-func (p *process) showDocument(h section.ActiveDocument) {
-	revision := h.Document.Revision
+func (p *process) showDocument(active section.ActiveDocument) {
+	revision := active.Document.Revision
 	if p.shownRevision.Load() == revision {
 		return
 	}
-	p.put(topic.DocumentChunks, "", topic.Document{Revision: revision, Chunks: chunk.Digests(h.Chunks)})
+	p.put(topic.DocumentChunks, "", topic.Document{Revision: revision, Chunks: chunk.Digests(active.Chunks)})
 	p.shownRevision.Store(revision)
 	bytes := 0
-	for _, c := range h.Chunks {
+	for _, c := range active.Chunks {
 		bytes += len(c.Data)
 	}
-	event.DocumentShown.Write(p.config.Logger, log.Fields{"number": revision, "routes": len(h.Document.Routes), "chunks": len(h.Chunks), "bytes": bytes})
+	event.DocumentShown.Write(p.config.Logger, log.Fields{"number": revision, "routes": len(active.Document.Routes), "chunks": len(active.Chunks), "bytes": bytes})
 }
 
 // chunksOf returns those of the wanted chunks that h has, in order and as many as fit into one answer.
-func chunksOf(h section.ActiveDocument, wanted []chunk.Digest) []chunk.Chunk {
+func chunksOf(active section.ActiveDocument, wanted []chunk.Digest) []chunk.Chunk {
 	var found []chunk.Chunk
 	bytes := 0
 	for _, d := range wanted {
-		c, ok := h.Chunk(d)
+		c, ok := active.Chunk(d)
 		if !ok {
 			continue
 		}
--- a/internal/process/sitecontrol/engine_caches.go
+++ b/internal/process/sitecontrol/engine_caches.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// engineListInterval is the time between two checks which engines announce themselves here.
+	// engineListInterval is the time between two checks of which engines announce themselves here.
 	engineListInterval = 200 * time.Millisecond
 	// enginePollPause is the time between two polls of an engine while there are few
 	// entries. Changes in between are sent in one row.
@@ -91,12 +91,12 @@
 			continue
 		}
 		c.relay.putCache(s.ID, topic.EngineCache{StartedAt: s.StartedAt, MinPartTokens: longPartTokens, Parts: maps.Clone(inventory.Parts())})
-		wait.For(ctx, c.pause())
+		wait.For(ctx, c.pollPause())
 	}
 }
 
-// pause returns the time between two polls of an engine.
-func (c *engineCacheFollower) pause() time.Duration {
+// pollPause returns the time between two polls of an engine.
+func (c *engineCacheFollower) pollPause() time.Duration {
 	if c.watchServer.Entries() > watch.MaxSingleRelayEntries {
 		return largeSitePollPause
 	}
--- a/internal/process/sitecontrol/followed_store.go
+++ b/internal/process/sitecontrol/followed_store.go
@@ -15,14 +15,14 @@
 	mu        sync.Mutex
 	inventory *stores.StoreInventory
 	cancel    context.CancelFunc
-	// listedAt is when the store was last listed as a whole. reported says that its
-	// availability was shown at least once, and up what was shown last. Only the
+	// listedAt is when the store was last listed as a whole. reported is set once its
+	// availability was shown, and up is what was shown last. Only the
 	// goroutine of watch uses these fields.
 	listedAt     time.Time
 	reported, up bool
 	// listRevision is the table's revision of the last row of a list.
 	listRevision uint64
-	// unfollowed says that the store is no longer followed.
+	// unfollowed is set if the store is no longer followed.
 	unfollowed bool
 }
 
@@ -31,20 +31,20 @@
 const maxRowParts = 4096
 
 // showStoreParts writes the present state of many parts to as few rows as possible. It does nothing once the store is unfollowed.
-func (l *storeFollower) showStoreParts(x *followedStore, size string, whole bool, parts []stores.Part) {
+func (sf *storeFollower) showStoreParts(x *followedStore, size string, whole bool, parts []stores.Part) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.unfollowed {
 		return
 	}
-	l.showPartsRow(x, size, whole, parts[:min(len(parts), maxRowParts)])
+	sf.showPartsRow(x, size, whole, parts[:min(len(parts), maxRowParts)])
 	for at := maxRowParts; at < len(parts); at += maxRowParts {
-		l.showPartsRow(x, size+"/"+strconv.Itoa(at), false, parts[at:min(len(parts), at+maxRowParts)])
+		sf.showPartsRow(x, size+"/"+strconv.Itoa(at), false, parts[at:min(len(parts), at+maxRowParts)])
 	}
 }
 
 // showPartsRow writes the present state of parts to one row; the caller holds x.mu.
-func (l *storeFollower) showPartsRow(x *followedStore, key string, whole bool, parts []stores.Part) {
+func (sf *storeFollower) showPartsRow(x *followedStore, key string, whole bool, parts []stores.Part) {
 	s := topic.StoreSummary{Address: x.inventory.Address, Listed: time.Now().UnixNano(), ReplacesEarlier: whole}
 	for _, p := range parts {
 		if tokens, ok := x.inventory.Fetchable(p); ok {
@@ -52,7 +52,7 @@
 			s.Tokens = append(s.Tokens, uint32(tokens))
 		}
 	}
-	x.listRevision = max(x.listRevision, l.put(topic.StoreSummaries, s.Address+"/"+key, s))
+	x.listRevision = max(x.listRevision, sf.put(topic.StoreSummaries, s.Address+"/"+key, s))
 }
 
 // bySize splits the parts into those of at least longPartTokens and the others.
@@ -68,13 +68,13 @@
 }
 
 // showParts sets the rows of the parts and returns the table's revision that includes every removal.
-func (l *storeFollower) showParts(x *followedStore, parts []stores.Part) uint64 {
+func (sf *storeFollower) showParts(x *followedStore, parts []stores.Part) uint64 {
 	revision := uint64(0)
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, p := range parts {
 		tokens, ok := x.inventory.Fetchable(p)
-		if n := l.showPart(x, p.AtStore(x.inventory.Address).Key(), tokens, ok); !ok {
+		if n := sf.showPart(x, p.AtStore(x.inventory.Address).Key(), tokens, ok); !ok {
 			revision = max(revision, n)
 		}
 	}
@@ -87,12 +87,12 @@
 // with a later revision takes precedence over it. Entries would go on fetching a part
 // that is about to be freed. Such a row is therefore changed and changed back, which
 // gives it a new revision.
-func (l *storeFollower) showPart(x *followedStore, key string, tokens int, whole bool) uint64 {
+func (sf *storeFollower) showPart(x *followedStore, key string, tokens int, whole bool) uint64 {
 	put := func(whole bool, tokens int) uint64 {
 		if whole {
-			return l.put(topic.Parts, key, tokens)
+			return sf.put(topic.Parts, key, tokens)
 		}
-		return l.table.Put(topic.Parts, key, nil)
+		return sf.table.Put(topic.Parts, key, nil)
 	}
 	n := put(whole, tokens)
 	if n >= x.listRevision {
--- a/internal/process/sitecontrol/lease.go
+++ b/internal/process/sitecontrol/lease.go
@@ -23,12 +23,12 @@
 	ordersLease = "orders"
 	// leaseDuration is how long the lease lasts without renewal. Until it expires no
 	// other replica can show entries the contents of stores and the load of all entries
-	// at engines, and engines compute again the prefill of stored parts.
+	// at engines, and engines prefill stored parts again.
 	leaseDuration = 1500 * time.Millisecond
 	// renewInterval is the time between two renewals. With orderMargin, a renewal may be
 	// late by as much again before orders stop.
 	renewInterval = 400 * time.Millisecond
-	// leaderCheckInterval is the time between two checks whether this replica leads the log and may request the lease.
+	// leaderCheckInterval is the time between two checks of whether this replica leads the log and may request the lease.
 	leaderCheckInterval = 40 * time.Millisecond
 	// renewTimeout bounds one renewal.
 	renewTimeout = time.Second
@@ -62,12 +62,12 @@
 	// refusedFencing is the highest fencing number under which this replica may no longer
 	// order: a server has refused it, or it dates from before a restart.
 	refusedFencing uint64
-	// released says that the process is stopping and no longer requests the lease.
+	// released is set if the process is stopping and no longer requests the lease.
 	released bool
 }
 
-// held returns the fencing number while orders may be given.
-func (h *leaseHolder) held() (uint64, bool) {
+// mayOrder returns the fencing number, and whether orders may be given now.
+func (h *leaseHolder) mayOrder() (uint64, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := boottime.Now()
--- a/internal/process/sitecontrol/lease_test.go
+++ b/internal/process/sitecontrol/lease_test.go
@@ -59,7 +59,7 @@
 	l := newLeaseLog()
 	first, second := l.leaseHolder("a"), l.leaseHolder("b")
 	first.renew(t.Context())
-	if _, ok := first.held(); !ok {
+	if _, ok := first.mayOrder(); !ok {
 		t.Fatal("the first holder of a new site need not wait, but may not order")
 	}
 	l.now = l.now.Add(leaseDuration - time.Millisecond)
@@ -72,7 +72,7 @@
 	if second.fencingNumber() == 0 {
 		t.Errorf("no replica holds the lease %s after its last renewal", leaseDuration)
 	}
-	if _, ok := second.held(); ok {
+	if _, ok := second.mayOrder(); ok {
 		t.Error("the second holder orders at once")
 	}
 	if wait := second.ordersFrom - second.grantedAt; wait < second.orderDelay {
@@ -94,7 +94,7 @@
 	if second.fencingNumber() == 0 {
 		t.Error("the next holder waits for a released lease")
 	}
-	if _, ok := second.held(); ok {
+	if _, ok := second.mayOrder(); ok {
 		t.Error("the second holder orders at once")
 	}
 }
@@ -196,7 +196,7 @@
 	if n := restarted.fencingNumber(); n != 0 {
 		t.Errorf("the old holder holds the lease again under %d", n)
 	}
-	if _, ok := leader.held(); ok {
+	if _, ok := leader.mayOrder(); ok {
 		t.Error("the next holder may order before the site's time between orders of two holders is over")
 	}
 }
--- a/internal/process/sitecontrol/loads.go
+++ b/internal/process/sitecontrol/loads.go
@@ -15,8 +15,8 @@
 	loadsRate = 20_000
 )
 
-// loadsPause returns the time between two sums of size bytes each for the given number of entries.
-func loadsPause(entries, size int) time.Duration {
+// sumsInterval returns the time between two sums of size bytes each for the given number of entries.
+func sumsInterval(entries, size int) time.Duration {
 	byEntries := time.Duration(1+entries/entriesPerInterval) * loadsInterval
 	byBytes := time.Duration(float64(size) / loadsRate * float64(time.Second))
 	return max(byEntries, byBytes)
--- a/internal/process/sitecontrol/loads_test.go
+++ b/internal/process/sitecontrol/loads_test.go
@@ -11,15 +11,15 @@
 func TestLoadsPauseBoundsTheRate(t *testing.T) {
 	for _, x := range []struct {
 		entries, size int
-		pause         time.Duration
+		interval      time.Duration
 	}{
 		{6, 160, 25 * time.Millisecond},
 		{86, 2_200, 150 * time.Millisecond},
 		{30, 5_000, 250 * time.Millisecond},
 		{100, 15_000, 750 * time.Millisecond},
 	} {
-		if got := loadsPause(x.entries, x.size); got != x.pause {
-			t.Errorf("%d entries, %d bytes: %s, not %s", x.entries, x.size, got, x.pause)
+		if got := sumsInterval(x.entries, x.size); got != x.interval {
+			t.Errorf("%d entries, %d bytes: %s, not %s", x.entries, x.size, got, x.interval)
 		}
 	}
 }
--- a/internal/process/sitecontrol/operator.go
+++ b/internal/process/sitecontrol/operator.go
@@ -57,11 +57,11 @@
 // log entry. Operators resend what wasn't acknowledged in time, and entries for resends
 // would slow down a slow log further.
 func (p *process) putDocument(ctx context.Context, d document.Document, source []byte) (section.Result, error) {
-	h, ok := p.section.Active()
-	if ok && d.Revision <= h.Document.Revision {
-		return section.Result{Accepted: true, Revision: h.Document.Revision}, nil
+	active, ok := p.section.Active()
+	if ok && d.Revision <= active.Document.Revision {
+		return section.Result{Accepted: true, Revision: active.Document.Revision}, nil
 	}
-	r, err := p.putDelta(ctx, h, d, source)
+	r, err := p.putDelta(ctx, active, d, source)
 	if err == nil && r.MissingChunks {
 		return p.putDelta(ctx, section.ActiveDocument{}, d, source)
 	}
@@ -69,8 +69,8 @@
 }
 
 // putDelta commits a document without the chunks that it shares with h.
-func (p *process) putDelta(ctx context.Context, h section.ActiveDocument, d document.Document, source []byte) (section.Result, error) {
-	put, err := section.NewPutChunks(d, source, h)
+func (p *process) putDelta(ctx context.Context, active section.ActiveDocument, d document.Document, source []byte) (section.Result, error) {
+	put, err := section.NewPutChunks(d, source, active)
 	if err != nil {
 		return section.Result{}, verdict.New(verdict.NotRun, http.StatusBadRequest, "malformed-document", "the document could not be encoded").WithCause(err)
 	}
@@ -115,14 +115,14 @@
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	err := p.leader.CatchUp(ctx)
-	h, ok := p.section.Active()
+	active, ok := p.section.Active()
 	if err == nil && !ok {
 		err = verdict.New(verdict.NotRun, http.StatusServiceUnavailable, "no-document", "no document is in force yet")
 	}
-	f := log.Fields{"number": h.Document.Revision}
+	f := log.Fields{"number": active.Document.Revision}
 	if err != nil {
 		f["error"] = err.Error()
 	}
 	event.DocumentRead.Write(p.config.Logger, f)
-	return h, err
+	return active, err
 }
--- a/internal/process/sitecontrol/outdated.go
+++ b/internal/process/sitecontrol/outdated.go
@@ -21,17 +21,17 @@
 // by side, and the stores have capacity for one set only. The share of old parts that is
 // withdrawn follows the share of engines that have left the old version, and is a little
 // ahead of it, since a part stays for some seconds after entries were notified.
-func (l *storeFollower) outdated() func(stores.Part) bool {
+func (sf *storeFollower) outdated() func(stores.Part) bool {
 	current, share := map[string]int64{}, map[string]float64{}
-	e := weightsSite{l.process}
-	for model, target := range l.section.TargetVersions() {
+	w := weightsSite{sf.process}
+	for model, target := range sf.section.TargetVersions() {
 		older, all := 0, 0
-		for _, s := range e.Engines() {
+		for _, s := range w.Engines() {
 			if _, ok := s.Version(model); !ok {
 				continue
 			}
 			all++
-			if e.Version(s, model) < target {
+			if w.Version(s, model) < target {
 				older++
 			}
 		}
--- a/internal/process/sitecontrol/relay.go
+++ b/internal/process/sitecontrol/relay.go
@@ -21,18 +21,18 @@
 )
 
 const (
-	// relayInterval is the time between two checks with which relays to exchange hints.
+	// relayInterval is the time between two checks of which relays to exchange hints with.
 	relayInterval = 250 * time.Millisecond
 	// peerTimeout is how long another relay's hints count after its last contact.
 	peerTimeout = 2 * time.Second
 	// selfMirrorPause is the time between two copies of this replica's own rows.
 	selfMirrorPause = 20 * time.Millisecond
-	// hintsPausePerEntry is how long hints are batched for each entry that the relay
+	// hintsIntervalPerEntry is how long hints are batched for each entry that the relay
 	// serves, so that its answers per second don't grow with the number of entries.
-	hintsPausePerEntry = 2 * time.Millisecond
-	// holderStatesPause is the time between two rounds of rows on stores and orders. These
+	hintsIntervalPerEntry = 2 * time.Millisecond
+	// holderStatesInterval is the time between two rounds of rows on stores and orders. These
 	// rows change all the time, and a part is usually requested again only seconds later.
-	holderStatesPause = 250 * time.Millisecond
+	holderStatesInterval = 250 * time.Millisecond
 )
 
 // relay exchanges hints between entries: their load at each engine, which engines
@@ -82,12 +82,12 @@
 		peerSums: map[string]share.Sum{}, followedEngines: map[string]map[string]bool{},
 	}
 	noLease := func() (uint64, int64) { return 0, 0 }
-	r.entries = watch.NewServer(watch.Config{Method: watch.Hints, Zone: c.zone, Node: c.node, Table: r.allHints, CaughtUp: c.caughtUp, Holder: noLease, RoundInterval: r.hintsPause})
+	r.entries = watch.NewServer(watch.Config{Method: watch.Hints, Zone: c.zone, Node: c.node, Table: r.allHints, CaughtUp: c.caughtUp, Holder: noLease, RoundInterval: r.hintsInterval})
 	watch.NewServer(watch.Config{
 		Method: watch.Exchange, Zone: c.zone, Node: c.node, Table: r.localHints, CaughtUp: c.caughtUp, Holder: noLease,
 		RoundInterval: func(int) time.Duration { return watch.LargeSiteInterval }, BatchReplicas: true,
 	})
-	r.mirrors = watch.NewMirrors(watch.MirrorsConfig{Node: c.node, Relayed: topic.Relayed, RoundInterval: func(int) time.Duration { return holderStatesPause }})
+	r.mirrors = watch.NewMirrors(watch.MirrorsConfig{Node: c.node, Relayed: topic.Relayed, RoundInterval: func(int) time.Duration { return holderStatesInterval }})
 	rpc.Receive(c.node, watch.Loads, func(_ rpc.Peer, l share.Report) { r.loads.Add(l, time.Now()) })
 	rpc.Receive(c.node, watch.Prefills, func(_ rpc.Peer, all []watch.Prefill) { r.applyPrefills(all) })
 	r.follower = watch.NewFollower(watch.FollowerConfig{
@@ -103,34 +103,34 @@
 }
 
 // mirrorSelf copies this replica's own rows to the mirrors, for the entries that it serves, until ctx ends.
-func (r *relay) mirrorSelf(ctx context.Context, b rowtable.Table, fencing func() uint64) {
+func (r *relay) mirrorSelf(ctx context.Context, table rowtable.Table, fencing func() uint64) {
 	for revision := uint64(0); ctx.Err() == nil; {
 		r.mirrors.BeginPoll(r.self)
-		a := watch.Answer{Epoch: b.Epoch(), Fencing: fencing()}
-		a.Rows, a.Revision = b.Since(revision)
+		a := watch.Answer{Epoch: table.Epoch(), Fencing: fencing()}
+		a.Rows, a.Revision = table.Since(revision)
 		revision = a.Revision
 		r.mirrors.Apply(r.self, a)
-		if b.ChangedAfter(revision) {
+		if table.ChangedAfter(revision) {
 			continue
 		}
 		waiting, cancel := context.WithTimeout(ctx, relayInterval)
-		b.Wait(waiting, revision)
+		table.Wait(waiting, revision)
 		cancel()
 		wait.For(ctx, selfMirrorPause)
 	}
 }
 
-// hintsPause returns the time between two rounds of hints to the given number of entries.
-func (r *relay) hintsPause(entries int) time.Duration {
-	return r.siteAdjusted(time.Duration(max(1, entries)) * hintsPausePerEntry)
+// hintsInterval returns the time between two rounds of hints to the given number of entries.
+func (r *relay) hintsInterval(entries int) time.Duration {
+	return r.siteInterval(time.Duration(max(1, entries)) * hintsIntervalPerEntry)
 }
 
-// siteAdjusted returns the pause, on a large site watch.LargeSitePause at least.
-func (r *relay) siteAdjusted(pause time.Duration) time.Duration {
+// siteInterval returns the interval, on a large site watch.LargeSiteInterval at least.
+func (r *relay) siteInterval(interval time.Duration) time.Duration {
 	if r.siteEntries() > watch.MaxSingleRelayEntries {
-		return max(pause, watch.LargeSiteInterval)
+		return max(interval, watch.LargeSiteInterval)
 	}
-	return pause
+	return interval
 }
 
 // put shows a hint that this replica has received.
--- a/internal/process/sitecontrol/relay_caches.go
+++ b/internal/process/sitecontrol/relay_caches.go
@@ -29,7 +29,7 @@
 // applyCache applies a relay's row of an engine's cache, or its removal.
 //
 // For a moment, two replicas show the cache of an engine that now announces itself to
-// another one. A removal by the former replica must not remove the row of the new one.
+// another one. A removal by the previous replica must not remove the row of the new one.
 func (r *relay) applyCache(address string, row rowtable.Row) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/process/sitecontrol/relay_loads.go
+++ b/internal/process/sitecontrol/relay_loads.go
@@ -32,7 +32,7 @@
 	size := 0
 	for ctx.Err() == nil {
 		n := r.entries.Entries()
-		wait.For(ctx, r.siteAdjusted(loadsPause(n, size)))
+		wait.For(ctx, r.siteInterval(sumsInterval(n, size)))
 		own := r.loads.Sum(time.Now())
 		r.putSum(r.localHints, share.Sum{Loads: own.Loads})
 		if n > 0 {
@@ -52,12 +52,12 @@
 }
 
 // putSum sets the row of the sum in a table and returns its size in bytes.
-func (r *relay) putSum(b rowtable.Table, s share.Sum) int {
+func (r *relay) putSum(table rowtable.Table, s share.Sum) int {
 	encoded, err := codec.Marshal(s)
 	if err != nil {
 		event.NoticeRefused.Write(r.logger, log.Fields{"notice": "loads", "error": err.Error()})
 		return 0
 	}
-	b.Put(topic.Loads, "", encoded)
+	table.Put(topic.Loads, "", encoded)
 	return len(encoded)
 }
--- a/internal/process/sitecontrol/relay_test.go
+++ b/internal/process/sitecontrol/relay_test.go
@@ -62,19 +62,19 @@
 	return rows[at].Value
 }
 
-// Guards against a removal by an engine's former replica removing the row of the new one.
+// Guards against a removal by an engine's previous replica removing the row of the new one.
 func TestEngineMovesToAnotherReplica(t *testing.T) {
 	r := idleRelay(t)
 	r.apply("old", watch.Answer{Rows: []rowtable.Row{cacheRow(t, 1)}}, time.Now())
 	r.apply("new", watch.Answer{Rows: []rowtable.Row{cacheRow(t, 2)}}, time.Now())
 	r.apply("old", watch.Answer{Rows: []rowtable.Row{{Topic: topic.EngineCaches, Key: "engine"}}}, time.Now())
 	if len(r.engineCacheHint()) == 0 {
-		t.Error("the former replica of the engine removed the row of the new one")
+		t.Error("the previous replica of the engine removed the row of the new one")
 	}
 	r.putCache("engine", topic.EngineCache{StartedAt: 3})
 	r.apply("new", watch.Answer{Rows: []rowtable.Row{{Topic: topic.EngineCaches, Key: "engine"}}}, time.Now())
 	if len(r.engineCacheHint()) == 0 {
-		t.Error("the former replica of the engine removed the row of this one")
+		t.Error("the previous replica of the engine removed the row of this one")
 	}
 	r.dropCache("engine")
 	if len(r.engineCacheHint()) != 0 {
@@ -135,13 +135,13 @@
 		go func() { _ = n.Serve(ctx) }()
 	}
 	for i, r := range relays {
-		others := []string{addresses[1-i]}
-		go r.run(ctx, func() []string { return others })
+		peers := []string{addresses[1-i]}
+		go r.run(ctx, func() []string { return peers })
 	}
 	received := make(chan struct{})
-	follower := func(i int, take func(a watch.Answer)) {
+	follower := func(i int, apply func(a watch.Answer)) {
 		n, _ := testNode(t, keys.Entry)
-		f := watch.NewFollower(watch.FollowerConfig{Method: watch.Hints, Node: n, Watcher: addresses[i], Entry: true, Apply: func(_ string, a watch.Answer, _ time.Time) { take(a) }})
+		f := watch.NewFollower(watch.FollowerConfig{Method: watch.Hints, Node: n, Watcher: addresses[i], Entry: true, Apply: func(_ string, a watch.Answer, _ time.Time) { apply(a) }})
 		f.Follow(ctx, []string{addresses[i]})
 		if i == 0 {
 			report := share.Report{Entry: "e", Sequence: 1, Loads: share.Loads{"engine": {InFlight: 3}}}
@@ -150,14 +150,14 @@
 			}
 		}
 	}
-	others := share.NewPeerLoads("another")
+	peerLoads := share.NewPeerLoads("another")
 	follower(0, func(watch.Answer) {})
 	follower(1, func(a watch.Answer) {
 		for _, row := range a.Rows {
 			s, err := codec.Unmarshal[share.Sum](row.Value)
-			if err == nil && row.Topic == topic.Loads && others.Load("engine", time.Now()).InFlight == 0 {
-				others.Apply(s, time.Now())
-				if others.Load("engine", time.Now()).InFlight == 3 {
+			if err == nil && row.Topic == topic.Loads && peerLoads.Load("engine", time.Now()).InFlight == 0 {
+				peerLoads.Apply(s, time.Now())
+				if peerLoads.Load("engine", time.Now()).InFlight == 3 {
 					close(received)
 				}
 			}
@@ -187,11 +187,11 @@
 		r := idleRelay(t)
 		r.siteEntries = func() int { return entries }
 		for n := 1; n <= 60; n++ {
-			pause := r.hintsPause(n)
-			if pause > maxDelay {
-				t.Errorf("%d of %d entries: hints are delayed by %s", n, entries, pause)
+			interval := r.hintsInterval(n)
+			if interval > maxDelay {
+				t.Errorf("%d of %d entries: hints are delayed by %s", n, entries, interval)
 			}
-			perEntry := 1/pause.Seconds() + 1/holderStatesPause.Seconds()
+			perEntry := 1/interval.Seconds() + 1/holderStatesInterval.Seconds()
 			if rate := float64(n) * perEntry; rate > maxAnswers {
 				t.Errorf("%d of %d entries: %.0f answers a second", n, entries, rate)
 			}
@@ -200,7 +200,7 @@
 			}
 		}
 	}
-	if r := idleRelay(t); r.hintsPause(7) > 15*time.Millisecond {
-		t.Errorf("hints are delayed by %s on a small site", r.hintsPause(7))
+	if r := idleRelay(t); r.hintsInterval(7) > 15*time.Millisecond {
+		t.Errorf("hints are delayed by %s on a small site", r.hintsInterval(7))
 	}
 }
--- a/internal/process/sitecontrol/short_parts.go
+++ b/internal/process/sitecontrol/short_parts.go
@@ -27,34 +27,34 @@
 }
 
 // queueShortParts queues the short parts of a store behind those of earlier stores.
-func (l *storeFollower) queueShortParts(x *followedStore, short []stores.Part) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.shortPartsQueue = append(l.shortPartsQueue, shortParts{x, short})
+func (sf *storeFollower) queueShortParts(x *followedStore, short []stores.Part) {
+	sf.mu.Lock()
+	defer sf.mu.Unlock()
+	sf.shortPartsQueue = append(sf.shortPartsQueue, shortParts{x, short})
 }
 
 // showShortParts shows the queued short parts, one store after the other, until ctx ends.
-func (l *storeFollower) showShortParts(ctx context.Context) {
+func (sf *storeFollower) showShortParts(ctx context.Context) {
 	for pause := followInterval; wait.For(ctx, pause); {
-		next, ok := l.nextShortParts()
+		next, ok := sf.nextShortParts()
 		if !ok {
 			pause = followInterval
 			continue
 		}
-		l.showStoreParts(next.store, "short", false, next.parts)
-		pause = shortPartsPause(len(next.parts), entriesPerProcess(l.watchServer.Entries(), len(l.replica.Status().Members)))
+		sf.showStoreParts(next.store, "short", false, next.parts)
+		pause = shortPartsPause(len(next.parts), entriesPerProcess(sf.watchServer.Entries(), len(sf.replica.Status().Members)))
 	}
 }
 
 // nextShortParts removes the first short parts from the queue and returns false when it
 // is empty. It skips stores that are no longer followed, because the pause after each of
 // them would delay the others.
-func (l *storeFollower) nextShortParts() (shortParts, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for len(l.shortPartsQueue) > 0 {
-		next := l.shortPartsQueue[0]
-		l.shortPartsQueue = l.shortPartsQueue[1:]
+func (sf *storeFollower) nextShortParts() (shortParts, bool) {
+	sf.mu.Lock()
+	defer sf.mu.Unlock()
+	for len(sf.shortPartsQueue) > 0 {
+		next := sf.shortPartsQueue[0]
+		sf.shortPartsQueue = sf.shortPartsQueue[1:]
 		if !next.store.isUnfollowed() {
 			return next, true
 		}
--- a/internal/process/sitecontrol/store_epochs.go
+++ b/internal/process/sitecontrol/store_epochs.go
@@ -10,20 +10,20 @@
 	"hornbeamwood/internal/site/topic"
 )
 
-// followEpochs starts and ends the restart checks of the stores; the caller holds l.mu.
-func (l *storeFollower) followEpochs(ctx context.Context, all *sync.WaitGroup, wanted map[string]document.Store) {
+// followEpochs starts and ends the restart checks of the stores; the caller holds sf.mu.
+func (sf *storeFollower) followEpochs(ctx context.Context, all *sync.WaitGroup, wanted map[string]document.Store) {
 	for a := range wanted {
-		if _, ok := l.restartChecks[a]; ok {
+		if _, ok := sf.restartChecks[a]; ok {
 			continue
 		}
 		following, cancel := context.WithCancel(ctx)
-		l.restartChecks[a] = cancel
-		all.Go(func() { l.watchEpoch(following, a) })
+		sf.restartChecks[a] = cancel
+		all.Go(func() { sf.watchEpoch(following, a) })
 	}
-	for a, cancel := range l.restartChecks {
+	for a, cancel := range sf.restartChecks {
 		if _, ok := wanted[a]; !ok {
 			cancel()
-			delete(l.restartChecks, a)
+			delete(sf.restartChecks, a)
 		}
 	}
 }
@@ -34,11 +34,11 @@
 // holds the lease. A store that restarts meanwhile is empty, and parts that are saved to
 // it again aren't whole yet. The entry must therefore learn of the restart from replicas
 // that don't hold the lease.
-func (l *storeFollower) watchEpoch(ctx context.Context, address string) {
+func (sf *storeFollower) watchEpoch(ctx context.Context, address string) {
 	next := int64(0)
 	for ctx.Err() == nil {
 		polling, cancel := context.WithTimeout(ctx, eventsTimeout)
-		f, err := l.client.Events(polling, address, next, eventsWait)
+		f, err := sf.client.Events(polling, address, next, eventsWait)
 		cancel()
 		if ctx.Err() != nil {
 			return
@@ -46,11 +46,11 @@
 		if err != nil {
 			f.Epoch = 0
 		} else {
-			l.starts.record(address, f.Epoch, time.Now())
+			sf.starts.record(address, f.Epoch, time.Now())
 		}
-		l.clock.Observe(f.Clock)
+		sf.clock.Observe(f.Clock)
 		next = f.Next
-		l.put(topic.StoreEpochs, address, f.Epoch)
+		sf.put(topic.StoreEpochs, address, f.Epoch)
 		wait.For(ctx, epochPause)
 	}
 }
--- a/internal/process/sitecontrol/store_follower.go
+++ b/internal/process/sitecontrol/store_follower.go
@@ -21,7 +21,7 @@
 	eventsTimeout = 2 * time.Second
 	// storeRetryPause is the time before another try at a store or engine that doesn't answer.
 	storeRetryPause = 300 * time.Millisecond
-	// epochPause is the time between two checks whether a store has restarted; a
+	// epochPause is the time between two checks of whether a store has restarted; a
 	// restart takes seconds.
 	epochPause = 400 * time.Millisecond
 	// followInterval is the time between two checks for the lease and for new stores.
@@ -59,65 +59,65 @@
 }
 
 // run follows the document's stores until ctx ends.
-func (l *storeFollower) run(ctx context.Context) {
+func (sf *storeFollower) run(ctx context.Context) {
 	follow, free := time.NewTicker(followInterval), time.NewTicker(freeInterval)
 	defer follow.Stop()
 	defer free.Stop()
 	var all sync.WaitGroup
 	defer all.Wait()
-	all.Go(func() { l.showShortParts(ctx) })
+	all.Go(func() { sf.showShortParts(ctx) })
 	for {
-		l.follow(ctx, &all)
+		sf.follow(ctx, &all)
 		select {
 		case <-ctx.Done():
 			return
 		case <-follow.C:
 		case <-free.C:
-			l.free(ctx)
+			sf.free(ctx)
 		}
 	}
 }
 
 // follow starts following new stores and stops following removed ones. Without the
 // lease it only checks whether they have restarted.
-func (l *storeFollower) follow(ctx context.Context, all *sync.WaitGroup) {
+func (sf *storeFollower) follow(ctx context.Context, all *sync.WaitGroup) {
 	wanted := map[string]document.Store{}
-	if h, ok := l.section.Active(); ok {
-		for _, s := range h.Document.Stores {
+	if active, ok := sf.section.Active(); ok {
+		for _, s := range active.Document.Stores {
 			wanted[s.Address] = s
 		}
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.followEpochs(ctx, all, wanted)
-	if l.leaseHolder.fencingNumber() == 0 {
+	sf.mu.Lock()
+	defer sf.mu.Unlock()
+	sf.followEpochs(ctx, all, wanted)
+	if sf.leaseHolder.fencingNumber() == 0 {
 		wanted = nil
 	}
 	for a, s := range wanted {
-		if _, ok := l.followed[a]; ok {
+		if _, ok := sf.followed[a]; ok {
 			continue
 		}
 		following, cancel := context.WithCancel(ctx)
 		x := &followedStore{inventory: stores.NewStoreInventory(a, s.CapacityTokens), cancel: cancel}
-		l.followed[a] = x
-		all.Go(func() { l.watch(following, x) })
+		sf.followed[a] = x
+		all.Go(func() { sf.watch(following, x) })
 	}
-	for a, x := range l.followed {
+	for a, x := range sf.followed {
 		if _, ok := wanted[a]; !ok {
 			x.unfollow()
-			delete(l.followed, a)
+			delete(sf.followed, a)
 		}
 	}
 }
 
 // watch polls one store until ctx ends.
-func (l *storeFollower) watch(ctx context.Context, x *followedStore) {
+func (sf *storeFollower) watch(ctx context.Context, x *followedStore) {
 	for ctx.Err() == nil {
-		err := l.poll(ctx, x)
+		err := sf.poll(ctx, x)
 		if ctx.Err() != nil {
 			return
 		}
-		l.showStoreUp(x, l.usable(x, err))
+		sf.showStoreUp(x, sf.usable(x, err))
 		if err != nil {
 			wait.For(ctx, storeRetryPause)
 		}
@@ -125,8 +125,8 @@
 }
 
 // usable returns err, or the reason why a store that answers isn't used.
-func (l *storeFollower) usable(x *followedStore, err error) error {
-	if err == nil && !l.starts.restartPropagated(x.inventory.Address, time.Now()) {
+func (sf *storeFollower) usable(x *followedStore, err error) error {
+	if err == nil && !sf.starts.restartPropagated(x.inventory.Address, time.Now()) {
 		return errRestarted
 	}
 	return err
@@ -136,76 +136,76 @@
 //
 // Entries use a new lease holder's rows only once there is one for every store. A store
 // that is down when the lease changes hands therefore needs a row too.
-func (l *storeFollower) showStoreUp(x *followedStore, err error) {
+func (sf *storeFollower) showStoreUp(x *followedStore, err error) {
 	up := err == nil
 	if x.reported && x.up == up {
 		return
 	}
 	x.reported, x.up = true, up
-	l.put(topic.StoresUp, x.inventory.Address, up)
+	sf.put(topic.StoresUp, x.inventory.Address, up)
 	f := log.Fields{"store": x.inventory.Address, "up": up}
 	if err != nil {
 		f["error"] = err.Error()
 	}
-	event.StoreLost.Write(l.config.Logger, f)
+	event.StoreLost.Write(sf.config.Logger, f)
 }
 
 // poll requests and applies one answer of the store.
-func (l *storeFollower) poll(ctx context.Context, x *followedStore) error {
+func (sf *storeFollower) poll(ctx context.Context, x *followedStore) error {
 	ctx, cancel := context.WithTimeout(ctx, eventsTimeout)
 	defer cancel()
 	x.mu.Lock()
 	next := x.inventory.Next()
 	x.mu.Unlock()
-	f, err := l.client.Events(ctx, x.inventory.Address, next, eventsWait)
+	f, err := sf.client.Events(ctx, x.inventory.Address, next, eventsWait)
 	if err != nil {
 		return err
 	}
-	l.clock.Observe(f.Clock)
-	l.starts.record(x.inventory.Address, f.Epoch, time.Now())
-	if err := l.usable(x, nil); err != nil {
+	sf.clock.Observe(f.Clock)
+	sf.starts.record(x.inventory.Address, f.Epoch, time.Now())
+	if err := sf.usable(x, nil); err != nil {
 		// Entries must learn that the store isn't used before they learn that it is empty.
-		l.showStoreUp(x, err)
+		sf.showStoreUp(x, err)
 	}
 	x.mu.Lock()
 	changed, list := x.inventory.ApplyFeed(f, time.Now())
 	x.mu.Unlock()
 	if list || time.Since(x.listedAt) > listInterval {
-		return l.list(ctx, x)
+		return sf.list(ctx, x)
 	}
-	l.showParts(x, changed)
+	sf.showParts(x, changed)
 	return nil
 }
 
 // list requests the whole inventory of the store and shows what has changed.
-func (l *storeFollower) list(ctx context.Context, x *followedStore) error {
-	c, err := l.client.List(ctx, x.inventory.Address)
+func (sf *storeFollower) list(ctx context.Context, x *followedStore) error {
+	c, err := sf.client.List(ctx, x.inventory.Address)
 	if err != nil {
 		return err
 	}
-	l.clock.Observe(c.Clock)
+	sf.clock.Observe(c.Clock)
 	first := x.listedAt.IsZero()
 	x.listedAt = time.Now()
 	x.mu.Lock()
 	changed := x.inventory.ApplyListing(c, time.Now())
 	x.mu.Unlock()
-	event.StoreListed.Write(l.config.Logger, log.Fields{"store": x.inventory.Address, "epoch": c.Epoch, "parts": len(c.Held), "partial": len(c.Partial)})
+	event.StoreListed.Write(sf.config.Logger, log.Fields{"store": x.inventory.Address, "epoch": c.Epoch, "parts": len(c.Held), "partial": len(c.Partial)})
 	if !first {
-		l.showParts(x, changed)
+		sf.showParts(x, changed)
 		return nil
 	}
 	long, short := bySize(changed, c.Held)
-	l.showStoreParts(x, "long", true, long)
-	l.queueShortParts(x, short)
+	sf.showStoreParts(x, "long", true, long)
+	sf.queueShortParts(x, short)
 	return nil
 }
 
 // use records the parts that were requested as used now.
-func (l *storeFollower) use(hashes []uint64) {
+func (sf *storeFollower) use(hashes []uint64) {
 	now := time.Now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, x := range l.followed {
+	sf.mu.Lock()
+	defer sf.mu.Unlock()
+	for _, x := range sf.followed {
 		x.mu.Lock()
 		for _, h := range hashes {
 			x.inventory.Touch(h, now)
@@ -215,47 +215,47 @@
 }
 
 // free withdraws parts that are no longer of use, and frees those that were withdrawn long enough ago.
-func (l *storeFollower) free(ctx context.Context) {
-	if _, ok := l.leaseHolder.held(); !ok || !l.leaseHolder.heldFor(stores.StaleAfter+stores.FetchWindow) {
+func (sf *storeFollower) free(ctx context.Context) {
+	if _, ok := sf.leaseHolder.mayOrder(); !ok || !sf.leaseHolder.heldFor(stores.StaleAfter+stores.FetchWindow) {
 		return
 	}
-	l.mu.Lock()
-	all := make([]*followedStore, 0, len(l.followed))
-	for _, x := range l.followed {
+	sf.mu.Lock()
+	all := make([]*followedStore, 0, len(sf.followed))
+	for _, x := range sf.followed {
 		all = append(all, x)
 	}
-	l.mu.Unlock()
-	outdated := l.outdated()
+	sf.mu.Unlock()
+	outdated := sf.outdated()
 	for _, x := range all {
 		now := time.Now()
 		x.mu.Lock()
 		marked := x.inventory.Withdraw(outdated, maxUsedShare, now)
 		x.mu.Unlock()
-		revision := l.showParts(x, marked)
+		revision := sf.showParts(x, marked)
 		x.mu.Lock()
 		x.inventory.MarkAnnounced(marked, revision)
-		due, epoch := x.inventory.Freeable(l.known(), now), x.inventory.Epoch()
+		due, epoch := x.inventory.Freeable(sf.acknowledgedRevision(), now), x.inventory.Epoch()
 		x.mu.Unlock()
-		l.drop(ctx, x, due, epoch)
+		sf.freeParts(ctx, x, due, epoch)
 	}
 }
 
-// known returns the table's revision up to which all entries have the rows. Only entries
+// acknowledgedRevision returns the table's revision up to which all entries have the rows. Only entries
 // count that polled within StaleAfter, either this replica directly or any relay.
-func (l *storeFollower) known() uint64 {
-	return min(l.watchServer.AcknowledgedRevision(stores.StaleAfter), l.relay.mirrors.AcknowledgedRevision(l.relay.self, stores.StaleAfter))
+func (sf *storeFollower) acknowledgedRevision() uint64 {
+	return min(sf.watchServer.AcknowledgedRevision(stores.StaleAfter), sf.relay.mirrors.AcknowledgedRevision(sf.relay.self, stores.StaleAfter))
 }
 
-// drop frees the parts at the store, at most freeBatch of them.
-func (l *storeFollower) drop(ctx context.Context, x *followedStore, due []stores.Part, epoch int64) {
-	clock := l.clock.Now()
+// freeParts frees the parts at the store, at most freeBatch of them.
+func (sf *storeFollower) freeParts(ctx context.Context, x *followedStore, due []stores.Part, epoch int64) {
+	clock := sf.clock.Now()
 	if len(due) == 0 || clock == 0 {
 		return
 	}
 	due = due[:min(len(due), freeBatch)]
 	ctx, cancel := context.WithTimeout(ctx, eventsTimeout)
 	defer cancel()
-	err := l.client.Free(ctx, x.inventory.Address, epoch, due, clock+orderMargin.Milliseconds())
+	err := sf.client.Free(ctx, x.inventory.Address, epoch, due, clock+orderMargin.Milliseconds())
 	f := log.Fields{"store": x.inventory.Address, "parts": len(due)}
 	if err != nil {
 		f["error"] = err.Error()
@@ -264,5 +264,5 @@
 		x.inventory.Remove(due)
 		x.mu.Unlock()
 	}
-	event.PartsFreed.Write(l.config.Logger, f)
+	event.PartsFreed.Write(sf.config.Logger, f)
 }
--- a/internal/process/sitecontrol/store_follower_test.go
+++ b/internal/process/sitecontrol/store_follower_test.go
@@ -60,40 +60,40 @@
 
 // Guards against stores of a lease that was lost delaying the short parts of those that are followed now.
 func TestShortPartsOfUnfollowedStoresAreSkipped(t *testing.T) {
-	l := &storeFollower{process: &process{table: rowtable.New(1)}}
+	sf := &storeFollower{process: &process{table: rowtable.New(1)}}
 	storeAt := func(address string) *followedStore {
 		return &followedStore{inventory: stores.NewStoreInventory(address, 1000), cancel: func() {}}
 	}
 	unfollowed, first, second := storeAt("1:1"), storeAt("2:2"), storeAt("3:3")
 	for _, x := range []*followedStore{unfollowed, first, unfollowed, second} {
-		l.queueShortParts(x, nil)
+		sf.queueShortParts(x, nil)
 	}
 	unfollowed.unfollow()
 	for _, want := range []*followedStore{first, second} {
-		if next, ok := l.nextShortParts(); !ok || next.store != want {
+		if next, ok := sf.nextShortParts(); !ok || next.store != want {
 			t.Errorf("next are the short parts of %+v, not those of %s", next.store, want.inventory.Address)
 		}
 	}
-	if _, ok := l.nextShortParts(); ok {
+	if _, ok := sf.nextShortParts(); ok {
 		t.Error("short parts remain in the queue")
 	}
-	if rows, _ := l.table.Since(0); len(rows) > 0 {
+	if rows, _ := sf.table.Since(0); len(rows) > 0 {
 		t.Errorf("shown before they were taken from the queue: %+v", rows)
 	}
 }
 
 // Guards against a new lease holder never counting as complete because a store is down.
 func TestStoreThatIsDownAtFirstIsShown(t *testing.T) {
-	b := rowtable.New(1)
-	l := &storeFollower{process: &process{table: b}}
+	table := rowtable.New(1)
+	sf := &storeFollower{process: &process{table: table}}
 	x := &followedStore{inventory: stores.NewStoreInventory("1:1", 1000)}
 	for _, step := range []struct {
 		err  error
 		rows int
 	}{{errors.New("no answer"), 1}, {errors.New("no answer"), 0}, {nil, 1}, {nil, 0}, {errors.New("no answer"), 1}} {
-		_, before := b.Since(0)
-		l.showStoreUp(x, step.err)
-		if rows, _ := b.Since(before); len(rows) != step.rows {
+		_, before := table.Since(0)
+		sf.showStoreUp(x, step.err)
+		if rows, _ := table.Since(before); len(rows) != step.rows {
 			t.Errorf("shown %+v after %v", rows, step.err)
 		}
 	}
@@ -118,15 +118,15 @@
 
 // Guards against entries that don't know of a store's restart fetching a part that others are saving to it again.
 func TestRestartedStoreIsNotUsedAtOnce(t *testing.T) {
-	b := rowtable.New(1)
+	table := rowtable.New(1)
 	f := &fakeStore{epoch: 1, held: map[stores.Part]int{{Salt: "m/1", ID: "p"}: 2000}}
-	l := &storeFollower{process: &process{table: b}, client: f, clock: stores.NewClock(), starts: newStoreStarts()}
+	sf := &storeFollower{process: &process{table: table}, client: f, clock: stores.NewClock(), starts: newStoreStarts()}
 	x := &followedStore{inventory: stores.NewStoreInventory("1:1", 5000)}
 	poll := func() []rowtable.Row {
-		_, before := b.Since(0)
-		err := l.poll(t.Context(), x)
-		l.showStoreUp(x, l.usable(x, err))
-		rows, _ := b.Since(before)
+		_, before := table.Since(0)
+		err := sf.poll(t.Context(), x)
+		sf.showStoreUp(x, sf.usable(x, err))
+		rows, _ := table.Since(before)
 		return rows
 	}
 	poll()
@@ -141,7 +141,7 @@
 	if len(rows) < 2 || rows[0].Topic != topic.StoresUp {
 		t.Errorf("shown %+v; the row that the store isn't used must come first", rows)
 	}
-	l.starts.seen["1:1"] = storeStart{epoch: 2, since: time.Now().Add(-restartDelay)}
+	sf.starts.seen["1:1"] = storeStart{epoch: 2, since: time.Now().Add(-restartDelay)}
 	poll()
 	if !x.up {
 		t.Error("the store isn't used again")
@@ -152,12 +152,12 @@
 func TestRestartIsRecordedWithoutTheLease(t *testing.T) {
 	s, now := newStoreStarts(), time.Unix(100, 0)
 	for _, x := range []struct {
-		epoch   int64
-		settled bool
+		epoch      int64
+		propagated bool
 	}{{1, true}, {1, true}, {2, false}, {2, false}} {
 		s.record("1:1", x.epoch, now)
-		if s.restartPropagated("1:1", now) != x.settled {
-			t.Errorf("start %d: settled %v", x.epoch, !x.settled)
+		if s.restartPropagated("1:1", now) != x.propagated {
+			t.Errorf("start %d: propagated %v", x.epoch, !x.propagated)
 		}
 	}
 	if s.restartPropagated("1:1", now.Add(restartDelay-1)) || !s.restartPropagated("1:1", now.Add(restartDelay)) {
@@ -168,12 +168,12 @@
 // A store is listed, and the lease is lost before its short parts are shown. If they were
 // still shown, their rows would mix with those of the next list.
 func TestNothingIsShownOfAnUnfollowedStore(t *testing.T) {
-	b := rowtable.New(1)
-	l := &storeFollower{process: &process{table: b}}
+	table := rowtable.New(1)
+	sf := &storeFollower{process: &process{table: table}}
 	x := &followedStore{inventory: stores.NewStoreInventory("1:1", 1000), cancel: func() {}}
 	x.unfollow()
-	l.showStoreParts(x, "short", false, nil)
-	if rows, _ := b.Since(0); len(rows) > 0 {
+	sf.showStoreParts(x, "short", false, nil)
+	if rows, _ := table.Since(0); len(rows) > 0 {
 		t.Errorf("shown %+v", rows)
 	}
 }
@@ -183,8 +183,8 @@
 // entry would get no other rows either.
 func TestListOfALargeStoreIsSplitIntoShortRows(t *testing.T) {
 	const parts, maxRowBytes = 30_000, 64 << 10
-	b := rowtable.New(1)
-	l := &storeFollower{process: &process{table: b}}
+	table := rowtable.New(1)
+	sf := &storeFollower{process: &process{table: table}}
 	x := &followedStore{inventory: stores.NewStoreInventory("1:1", 300*parts)}
 	held := map[stores.Part]int{}
 	var all []stores.Part
@@ -194,10 +194,10 @@
 		all = append(all, p)
 	}
 	x.inventory.ApplyListing(stores.Listing{Epoch: 1, Held: held}, time.Now())
-	l.showStoreParts(x, "short", true, all)
+	sf.showStoreParts(x, "short", true, all)
 	shown := 0
-	for at, i := uint64(0), 0; b.ChangedAfter(at); i++ {
-		rows, next := b.Since(at)
+	for at, i := uint64(0), 0; table.ChangedAfter(at); i++ {
+		rows, next := table.Since(at)
 		at = next
 		for _, r := range rows {
 			s, err := codec.Unmarshal[topic.StoreSummary](r.Value)
--- a/internal/process/siteentry/entry.go
+++ b/internal/process/siteentry/entry.go
@@ -134,11 +134,11 @@
 		Zone: c.Host.Zone, Codec: c.Codec, Site: p.site, Client: p.client, Tracker: p.tracker, Residency: residency, PeerLoads: peerLoads, Queue: queue,
 		Budget: p.budget, Limits: p.limits, Stopping: p.stopping, Refusing: p.refusing, Metrics: p.metrics, Logger: c.Logger,
 	})
-	p.gauges()
+	p.registerMetrics()
 	return p, nil
 }
 
-func (p *process) gauges() {
+func (p *process) registerMetrics() {
 	p.metrics.NewGauge("hornbeamwood_site_running", func() float64 { return float64(p.running.Load()) })
 	p.metrics.NewGauge("hornbeamwood_site_waiting", func() float64 { return float64(p.queue.Len()) })
 	p.metrics.NewGauge("hornbeamwood_site_connections", func() float64 { return float64(p.conns.count()) })
--- a/internal/process/siteentry/hints.go
+++ b/internal/process/siteentry/hints.go
@@ -166,9 +166,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var candidates []candidateRelay
-	for a, l := range s.directStates {
-		if now.Sub(l.lastAnswer) < relayTimeout {
-			candidates = append(candidates, candidateRelay{address: a, sameZone: l.zone == zone, holder: l == s.holder()})
+	for a, state := range s.directStates {
+		if now.Sub(state.lastAnswer) < relayTimeout {
+			candidates = append(candidates, candidateRelay{address: a, sameZone: state.zone == zone, holder: state == s.holder()})
 		}
 	}
 	return pickRelay(candidates, many, watcher)
--- a/internal/process/siteentry/holder_state.go
+++ b/internal/process/siteentry/holder_state.go
@@ -63,23 +63,23 @@
 func (s *site) observeReplica(address string, a watch.Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l, ok := s.directStates[address]
-	if !ok || l.epoch != a.Epoch {
-		l = newHolderState(a.Epoch)
-		s.directStates[address] = l
+	state, ok := s.directStates[address]
+	if !ok || state.epoch != a.Epoch {
+		state = newHolderState(a.Epoch)
+		s.directStates[address] = state
 	}
-	l.lastAnswer, l.zone = time.Now(), a.Zone
+	state.lastAnswer, state.zone = time.Now(), a.Zone
 	if a.Fencing != 0 {
-		l.recordContact(a.Fencing, l.lastAnswer, a.More)
+		state.recordContact(a.Fencing, state.lastAnswer, a.More)
 	}
 }
 
 // recordContact records an answer of the replica while it holds the lease, as of that time. An answer in several
 // pieces refreshes the state only with the last of them, since a later piece may report that a store is down.
-func (l *holderState) recordContact(fencing uint64, at time.Time, more bool) {
-	l.fencing = fencing
+func (h *holderState) recordContact(fencing uint64, at time.Time, more bool) {
+	h.fencing = fencing
 	if !more {
-		l.lastContact = at
+		h.lastContact = at
 	}
 }
 
@@ -89,8 +89,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, states := range []map[string]*holderState{s.directStates, s.mirroredStates} {
-		for _, l := range states {
-			l.lastContact, l.lastAnswer = l.lastContact.Add(-suspended), l.lastAnswer.Add(-suspended)
+		for _, state := range states {
+			state.lastContact, state.lastAnswer = state.lastContact.Add(-suspended), state.lastAnswer.Add(-suspended)
 		}
 	}
 }
@@ -109,10 +109,10 @@
 // meanwhile.
 func (s *site) storeState() *holderState {
 	t := s.Table()
-	if l := s.latestHolder(func(l *holderState) bool { return l.complete(t) }); l != nil {
-		return l
+	if h := s.latestHolder(func(h *holderState) bool { return h.complete(t) }); h != nil {
+		return h
 	}
-	return s.latestHolder(func(l *holderState) bool { return len(l.storesUp) > 0 })
+	return s.latestHolder(func(h *holderState) bool { return len(h.storesUp) > 0 })
 }
 
 // holderStates returns the states of lease holders: as mirrored by the relay while relayed is set, otherwise as
@@ -128,12 +128,12 @@
 // condition.
 func (s *site) latestHolder(condition func(*holderState) bool) *holderState {
 	var found *holderState
-	for _, l := range s.holderStates() {
-		if l.fencing == 0 || time.Since(l.lastContact) >= stores.StaleAfter || !condition(l) {
+	for _, state := range s.holderStates() {
+		if state.fencing == 0 || time.Since(state.lastContact) >= stores.StaleAfter || !condition(state) {
 			continue
 		}
-		if found == nil || l.fencing > found.fencing {
-			found = l
+		if found == nil || state.fencing > found.fencing {
+			found = state
 		}
 	}
 	return found
@@ -142,40 +142,40 @@
 func (s *site) applyHolderRow(address string, r rowtable.Row) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l, ok := s.directStates[address]
+	state, ok := s.directStates[address]
 	if !ok {
 		return nil
 	}
-	return l.apply(r)
+	return state.apply(r)
 }
 
 // apply applies a row on stores and orders.
-func (l *holderState) apply(r rowtable.Row) error {
+func (h *holderState) apply(r rowtable.Row) error {
 	switch r.Topic {
 	case topic.Parts:
-		return l.applyPart(r)
+		return h.applyPart(r)
 	case topic.StoreSummaries:
-		return decodeRow(r, l.applyStoreSummary)
+		return decodeRow(r, h.applyStoreSummary)
 	case topic.StoreEpochs:
-		return decodeRow(r, func(epoch int64) { l.storeEpochs[r.Key] = epoch })
+		return decodeRow(r, func(epoch int64) { h.storeEpochs[r.Key] = epoch })
 	case topic.StoresUp:
-		return decodeRow(r, func(up bool) { l.storesUp[r.Key] = up })
+		return decodeRow(r, func(up bool) { h.storesUp[r.Key] = up })
 	}
 	if len(r.Value) == 0 {
-		delete(l.busyServers, r.Key)
+		delete(h.busyServers, r.Key)
 		return nil
 	}
-	l.busyServers[r.Key] = true
+	h.busyServers[r.Key] = true
 	return nil
 }
 
 // complete reports whether the replica has reported every store. It lists one after the other.
-func (l *holderState) complete(t document.Table) bool {
+func (h *holderState) complete(t document.Table) bool {
 	if t == nil {
 		return false
 	}
 	for _, x := range t.Document().Stores {
-		if _, ok := l.storesUp[x.Address]; !ok {
+		if _, ok := h.storesUp[x.Address]; !ok {
 			return false
 		}
 	}
@@ -192,8 +192,8 @@
 func (s *site) Busy(server string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.holder()
-	return l != nil && l.busyServers[server]
+	h := s.holder()
+	return h != nil && h.busyServers[server]
 }
 
 // Copies implements caller.Site.
@@ -205,18 +205,18 @@
 	p := stores.Part{Salt: salt, ID: part}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.storeState()
-	if l == nil {
+	h := s.storeState()
+	if h == nil {
 		return nil
 	}
 	s.recordUse(p)
-	held := l.parts[p.Hash()]
+	held := h.parts[p.Hash()]
 	if len(held) == 0 {
 		return nil
 	}
 	var all []choose.Copy
 	for _, x := range t.Document().Stores {
-		if size, ok := held[stores.ShortAddress(x.Address)]; ok && size >= tokens && l.storesUp[x.Address] && s.sameIncarnation(l, x.Address) {
+		if size, ok := held[stores.ShortAddress(x.Address)]; ok && size >= tokens && h.storesUp[x.Address] && s.sameIncarnation(h, x.Address) {
 			all = append(all, storeCopy(x, tokenBytes(t.Document())))
 		}
 	}
@@ -227,26 +227,26 @@
 func (s *site) StoreStateAge() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.storeState()
-	if l == nil {
+	h := s.storeState()
+	if h == nil {
 		return -1
 	}
-	return time.Since(l.lastContact)
+	return time.Since(h.lastContact)
 }
 
 // sameIncarnation reports whether the store is still the incarnation that the replica reported: at once while
 // that replica answers, later only if another replica confirms it.
-func (s *site) sameIncarnation(l *holderState, store string) bool {
-	if time.Since(l.lastContact) < storeEpochTTL {
+func (s *site) sameIncarnation(h *holderState, store string) bool {
+	if time.Since(h.lastContact) < storeEpochTTL {
 		return true
 	}
 	confirmed := false
 	for _, o := range s.directStates {
 		epoch, ok := o.storeEpochs[store]
-		if o == l || !ok || time.Since(o.lastAnswer) > storeEpochTTL {
+		if o == h || !ok || time.Since(o.lastAnswer) > storeEpochTTL {
 			continue
 		}
-		if epoch != l.storeEpochs[store] {
+		if epoch != h.storeEpochs[store] {
 			return false
 		}
 		confirmed = true
@@ -284,8 +284,8 @@
 	now, p := time.Now(), stores.Part{Salt: salt, ID: part}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.storeState()
-	if l == nil || len(l.parts[p.Hash()]) > 0 || now.Sub(s.recentSaves[p]) < saveRetryAfter {
+	h := s.storeState()
+	if h == nil || len(h.parts[p.Hash()]) > 0 || now.Sub(s.recentSaves[p]) < saveRetryAfter {
 		return ""
 	}
 	for _, x := range placement(t.Document().Stores, p, tokens) {
@@ -293,7 +293,7 @@
 		if tokens >= smallPartTokens && x.Latency <= fastStoreLatency {
 			share = maxLongPartFillShare
 		}
-		if l.storesUp[x.Address] && float64(l.usedTokens[stores.ShortAddress(x.Address)]+tokens) <= share*float64(x.CapacityTokens) {
+		if h.storesUp[x.Address] && float64(h.usedTokens[stores.ShortAddress(x.Address)]+tokens) <= share*float64(x.CapacityTokens) {
 			s.recordSave(p, now)
 			return x.Address
 		}
--- a/internal/process/siteentry/holder_state_test.go
+++ b/internal/process/siteentry/holder_state_test.go
@@ -150,7 +150,7 @@
 	if state := s.holder(); state != s.directStates["new"] {
 		t.Error("used parts are still reported to the earlier holder")
 	}
-	if state := s.chooseRelay("z", "e", time.Now()); state != "new" {
+	if relay := s.chooseRelay("z", "e", time.Now()); relay != "new" {
 		t.Error("loads and prefills are still reported to the earlier holder")
 	}
 	s.apply("new", watch.Answer{Epoch: 1, Fencing: 5, Rows: []rowtable.Row{row(t, topic.StoresUp, "1:1", true)}})
--- a/internal/process/siteentry/mirrored_state.go
+++ b/internal/process/siteentry/mirrored_state.go
@@ -34,9 +34,9 @@
 			continue
 		}
 		catchingUp = false
-		for _, l := range all {
-			catchingUp = catchingUp || l.More
-			h.site.applyMirroredState(l, sent, h.config.Logger)
+		for _, state := range all {
+			catchingUp = catchingUp || state.More
+			h.site.applyMirroredState(state, sent, h.config.Logger)
 		}
 	}
 }
@@ -66,9 +66,9 @@
 	}
 	s.relayed = relayed
 	clear(s.mirroredStates)
-	for address, l := range s.directStates {
-		reset := newHolderState(l.epoch)
-		reset.lastAnswer, reset.zone, reset.storeEpochs = l.lastAnswer, l.zone, l.storeEpochs
+	for address, state := range s.directStates {
+		reset := newHolderState(state.epoch)
+		reset.lastAnswer, reset.zone, reset.storeEpochs = state.lastAnswer, state.zone, state.storeEpochs
 		s.directStates[address] = reset
 	}
 }
@@ -78,8 +78,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make(map[string]watch.Position, len(s.mirroredStates))
-	for address, l := range s.mirroredStates {
-		all[address] = l.position
+	for address, state := range s.mirroredStates {
+		all[address] = state.position
 	}
 	return all
 }
@@ -92,17 +92,17 @@
 	if !s.relayed {
 		return
 	}
-	l, ok := s.mirroredStates[state.Address]
-	if !ok || l.position.Epoch != state.Position.Epoch {
+	h, ok := s.mirroredStates[state.Address]
+	if !ok || h.position.Epoch != state.Position.Epoch {
 		// The relay sends all rows of a new mirror.
-		l = newHolderState(state.Epoch)
-		s.mirroredStates[state.Address] = l
+		h = newHolderState(state.Epoch)
+		s.mirroredStates[state.Address] = h
 	}
-	l.position = state.Position
+	h.position = state.Position
 	// The mirror is no fresher than the relay's own poll, and the relay may have held its answer.
-	l.recordContact(state.Fencing, sent.Add(-state.Age), state.More)
+	h.recordContact(state.Fencing, sent.Add(-state.Age), state.More)
 	for _, r := range state.Rows {
-		if err := l.apply(r); err != nil {
+		if err := h.apply(r); err != nil {
 			event.NoticeRefused.Write(logger, log.Fields{"peer": state.Address, "notice": "relayed row", "topic": r.Topic, "key": r.Key, "error": err.Error()})
 		}
 	}
--- a/internal/process/siteentry/mirrored_state_test.go
+++ b/internal/process/siteentry/mirrored_state_test.go
@@ -62,9 +62,9 @@
 // Guards against parts of an earlier mirror being fetched after another relay has started a new one.
 func TestNewMirrorReplacesTheEarlierOne(t *testing.T) {
 	s := newRelayedSite(t)
-	l := relayedState(t, watch.Position{Epoch: 8, Revision: 2}, 0)
-	l.Rows = l.Rows[:1]
-	s.applyMirroredState(l, time.Now(), nil)
+	state := relayedState(t, watch.Position{Epoch: 8, Revision: 2}, 0)
+	state.Rows = state.Rows[:1]
+	s.applyMirroredState(state, time.Now(), nil)
 	if holdsPart(s, "q") || s.Busy("engine") {
 		t.Error("rows of the earlier mirror are still used")
 	}
--- a/internal/process/siteentry/relay.go
+++ b/internal/process/siteentry/relay.go
@@ -5,7 +5,7 @@
 // candidateRelay is a replica that answers polls.
 type candidateRelay struct {
 	address string
-	// sameZone says that it is in the entry's availability zone, holder that it holds the lease for orders.
+	// sameZone is set if it is in the entry's availability zone, holder if it holds the lease for orders.
 	sameZone, holder bool
 }
 
--- a/internal/process/siteentry/reports.go
+++ b/internal/process/siteentry/reports.go
@@ -69,9 +69,9 @@
 
 // holderAddress returns the address of the lease holder, empty for none. The caller holds the lock.
 func (s *site) holderAddress() string {
-	l := s.holder()
+	h := s.holder()
 	for a, x := range s.holderStates() {
-		if x == l {
+		if x == h {
 			return a
 		}
 	}
--- a/internal/process/siteentry/site.go
+++ b/internal/process/siteentry/site.go
@@ -131,7 +131,7 @@
 // signalStoresKnown ends the wait for the stores once a lease holder has reported all stores of the document.
 // The caller holds the lock.
 func (s *site) signalStoresKnown() {
-	if l := s.storeState(); l != nil && l.complete(s.Table()) {
+	if h := s.storeState(); h != nil && h.complete(s.Table()) {
 		s.storesKnownOnce.Do(func() { close(s.storesKnown) })
 	}
 }
--- a/internal/process/siteentry/site_test.go
+++ b/internal/process/siteentry/site_test.go
@@ -94,7 +94,7 @@
 	}
 	s.applyHints(relayStart{"another", 1}, nil, nil)
 	if holds() {
-		t.Error("the cache reported by a former relay is still used")
+		t.Error("the cache reported by the previous relay is still used")
 	}
 	s.applyHints(relayStart{"another", 1}, []rowtable.Row{row(3)}, nil)
 	s.applyHints(relayStart{"another", 1}, nil, nil)
--- a/internal/process/siteentry/suspension.go
+++ b/internal/process/siteentry/suspension.go
@@ -24,9 +24,9 @@
 
 // suspensionGuard holds requests back for a moment in a process that was suspended.
 //
-// Meanwhile a server may have announced that it leaves, and the announcement may have been acknowledged.
-// Requests in this process's socket buffers would be sent there first thing after the resume, seconds too late,
-// and be cut off when the server ends.
+// During the suspension a server may have announced that it leaves, and the announcement may have been
+// acknowledged. Requests in this process's socket buffers would be sent there right after the resume, seconds too
+// late, and be cut off when the server ends.
 type suspensionGuard struct {
 	// onResume is called with the length of the suspension before the process continues to serve.
 	onResume func(suspended time.Duration)
