--- a/internal/serve/caller/fake_test.go
+++ b/internal/serve/caller/fake_test.go
@@ -177,7 +177,7 @@
 
 func newFixture(t *testing.T, scripts ...script) *fixture {
 	t.Helper()
-	b := &fixture{site: &fakeSite{}, queue: waitqueue.New()}
+	f := &fixture{site: &fakeSite{}, queue: waitqueue.New()}
 	for i, s := range scripts {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -194,13 +194,13 @@
 				go x.serve(c)
 			}
 		}()
-		b.servers = append(b.servers, x)
+		f.servers = append(f.servers, x)
 		// The first server is the nearest, so that it is tried first.
 		zone := "z" + strconv.Itoa(i)
-		b.site.servers = append(b.site.servers, directory.Server{ID: fmt.Sprint("s", i), StartedAt: 1, Address: l.Addr().String(), Zone: zone, Slots: 100 / (i + 1)})
+		f.site.servers = append(f.site.servers, directory.Server{ID: fmt.Sprint("s", i), StartedAt: 1, Address: l.Addr().String(), Zone: zone, Slots: 100 / (i + 1)})
 	}
 	shares := []document.Share{{Service: "s", Weight: 1}}
-	b.site.table = document.NewTable(document.Document{
+	f.site.table = document.NewTable(document.Document{
 		Revision: 1,
 		Services: []document.Service{{Name: "s"}, {Name: "e", Engine: &document.Engine{Slots: 4, CapacityTokens: 1000}}},
 		Routes: []document.Route{
@@ -217,16 +217,16 @@
 	}})
 	t.Cleanup(client.Close)
 	never := func() bool { return false }
-	b.config = Config{
-		Zone: "z0", Codec: fakeCodec{}, Site: b.site, Client: client, Tracker: observe.New(), Residency: parts.NewResidency(),
-		PeerLoads: share.NewPeerLoads("e"), Queue: b.queue,
+	f.config = Config{
+		Zone: "z0", Codec: fakeCodec{}, Site: f.site, Client: client, Tracker: observe.New(), Residency: parts.NewResidency(),
+		PeerLoads: share.NewPeerLoads("e"), Queue: f.queue,
 		Budget:   retry.NewBudget(retry.Terms{Ratio: 1, Window: time.Second, Slack: 100}),
-		Limits:   limit.New(limit.Config{Random: func() float64 { return 0 }, OnCapacity: b.queue.LocalCapacityFreed}),
+		Limits:   limit.New(limit.Config{Random: func() float64 { return 0 }, OnCapacity: f.queue.LocalCapacityFreed}),
 		Stopping: never, Refusing: never, Metrics: metrics.NewSet(),
 	}
-	b.front = httptest.NewServer(New(b.config))
-	t.Cleanup(b.front.Close)
-	return b
+	f.front = httptest.NewServer(New(f.config))
+	t.Cleanup(f.front.Close)
+	return f
 }
 
 type result struct {
@@ -236,10 +236,10 @@
 	err    error
 }
 
-// ask sends a request and returns the complete response.
-func (b *fixture) ask(t *testing.T, id, method, path string) result {
+// request sends a request and returns the complete response.
+func (f *fixture) request(t *testing.T, id, method, path string) result {
 	t.Helper()
-	q, err := http.NewRequestWithContext(t.Context(), method, b.front.URL+path, nil)
+	q, err := http.NewRequestWithContext(t.Context(), method, f.front.URL+path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/serve/caller/gateway_test.go
+++ b/internal/serve/caller/gateway_test.go
@@ -18,20 +18,20 @@
 // unknown whether the stamp was issued. Sent to another server, the request could issue it
 // twice; refused as not run, its caller would send it again and get two.
 func TestLostResponseOfNonIdempotentRequest(t *testing.T) {
-	b := newFixture(t, hangUp, answerOK("second"))
-	g := b.ask(t, "r1", http.MethodPost, "/once/x")
+	f := newFixture(t, hangUp, answerOK("second"))
+	g := f.request(t, "r1", http.MethodPost, "/once/x")
 	if g.status != http.StatusBadGateway || g.header.Get("Retry-After") != "" {
 		t.Errorf("got %+v", g)
 	}
-	if b.servers[0].count()+b.servers[1].count() != 1 {
-		t.Errorf("the request reached %d and %d", b.servers[0].count(), b.servers[1].count())
+	if f.servers[0].count()+f.servers[1].count() != 1 {
+		t.Errorf("the request reached %d and %d", f.servers[0].count(), f.servers[1].count())
 	}
 }
 
 // The same with an idempotent request: its caller gets the other server's response.
 func TestLostResponseOfIdempotentRequestIsRetried(t *testing.T) {
-	b := newFixture(t, hangUp, answerOK("second"))
-	if g := b.ask(t, "r1", http.MethodGet, "/read/x"); g.status != http.StatusOK || g.body != "second" {
+	f := newFixture(t, hangUp, answerOK("second"))
+	if g := f.request(t, "r1", http.MethodGet, "/read/x"); g.status != http.StatusOK || g.body != "second" {
 		t.Errorf("got %+v", g)
 	}
 }
@@ -41,12 +41,12 @@
 // not run and when to retry.
 func TestRefusedRequestIsSentElsewhere(t *testing.T) {
 	full := answerStatus(http.StatusServiceUnavailable, "A-Not-Run: 1\r\n")
-	b := newFixture(t, full, answerOK("second"))
-	if g := b.ask(t, "r1", http.MethodPost, "/once/x"); g.status != http.StatusOK || g.body != "second" {
+	f := newFixture(t, full, answerOK("second"))
+	if g := f.request(t, "r1", http.MethodPost, "/once/x"); g.status != http.StatusOK || g.body != "second" {
 		t.Errorf("got %+v", g)
 	}
-	b = newFixture(t, full, full)
-	if g := b.ask(t, "r2", http.MethodPost, "/once/x"); g.status != http.StatusServiceUnavailable || g.header.Get("Retry-After") == "" {
+	f = newFixture(t, full, full)
+	if g := f.request(t, "r2", http.MethodPost, "/once/x"); g.status != http.StatusServiceUnavailable || g.header.Get("Retry-After") == "" {
 		t.Errorf("got %+v", g)
 	}
 }
@@ -54,8 +54,8 @@
 // A request that may have run must never be answered with a status that guarantees otherwise,
 // even if the server itself used that status without the guarantee.
 func TestServerOverloadWithoutGuaranteeIsNotRefusal(t *testing.T) {
-	b := newFixture(t, answerStatus(http.StatusServiceUnavailable, "A-Stamp: x\r\n"))
-	g := b.ask(t, "r1", http.MethodPost, "/once/x")
+	f := newFixture(t, answerStatus(http.StatusServiceUnavailable, "A-Stamp: x\r\n"))
+	g := f.request(t, "r1", http.MethodPost, "/once/x")
 	if g.status == http.StatusServiceUnavailable && g.header.Get("A-Stamp") == "" {
 		t.Errorf("the entry guarantees what it does not know: %+v", g)
 	}
@@ -75,9 +75,9 @@
 		_, err := fmt.Fprintf(c, text, id, len(id), id)
 		return err == nil
 	}
-	b := newFixture(t, twice)
+	f := newFixture(t, twice)
 	for _, id := range []string{"r1", "r2", "r3"} {
-		if g := b.ask(t, id, http.MethodGet, "/read/x"); g.body != id {
+		if g := f.request(t, id, http.MethodGet, "/read/x"); g.body != id {
 			t.Errorf("%s got %+v", id, g)
 		}
 	}
@@ -90,8 +90,8 @@
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nA-Id: old\r\nA-Stamp: x\r\nContent-Length: 3\r\n\r\noldHTTP/1.1 200 OK\r\nA-Id: %s\r\nA-Stamp: x\r\nContent-Length: 3\r\n\r\nnew", q.Header.Get("A-Id"))
 		return err == nil
 	}
-	b := newFixture(t, stale)
-	if g := b.ask(t, "r1", http.MethodPost, "/once/x"); g.body != "new" {
+	f := newFixture(t, stale)
+	if g := f.request(t, "r1", http.MethodPost, "/once/x"); g.body != "new" {
 		t.Errorf("got %+v", g)
 	}
 }
@@ -103,28 +103,28 @@
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nA-Id: %s\r\nA-Stamp: x\r\nContent-Length: 10\r\n\r\nhalf", q.Header.Get("A-Id"))
 		return false
 	}
-	b := newFixture(t, short, answerOK("whole"))
-	if g := b.ask(t, "r1", http.MethodGet, "/read/x"); g.body != "whole" {
+	f := newFixture(t, short, answerOK("whole"))
+	if g := f.request(t, "r1", http.MethodGet, "/read/x"); g.body != "whole" {
 		t.Errorf("got %+v", g)
 	}
-	b = newFixture(t, short)
-	if g := b.ask(t, "r2", http.MethodPost, "/once/x"); g.status != http.StatusBadGateway {
+	f = newFixture(t, short)
+	if g := f.request(t, "r2", http.MethodPost, "/once/x"); g.status != http.StatusBadGateway {
 		t.Errorf("got %+v", g)
 	}
 }
 
 // A success without the server's stamp comes from something else at its address.
 func TestSuccessWithoutStampIsNotForwarded(t *testing.T) {
-	b := newFixture(t, answerStatus(http.StatusOK, ""))
-	if g := b.ask(t, "r1", http.MethodPost, "/once/x"); g.status != http.StatusBadGateway {
+	f := newFixture(t, answerStatus(http.StatusOK, ""))
+	if g := f.request(t, "r1", http.MethodPost, "/once/x"); g.status != http.StatusBadGateway {
 		t.Errorf("got %+v", g)
 	}
 }
 
 // A server's own failure is forwarded unchanged, with its stamp.
 func TestFailureIsForwardedUnchanged(t *testing.T) {
-	b := newFixture(t, answerStatus(http.StatusInternalServerError, "A-Stamp: y\r\n"))
-	if g := b.ask(t, "r1", http.MethodPost, "/once/x"); g.status != http.StatusInternalServerError || g.header.Get("A-Stamp") != "y" || g.body != "no" {
+	f := newFixture(t, answerStatus(http.StatusInternalServerError, "A-Stamp: y\r\n"))
+	if g := f.request(t, "r1", http.MethodPost, "/once/x"); g.status != http.StatusInternalServerError || g.header.Get("A-Stamp") != "y" || g.body != "no" {
 		t.Errorf("got %+v", g)
 	}
 }
@@ -153,8 +153,8 @@
 // the last whole event; the caller gets one stream with no event missing or duplicated, under
 // the first engine's headers.
 func TestStreamResumesElsewhere(t *testing.T) {
-	b := newFixture(t, streamOf("a", 2, false), streamOf("b", 4, true))
-	g := b.ask(t, "r1", http.MethodPost, "/resume/x")
+	f := newFixture(t, streamOf("a", 2, false), streamOf("b", 4, true))
+	g := f.request(t, "r1", http.MethodPost, "/resume/x")
 	want := "id: 1\ndata: a\n\nid: 2\ndata: a\n\nid: 3\ndata: b\n\nid: 4\ndata: b\n\n"
 	if g.err != nil || g.body != want || g.header.Get("A-Stamp") != "a" {
 		t.Errorf("got %+v", g)
@@ -164,9 +164,9 @@
 // The same on a route whose streams may not resume: the stream must not look complete, and no
 // second engine may run the request.
 func TestNonResumableStreamIsAborted(t *testing.T) {
-	b := newFixture(t, streamOf("a", 2, false), streamOf("b", 4, true))
-	g := b.ask(t, "r1", http.MethodPost, "/stream/x")
-	if g.err == nil || strings.Contains(g.body, "data: b") || b.servers[1].count() != 0 {
+	f := newFixture(t, streamOf("a", 2, false), streamOf("b", 4, true))
+	g := f.request(t, "r1", http.MethodPost, "/stream/x")
+	if g.err == nil || strings.Contains(g.body, "data: b") || f.servers[1].count() != 0 {
 		t.Errorf("got %+v", g)
 	}
 }
@@ -179,8 +179,8 @@
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nA-Id: %s\r\nA-Stamp: b\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", q.Header.Get("A-Id"), len(e), e)
 		return true
 	}
-	b := newFixture(t, streamOf("a", 2, false), gap)
-	if g := b.ask(t, "r1", http.MethodPost, "/resume/x"); g.err == nil || strings.Contains(g.body, "id: 5") {
+	f := newFixture(t, streamOf("a", 2, false), gap)
+	if g := f.request(t, "r1", http.MethodPost, "/resume/x"); g.err == nil || strings.Contains(g.body, "id: 5") {
 		t.Errorf("got %+v", g)
 	}
 }
@@ -194,10 +194,10 @@
 		gone <- err
 		return false
 	}
-	b := newFixture(t, hang)
+	f := newFixture(t, hang)
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, b.front.URL+"/stream/x", nil)
+	q, err := http.NewRequestWithContext(ctx, http.MethodPost, f.front.URL+"/stream/x", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -220,8 +220,8 @@
 		seen <- q.RequestURI
 		return answerOK("x")(s, c, q)
 	}
-	b := newFixture(t, echo)
-	c, err := net.Dial("tcp", b.front.Listener.Addr().String())
+	f := newFixture(t, echo)
+	c, err := net.Dial("tcp", f.front.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -248,8 +248,8 @@
 		time.Sleep(250 * time.Millisecond)
 		return answerOK("slow")(s, c, q)
 	}
-	b := newFixture(t, slow, slow)
-	q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, b.front.URL+"/read/x", nil)
+	f := newFixture(t, slow, slow)
+	q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, f.front.URL+"/read/x", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -261,8 +261,8 @@
 		t.Fatal(err)
 	}
 	defer r.Body.Close()
-	if r.StatusCode != http.StatusOK || b.servers[0].count()+b.servers[1].count() != 1 {
-		t.Errorf("status %d after %d and %d arrivals", r.StatusCode, b.servers[0].count(), b.servers[1].count())
+	if r.StatusCode != http.StatusOK || f.servers[0].count()+f.servers[1].count() != 1 {
+		t.Errorf("status %d after %d and %d arrivals", r.StatusCode, f.servers[0].count(), f.servers[1].count())
 	}
 }
 
@@ -274,13 +274,13 @@
 		time.Sleep(500 * time.Millisecond)
 		return answerOK("slow")(s, c, q)
 	}
-	b := newFixture(t, slow, slow)
-	c := b.config
+	f := newFixture(t, slow, slow)
+	c := f.config
 	c.Budget = retry.NewBudget(retry.Terms{Window: time.Hour})
 	for c.Budget.Spend("s", time.Now()) {
 	}
-	b.front.Config.Handler = New(c)
-	if got := b.ask(t, "r1", http.MethodGet, "/read/x"); got.status != http.StatusOK || got.body != "slow" {
+	f.front.Config.Handler = New(c)
+	if got := f.request(t, "r1", http.MethodGet, "/read/x"); got.status != http.StatusOK || got.body != "slow" {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -289,11 +289,11 @@
 // small entry with headers. A request at the limit must be served, one with a single byte more
 // refused.
 func TestDocumentBoundsHeaders(t *testing.T) {
-	b := newFixture(t, answerOK("x"))
-	d := b.site.table.Document()
+	f := newFixture(t, answerOK("x"))
+	d := f.site.table.Document()
 	const most = 600
 	d.Limits.HeaderBytes = most
-	b.site.table = document.NewTable(d)
+	f.site.table = document.NewTable(d)
 	head := "GET /read/a HTTP/1.1\r\nHost: h\r\nA-Id: r\r\nPadding: %s\r\n\r\n"
 	for _, x := range []struct {
 		bytes, status int
@@ -302,19 +302,19 @@
 		if len(text) != x.bytes {
 			t.Fatalf("the head has %d bytes", len(text))
 		}
-		if got := b.send(t, text); got != x.status {
+		if got := f.send(t, text); got != x.status {
 			t.Errorf("%d bytes: %d", x.bytes, got)
 		}
 	}
-	if n := b.servers[0].count(); n != 1 {
+	if n := f.servers[0].count(); n != 1 {
 		t.Errorf("%d requests reached the server", n)
 	}
 }
 
 // send sends a request byte for byte and returns the status of its response.
-func (b *fixture) send(t *testing.T, text string) int {
+func (f *fixture) send(t *testing.T, text string) int {
 	t.Helper()
-	c, err := net.Dial("tcp", b.front.Listener.Addr().String())
+	c, err := net.Dial("tcp", f.front.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -332,11 +332,11 @@
 
 // prompt sends a prompt and returns a channel of the status, 0 for a connection that is closed
 // without a response.
-func (b *fixture) prompt(t *testing.T) <-chan int {
+func (f *fixture) prompt(t *testing.T) <-chan int {
 	t.Helper()
 	status := make(chan int, 1)
 	go func() {
-		q, err := http.NewRequest(http.MethodPost, b.front.URL+"/prompt/a", nil)
+		q, err := http.NewRequest(http.MethodPost, f.front.URL+"/prompt/a", nil)
 		if err != nil {
 			status <- -1
 			return
@@ -356,9 +356,9 @@
 }
 
 // awaitQueued waits until a request is queued.
-func (b *fixture) awaitQueued(t *testing.T) {
+func (f *fixture) awaitQueued(t *testing.T) {
 	t.Helper()
-	for end := time.Now().Add(5 * time.Second); b.queue.Len() == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); f.queue.Len() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no request is queued")
 		}
@@ -368,12 +368,12 @@
 // All engines of a small site load new weights at the same moment. Prompts must wait for the
 // first that is ready; refused, their callers would retry at the same engines.
 func TestPromptWaitsForLoadingEngine(t *testing.T) {
-	b := newFixture(t, streamOf("a", 2, true))
-	b.site.set(true, false)
-	status := b.prompt(t)
-	b.awaitQueued(t)
-	b.site.set(false, false)
-	b.queue.LocalCapacityFreed()
+	f := newFixture(t, streamOf("a", 2, true))
+	f.site.set(true, false)
+	status := f.prompt(t)
+	f.awaitQueued(t)
+	f.site.set(false, false)
+	f.queue.LocalCapacityFreed()
 	if got := <-status; got != http.StatusOK {
 		t.Errorf("got %d", got)
 	}
@@ -383,12 +383,12 @@
 // once that its prompt has not run. Previously the handler panicked, and all of those callers
 // found their connections closed without a response.
 func TestPromptIsRefusedWhenTheLastEngineLeaves(t *testing.T) {
-	b := newFixture(t, answerOK("x"))
-	b.site.set(true, false)
-	status := b.prompt(t)
-	b.awaitQueued(t)
-	b.site.set(true, true)
-	b.queue.LocalCapacityFreed()
+	f := newFixture(t, answerOK("x"))
+	f.site.set(true, false)
+	status := f.prompt(t)
+	f.awaitQueued(t)
+	f.site.set(true, true)
+	f.queue.LocalCapacityFreed()
 	if got := <-status; got != http.StatusServiceUnavailable {
 		t.Errorf("got %d", got)
 	}
@@ -403,11 +403,11 @@
 // closed connection; the response guarantees nothing, since it is unknown how far the request
 // has come.
 func TestPanicIsAnswered(t *testing.T) {
-	b := newFixture(t, answerOK("x"))
-	c := b.config
-	c.Site = panickingSite{b.site}
-	b.front.Config.Handler = New(c)
-	if got := b.ask(t, "r", http.MethodGet, "/read/a"); got.err != nil || got.status != http.StatusBadGateway {
+	f := newFixture(t, answerOK("x"))
+	c := f.config
+	c.Site = panickingSite{f.site}
+	f.front.Config.Handler = New(c)
+	if got := f.request(t, "r", http.MethodGet, "/read/a"); got.err != nil || got.status != http.StatusBadGateway {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -416,25 +416,25 @@
 // weights after the guaranteed time would violate the operator's setting; it must wait for an
 // engine with the new ones.
 func TestPromptWaitsForNamedWeights(t *testing.T) {
-	b := newFixture(t, streamOf("a", 2, true))
+	f := newFixture(t, streamOf("a", 2, true))
 	set := func(version int64, outdated bool) {
-		b.site.mu.Lock()
-		defer b.site.mu.Unlock()
-		b.site.version, b.site.target, b.site.outdated = version, 2, outdated
+		f.site.mu.Lock()
+		defer f.site.mu.Unlock()
+		f.site.version, f.site.target, f.site.outdated = version, 2, outdated
 	}
 	set(1, true)
-	status := b.prompt(t)
-	b.awaitQueued(t)
-	if n := b.servers[0].count(); n != 0 {
+	status := f.prompt(t)
+	f.awaitQueued(t)
+	if n := f.servers[0].count(); n != 0 {
 		t.Fatalf("%d requests went to old weights", n)
 	}
 	set(2, true)
-	b.queue.LocalCapacityFreed()
+	f.queue.LocalCapacityFreed()
 	if got := <-status; got != http.StatusOK {
 		t.Errorf("got %d", got)
 	}
 	set(1, false)
-	if got := <-b.prompt(t); got != http.StatusOK {
+	if got := <-f.prompt(t); got != http.StatusOK {
 		t.Errorf("before that time got %d", got)
 	}
 }
--- a/internal/serve/caller/job.go
+++ b/internal/serve/caller/job.go
@@ -74,8 +74,8 @@
 	return rand.Float64()
 }
 
-// serve tries servers until the caller has its final response. ctx ends what may be stopped
-// when the caller disconnects; callerCtx ends when it has disconnected.
+// serve tries servers until the caller has its final response. callerCtx ends when the
+// caller has disconnected; ctx ends with it unless the request must not be stopped half-way.
 func (j *job) serve(ctx, callerCtx context.Context) {
 	j.verdict = verdict.NotRun
 	j.Budget.RecordRequest(j.service.Name, j.arrived)
--- a/internal/serve/caller/limit_test.go
+++ b/internal/serve/caller/limit_test.go
@@ -24,13 +24,13 @@
 
 // Guards against sending more requests to a server with a limit while others have capacity.
 func TestOtherServersRelieveLimitedServer(t *testing.T) {
-	b := newFixture(t, respondWithLimit("1"), answerOK("second"))
+	f := newFixture(t, respondWithLimit("1"), answerOK("second"))
 	for i := range 20 {
-		if g := b.ask(t, strconv.Itoa(i), http.MethodGet, "/read/x"); g.status != http.StatusOK {
+		if g := f.request(t, strconv.Itoa(i), http.MethodGet, "/read/x"); g.status != http.StatusOK {
 			t.Fatalf("request %d got %+v", i, g)
 		}
 	}
-	if n := b.servers[0].count(); n > 2 {
+	if n := f.servers[0].count(); n > 2 {
 		t.Errorf("the server with a limit of one per second got %d of 20 requests", n)
 	}
 }
@@ -38,10 +38,10 @@
 // Guards against requests that are held, or refused without a retry time, when all servers
 // announce limits.
 func TestRequestBeyondAllLimitsIsRefusedAtOnce(t *testing.T) {
-	b := newFixture(t, respondWithLimit("0.2"))
-	b.ask(t, "first", http.MethodPost, "/once/x")
+	f := newFixture(t, respondWithLimit("0.2"))
+	f.request(t, "first", http.MethodPost, "/once/x")
 	began := time.Now()
-	g := b.ask(t, "second", http.MethodPost, "/once/x")
+	g := f.request(t, "second", http.MethodPost, "/once/x")
 	if took := time.Since(began); g.status != http.StatusServiceUnavailable || took > 500*time.Millisecond {
 		t.Fatalf("status %d after %s", g.status, took)
 	}
@@ -49,17 +49,17 @@
 	if err != nil || after < 5 {
 		t.Errorf("the server accepts a request in 5 s, but Retry-After is %q", g.header.Get("Retry-After"))
 	}
-	if n := b.servers[0].count(); n != 1 {
+	if n := f.servers[0].count(); n != 1 {
 		t.Errorf("%d requests reached the server", n)
 	}
 }
 
 // Guards against refusing a request that a server accepts shortly afterwards.
 func TestRequestWaitsForLimit(t *testing.T) {
-	b := newFixture(t, respondWithLimit("20"))
-	b.config.Limits.SetEntries(1)
+	f := newFixture(t, respondWithLimit("20"))
+	f.config.Limits.SetEntries(1)
 	for i := range 5 {
-		if g := b.ask(t, strconv.Itoa(i), http.MethodGet, "/read/x"); g.status != http.StatusOK {
+		if g := f.request(t, strconv.Itoa(i), http.MethodGet, "/read/x"); g.status != http.StatusOK {
 			t.Fatalf("request %d got %+v", i, g)
 		}
 	}
@@ -67,10 +67,10 @@
 
 // Guards against refusing prompts at once when the last engine announces a limit.
 func TestPromptWaitsForLimitedEngine(t *testing.T) {
-	b := newFixture(t, streamWithLimit("10"))
-	b.config.Limits.SetEntries(1)
+	f := newFixture(t, streamWithLimit("10"))
+	f.config.Limits.SetEntries(1)
 	for i := range 3 {
-		if status := <-b.prompt(t); status != http.StatusOK {
+		if status := <-f.prompt(t); status != http.StatusOK {
 			t.Fatalf("prompt %d: status %d", i, status)
 		}
 	}
@@ -79,17 +79,17 @@
 // Guards against a request reaching a server that left while the request waited for the
 // server's limit.
 func TestServerThatLeavesGetsNoWaitingRequest(t *testing.T) {
-	b := newFixture(t, respondWithLimit("2"))
-	b.config.Limits.SetEntries(1)
-	b.ask(t, "first", http.MethodPost, "/once/x")
+	f := newFixture(t, respondWithLimit("2"))
+	f.config.Limits.SetEntries(1)
+	f.request(t, "first", http.MethodPost, "/once/x")
 	answered := make(chan result, 1)
-	go func() { answered <- b.ask(t, "second", http.MethodPost, "/once/x") }()
+	go func() { answered <- f.request(t, "second", http.MethodPost, "/once/x") }()
 	time.Sleep(100 * time.Millisecond)
-	b.site.set(false, true)
+	f.site.set(false, true)
 	if g := <-answered; g.status != http.StatusServiceUnavailable {
 		t.Errorf("status %d", g.status)
 	}
-	if n := b.servers[0].count(); n != 1 {
+	if n := f.servers[0].count(); n != 1 {
 		t.Errorf("%d requests reached the server", n)
 	}
 }
--- a/internal/serve/limit/bucket.go
+++ b/internal/serve/limit/bucket.go
@@ -9,8 +9,8 @@
 	// usableShare is the part of a limit that the counted entries use. The rest is for entries
 	// that have just started, and for the chance that many send at once.
 	usableShare = 0.75
-	// burstWindow is how long an unused request may be sent later. minBurst is how many such
-	// requests all entries together may keep in any case.
+	// burstWindow is for how long an entry may still send a request that it could have sent
+	// earlier. minBurst is how many such requests all entries together may keep in any case.
 	burstWindow = 500 * time.Millisecond
 	minBurst    = 1.0
 	// A server tolerates toleranceRequests more than toleranceFactor times its limit in
