--- a/internal/site/stores/store_inventory.go
+++ b/internal/site/stores/store_inventory.go
@@ -211,7 +211,7 @@
 }
 
 // Freeable returns the withdrawn parts that can no longer be fetched. acknowledged is the
-// revision of the row table that all entries have which made contact within StaleAfter.
+// revision of the row table up to which all entries that made contact within StaleAfter have the rows.
 //
 // If a part were freed while an engine still fetches it, the content of that engine's
 // memory would be undefined. An entry that has received the withdrawal starts
--- a/internal/site/topic/topic_test.go
+++ b/internal/site/topic/topic_test.go
@@ -8,7 +8,7 @@
 
 // Guards against a reused topic number. During an upgrade processes of two releases exchange
 // rows: one that gets a row of another format under a number that it knows misreads it, or
-// knows no server at all. A row under an unknown number is ignored.
+// gets no servers at all. A row under an unknown number is ignored.
 func TestNumbersAreNeverReused(t *testing.T) {
 	retired := map[rowtable.Topic]bool{1: true, 2: true, 5: true}
 	seen := map[rowtable.Topic]bool{}
--- a/internal/site/watch/replica_mirror.go
+++ b/internal/site/watch/replica_mirror.go
@@ -24,8 +24,8 @@
 type replicaMirror struct {
 	// epoch is the replica's epoch, fencing the fencing number that it last reported.
 	epoch, fencing uint64
-	// polledAt is when the poll was sent to which the replica reported that number and after
-	// which the mirror was complete. It is read from the boot clock: a relay that was suspended
+	// polledAt is when the latest poll was sent whose answer contained a fencing number and
+	// completed the mirror. It is read from the boot clock: a relay that was suspended
 	// must not relay older rows as fresh after it resumes.
 	polledAt time.Duration
 	table    rowtable.Table
--- a/internal/site/weights/client.go
+++ b/internal/site/weights/client.go
@@ -18,7 +18,7 @@
 	Versions map[string]int64
 }
 
-// Order tells an engine to load a version of weights.
+// Order instructs an engine to load a version of weights.
 type Order struct {
 	// Model and Version identify the weights.
 	Model   string
