--- a/internal/process/sitecontrol/store_follower.go
+++ b/internal/process/sitecontrol/store_follower.go
@@ -240,8 +240,8 @@
 	}
 }
 
-// acknowledgedRevision returns the table's revision up to which all entries have the rows. Only entries
-// count that polled within StaleAfter, either this replica directly or any relay.
+// acknowledgedRevision returns the table's revision up to which all entries have the rows.
+// Only entries that polled within StaleAfter, either this replica directly or any relay, count.
 func (sf *storeFollower) acknowledgedRevision() uint64 {
 	return min(sf.watchServer.AcknowledgedRevision(stores.StaleAfter), sf.relay.mirrors.AcknowledgedRevision(sf.relay.self, stores.StaleAfter))
 }
--- a/internal/process/siteentry/entry_count.go
+++ b/internal/process/siteentry/entry_count.go
@@ -3,7 +3,7 @@
 import "time"
 
 // countHoldTime is how long a lower number of entries must be reported before it is used. All entries poll a
-// replica that has started within a second or two.
+// newly started replica within a second or two.
 const countHoldTime = 5 * time.Second
 
 // entryCount is the number of entries that share the servers, as reported by the replicas.
--- a/internal/process/siteentry/hints.go
+++ b/internal/process/siteentry/hints.go
@@ -19,8 +19,8 @@
 const (
 	// relayCheckInterval is the interval at which the relay is chosen again.
 	relayCheckInterval = 100 * time.Millisecond
-	// relayTimeout is how long ago the relay may have answered last: a poll that waits for a change, and a
-	// margin for its answer.
+	// relayTimeout is the maximum age of the relay's last answer: a poll that waits for a change, and a margin
+	// for its answer.
 	relayTimeout = 1700 * time.Millisecond
 )
 
--- a/internal/process/siteentry/reports.go
+++ b/internal/process/siteentry/reports.go
@@ -38,7 +38,7 @@
 
 // ReportPrefill implements caller.Site.
 //
-// Entries don't ask each other before they send a request. Without this notice each of them would have every
+// Entries don't coordinate before they send a request. Without this notice each of them would have every
 // part prefilled once more, by a different engine, until the part is listed by a store.
 func (s *site) ReportPrefill(salt, part string, tokens int, server string) {
 	s.mu.Lock()
