--- a/end_to_end_test.go
+++ b/end_to_end_test.go
@@ -159,14 +159,14 @@
 	eventually(t, "the pieces are in the store", func() bool {
 		return len(getJSON[pieces](t, store.url()+"/pieces").Pieces) >= 8
 	})
-	f.returns(t, servers, dossier)
+	f.evictAndResend(t, servers, dossier)
 	for _, e := range f.entries {
 		f.restart(e, f.startEntry, true)
 	}
 	for _, e := range f.entries {
 		f.serves(e, gateKey, "draft")
 	}
-	f.returns(t, servers, dossier)
+	f.evictAndResend(t, servers, dossier)
 	for _, s := range servers {
 		if r := getJSON[engine.Report](t, s.url()+"/standin/report"); r.WrongPieces != 0 {
 			t.Errorf("%s imported %d wrong pieces", s.name, r.WrongPieces)
@@ -174,9 +174,9 @@
 	}
 }
 
-// returns evicts a prompt from the engines' memory by prompts of another workspace and
+// evictAndResend evicts a prompt from the engines' memory by prompts of another workspace and
 // sends it again, until its pieces come from the store.
-func (f *fleet) returns(t *testing.T, servers []*host, prompt string) {
+func (f *fleet) evictAndResend(t *testing.T, servers []*host, prompt string) {
 	t.Helper()
 	eventually(t, "the prompt is served from the store", func() bool {
 		for i := range 4 {
--- a/faults_test.go
+++ b/faults_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func (r *record) fault(format string, args ...any) {
+func (r *record) addViolation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
@@ -78,7 +78,7 @@
 		fmt.Fprintf(&want, "%s-%d ", engine.Digest(prompt), n)
 	}
 	if c.text != want.String() {
-		r.fault("%s through %s got a wrong answer: %q, want %q", prompt[:20], e.name, c.text, want.String())
+		r.addViolation("%s through %s got a wrong answer: %q, want %q", prompt[:20], e.name, c.text, want.String())
 	}
 }
 
