--- a/internal/process/siteentry/hints.go
+++ b/internal/process/siteentry/hints.go
@@ -19,8 +19,8 @@
 const (
 	// relayCheckInterval is the interval at which the relay is chosen again.
 	relayCheckInterval = 100 * time.Millisecond
-	// relayTimeout is how long ago the relay may have answered last: a poll that waits for a change, and a
-	// margin for its answer.
+	// relayTimeout is the maximum age of the relay's last answer: a poll that waits for a change, and a margin
+	// for its answer.
 	relayTimeout = 1700 * time.Millisecond
 )
 
@@ -166,9 +166,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var candidates []candidateRelay
-	for a, l := range s.directStates {
-		if now.Sub(l.lastAnswer) < relayTimeout {
-			candidates = append(candidates, candidateRelay{address: a, sameZone: l.zone == zone, holder: l == s.holder()})
+	for a, state := range s.directStates {
+		if now.Sub(state.lastAnswer) < relayTimeout {
+			candidates = append(candidates, candidateRelay{address: a, sameZone: state.zone == zone, holder: state == s.holder()})
 		}
 	}
 	return pickRelay(candidates, many, watcher)
--- a/internal/process/siteentry/reports.go
+++ b/internal/process/siteentry/reports.go
@@ -38,7 +38,7 @@
 
 // ReportPrefill implements caller.Site.
 //
-// Entries don't ask each other before they send a request. Without this notice each of them would have every
+// Entries don't coordinate before they send a request. Without this notice each of them would have every
 // part prefilled once more, by a different engine, until the part is listed by a store.
 func (s *site) ReportPrefill(salt, part string, tokens int, server string) {
 	s.mu.Lock()
@@ -69,9 +69,9 @@
 
 // holderAddress returns the address of the lease holder, empty for none. The caller holds the lock.
 func (s *site) holderAddress() string {
-	l := s.holder()
+	h := s.holder()
 	for a, x := range s.holderStates() {
-		if x == l {
+		if x == h {
 			return a
 		}
 	}
--- a/internal/site/weights/client.go
+++ b/internal/site/weights/client.go
@@ -10,7 +10,7 @@
 type Report struct {
 	// Sequence counts the orders that the engine has accepted since its start.
 	Sequence int64
-	// Busy says that the engine is executing an order.
+	// Busy is set if the engine is executing an order.
 	Busy bool
 	// Running and Waiting are the numbers of its requests.
 	Running, Waiting int
@@ -18,7 +18,7 @@
 	Versions map[string]int64
 }
 
-// Order tells an engine to load a version of weights.
+// Order instructs an engine to load a version of weights.
 type Order struct {
 	// Model and Version identify the weights.
 	Model   string
