--- a/internal/entry/control/client.go
+++ b/internal/entry/control/client.go
@@ -21,7 +21,7 @@
 	defaultTimeout = 5 * time.Second
 	// readTimeout bounds one attempt of a read with a small answer, and so the delay that a suspended replica causes.
 	readTimeout = 700 * time.Millisecond
-	// largeReadTimeout bounds one attempt of a read whose answer may be large, in addition to protocol.ReadIdle.
+	// largeReadTimeout bounds one attempt of a read whose answer may be large, in addition to protocol.ReadIdleTimeout.
 	largeReadTimeout = 20 * time.Second
 	// proposeTimeout bounds one attempt of a proposal; after it the outcome of the commit is unknown.
 	proposeTimeout = 2 * time.Second
