--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -22,7 +22,7 @@
 	Outgoing(now time.Time) []Envelope
 	// Receive merges a message from a peer and returns the replies to send.
 	Receive(now time.Time, from string, m Message) []Envelope
-	// PushLeaving makes the next Outgoing push the leaving state of a server to all peers; it is called after a Merge with PushLeaving set.
+	// PushLeaving makes the next Outgoing push the leaving state of a server to all peers; it is called after a MergeResult with Leaving set.
 	PushLeaving(identity string)
 	// Work returns the counts of the requests sent to each server.
 	Work() Work
